--- a/src/main/java/coralcove/Choice.java
+++ b/src/main/java/coralcove/Choice.java
@@ -16,108 +16,240 @@
 import java.util.random.RandomGenerator;
 
 /**
- * All decisions of one call router. The interface, and how it is called, is in CallRouter.java: route() for a
- * new session or one whose "later" is due, after() for news of an INVITE, waiting() when a round is done; the
- * rest tell facts. One object serves one exchange's router, on one thread, with no clock or wire of its own.
+ * All decisions of one call router. The interface, and how it is called, is in CallRouter.java:
+ * route() for a new session or one whose "later" is due, after() for news of an INVITE, waiting()
+ * when a round is done; the rest tell facts. One object serves one exchange's router, on one
+ * thread, with no clock or wire of its own.
  */
 public final class Choice implements CallRouter {
     // The design's figures.
     /** µs: span over which a service's rate on a group is counted (design). */
     private static final long RATE_WINDOW = 10_000_000;
+
     /** µs: age at which a group's targets are worked out anew (design). */
     private static final long REFRESH = 5_000_000;
-    /** Share of a group, and multiples of the widest service, that must be free to take anything (design). */
+
+    /**
+     * Share of a group, and multiples of the widest service, that must be free to take anything
+     * (design).
+     */
     private static final double FREE_SHARE = 0.2;
+
     private static final int FREE_WIDTHS = 2;
-    /** The same share for an own caller's session: the slack of the targets must not keep circuits empty. */
+
+    /**
+     * The same share for an own caller's session: the slack of the targets must not keep circuits
+     * empty.
+     */
     private static final double FREE_OWN = 0.06;
-    /** The share each leg of a two-group session must have free: thin groups hardly ever have a fifth. */
+
+    /**
+     * The share each leg of a two-group session must have free: thin groups hardly ever have a
+     * fifth.
+     */
     private static final double FREE_LEG = 0.1;
-    /** Buckets of the rings of load and of phantoms: steps of half a second and of a hold's thirtieth. */
+
+    /**
+     * Buckets of the rings of load and of phantoms: steps of half a second and of a hold's
+     * thirtieth.
+     */
     private static final int LOAD_BUCKETS = 20;
+
     private static final int PHANTOM_BUCKETS = 30;
+
     // The guards' figures.
-    /** Share of the post-dial target past which a set-up is slow: the rest is for what queues up then. */
+    /**
+     * Share of the post-dial target past which a set-up is slow: the rest is for what queues up
+     * then.
+     */
     private static final double SLOW = 0.3;
-    /** Share of INVITEs unanswered by exchanges in order that tells of lost answers; weight of the newest. */
+
+    /**
+     * Share of INVITEs unanswered by exchanges in order that tells of lost answers; weight of the
+     * newest.
+     */
     private static final double LOST_SHARE = 0.08;
+
     private static final double LOST_STEP = 0.02;
-    /** Share of the post-dial target that a set-up takes where nothing is slow, two legs and queues too. */
+
+    /**
+     * Share of the post-dial target that a set-up takes where nothing is slow, two legs and queues
+     * too.
+     */
     private static final double SET_UP = 0.2;
-    /** Share of a window open to a tandem's leg, to low value or what stands late, and to the highest. */
+
+    /**
+     * Share of a window open to a tandem's leg, to low value or what stands late, and to the
+     * highest.
+     */
     private static final double PRESS_TANDEM = 0.25;
+
     private static final double PRESS_LOW = 0.5;
     private static final double PRESS_HIGH = 1;
+
     /** Share of the common window in use from which peers are told of no ways on. */
     private static final double PRESS_TOLD = 0.4;
-    /** INVITEs in flight to one exchange: to start with, and the most; above this it is never the limit. */
+
+    /**
+     * INVITEs in flight to one exchange: to start with, and the most; above this it is never the
+     * limit.
+     */
     private static final double WINDOW_FIRST = 4;
+
     private static final double WINDOW_MOST = 32;
+
     /** The same for all INVITEs in flight from here, which all pass the own processor. */
     private static final double OWN_FIRST = 16;
+
     private static final double OWN_MOST = 64;
     private static final double OWN_LEAST = 2;
     private static final double OWN_CUT = 0.85;
-    /** µs: span over which quick answers are counted, to tell what one place of a window is worth. */
+
+    /**
+     * µs: span over which quick answers are counted, to tell what one place of a window is worth.
+     */
     private static final long PLACE_SPAN = 1_000_000;
+
     private static final int PLACE_BUCKETS = 10;
-    /** Share of slow answers from which most are slow, and under which few are; weight of the newest. */
+
+    /**
+     * Share of slow answers from which most are slow, and under which few are; weight of the
+     * newest.
+     */
     private static final double MOST = 0.5;
+
     private static final double FEW = 0.2;
     private static final double SLOW_STEP = 0.05;
+
     /** What a slow answer leaves of the window. */
     private static final double WINDOW_CUT = 0.5;
-    /** INVITEs in a row without an answer that close an exchange: two can be chance, more costs circuits. */
+
+    /**
+     * INVITEs in a row without an answer that close an exchange: two can be chance, more costs
+     * circuits.
+     */
     private static final int FAILURES = 3;
-    /** µs: a closed exchange's first wait for a trial, and the longest; near the length of a short stall. */
+
+    /**
+     * µs: a closed exchange's first wait for a trial, and the longest; near the length of a short
+     * stall.
+     */
     private static final long TRIAL_FIRST = 500_000;
+
     private static final long TRIAL_LONGEST = 2_000_000;
-    /** µs: hold-back after a full processor that names no wait: about what drains between two answers. */
+
+    /**
+     * µs: hold-back after a full processor that names no wait: about what drains between two
+     * answers.
+     */
     private static final long FULL_HOLD = 300_000;
+
     /** µs: a tandem that turned a session back is not asked for that far end for this long. */
     private static final long TURNED_BACK_HOLD = 4_000_000;
-    /** Doublings of that hold at most, for a tandem that never led there: it may have no group to it. */
+
+    /**
+     * Doublings of that hold at most, for a tandem that never led there: it may have no group to
+     * it.
+     */
     private static final int TURNED_BACK_DOUBLINGS = 4;
+
     /** µs: one that was slow, full or silent is no tandem for this long, or until it is quick. */
     private static final long SLOW_TANDEM_HOLD = 4_000_000;
-    /** Share of unknown tandems that must lead on to be asked beside known ones; weight of the newest. */
+
+    /**
+     * Share of unknown tandems that must lead on to be asked beside known ones; weight of the
+     * newest.
+     */
     private static final double UNKNOWN_LEAD = 0.5;
+
     private static final double UNKNOWN_STEP = 0.1;
-    /** µs: how often peers are told of ways on, if changed; messages a second each hears: each is work. */
+
+    /**
+     * µs: how often peers are told of ways on, if changed; messages a second each hears: each is
+     * work.
+     */
     private static final long TELL_EVERY = 1_000_000;
+
     private static final long NEWS_A_SECOND = 10;
+
     /** Multiples of that gap for which news holds: two messages in a row may be lost. */
     private static final long NEWS_FRESH = 6;
-    /** Widest services that must fit into a group told as a way on: all who hear of it may send at once. */
+
+    /**
+     * Widest services that must fit into a group told as a way on: all who hear of it may send at
+     * once.
+     */
     private static final int TOLD_WIDTHS = 6;
-    /** Share of a group that is enough instead: few send over a thin one, which hardly has so many free. */
+
+    /**
+     * Share of a group that is enough instead: few send over a thin one, which hardly has so many
+     * free.
+     */
     private static final double TOLD_SHARE = 0.5;
-    /** Share of the common window in use up to which that holds: in trouble each tandem is work for three. */
+
+    /**
+     * Share of the common window in use up to which that holds: in trouble each tandem is work for
+     * three.
+     */
     private static final double PRESS_QUIET = 0.1;
+
     /** Bytes of the largest message. */
     private static final int NEWS_BYTES = 256;
-    /** µs: least wait and as much again by chance before a failed question to the directory is put again. */
+
+    /**
+     * µs: least wait and as much again by chance before a failed question to the directory is put
+     * again.
+     */
     private static final long SUBSCRIBE_AGAIN = 1_000_000;
+
     /** µs: a moment that does not come. */
     private static final long NEVER = Long.MAX_VALUE;
-    /** INVITEs in flight to a fresh exchange, to start with; its answers widen this like any window. */
+
+    /**
+     * INVITEs in flight to a fresh exchange, to start with; its answers widen this like any window.
+     */
     private static final double FRESH_WINDOW = 2;
-    /** Multiple of the budget reckoned from own callers' rate, which understates an exchange's speed. */
+
+    /**
+     * Multiple of the budget reckoned from own callers' rate, which understates an exchange's
+     * speed.
+     */
     private static final double COLD_SHARE = 3;
+
     /** The least part of a set-up a window, for a router that has had no callers yet. */
     private static final double LEAST_PART = 0.05;
-    /** Share of the post-dial target after which a caller is asked back, to have a try left in time. */
+
+    /**
+     * Share of the post-dial target after which a caller is asked back, to have a try left in time.
+     */
     private static final double COME_BACK = 0.3;
-    /** Share of the post-dial target, since a caller's first try, past which a set-up would end late. */
+
+    /**
+     * Share of the post-dial target, since a caller's first try, past which a set-up would end
+     * late.
+     */
     private static final double LATE_SHARE = 0.8;
-    /** µs: first and longest gap between INVITEs to a number whose lines were busy: part of a hold. */
+
+    /**
+     * µs: first and longest gap between INVITEs to a number whose lines were busy: part of a hold.
+     */
     private static final long LINES_GAP = 500_000;
+
     private static final long LINES_GAP_MOST = 2_000_000;
-    /** Callers of a number that may come within one come-back time: more are one that repeats at once. */
+
+    /**
+     * Callers of a number that may come within one come-back time: more are one that repeats at
+     * once.
+     */
     private static final int EARLY = 2;
+
     /** µs: how long a caller's first try is remembered: longer than callers go on trying. */
     private static final long MEMORY = 10_000_000;
-    /** µs: less than this before its timer limit a session is not sent any more; a set-up takes longer. */
+
+    /**
+     * µs: less than this before its timer limit a session is not sent any more; a set-up takes
+     * longer.
+     */
     private static final long TOO_LATE = 100_000;
 
     private final int ownNumber;
@@ -159,11 +291,21 @@
     private long tellAt;
     private long tellAgainAt;
 
-    /** What a class is to the decisions: class 2n is service n at its first try, 2n + 1 its redials. */
-    private record Service(long target, int width, long hold, boolean repeatable, double press,
+    /**
+     * What a class is to the decisions: class 2n is service n at its first try, 2n + 1 its redials.
+     */
+    private record Service(
+            long target,
+            int width,
+            long hold,
+            boolean repeatable,
+            double press,
             List<Integer> pools) {}
 
-    /** One service on one group: standing calls x, phantom calls y, and the targets of the last refresh. */
+    /**
+     * One service on one group: standing calls x, phantom calls y, and the targets of the last
+     * refresh.
+     */
     private static final class Load {
         final Ring calls = new Ring(RATE_WINDOW, LOAD_BUCKETS);
         final Ring phantoms;
@@ -182,18 +324,26 @@
         final int number;
         final Load[] loads;
         final Map<Integer, Long> turnedBack = new HashMap<>();
+
         /** Far ends it has led to: a session stood, or a centre advised it. */
         final Set<Integer> leadsTo = new HashSet<>();
+
         final Map<Integer, Integer> turnsInARow = new HashMap<>();
+
         /** The last news its router told of its own ways on, and until when that holds. */
         byte[] news = {};
+
         long newsUntil;
         int free;
         int size;
         double beta;
         long refreshAt;
         long planned;
-        /** The machine that serves the number now, the ready one started last; every session asks for it. */
+
+        /**
+         * The machine that serves the number now, the ready one started last; every session asks
+         * for it.
+         */
         Far serving;
 
         Group(int number, Service[] services) {
@@ -216,19 +366,27 @@
         long since;
         int failures;
         long trialAt;
+
         /** The one trial in flight while closed, and how many in a row had no answer. */
         Invite trial;
+
         int trials;
         long sentAt = -NEVER / 2;
         long holdUntil;
         double window = WINDOW_FIRST;
         long cutAt;
         final Ring quick = new Ring(PLACE_SPAN, PLACE_BUCKETS);
-        /** INVITEs out in the order sent; how many a quick answer overtook, and when that one was sent. */
+
+        /**
+         * INVITEs out in the order sent; how many a quick answer overtook, and when that one was
+         * sent.
+         */
         final ArrayDeque<Invite> out = new ArrayDeque<>();
+
         int overtaken;
         long quickSentAt;
         boolean slow;
+
         /** A slow processor needs no sessions of others in transit, and there are many tandems. */
         long noTandemUntil;
 
@@ -243,8 +401,10 @@
     private static final class Invite {
         final Far far;
         final long sentAt;
+
         /** Whether its set-up is over, by an answer or without one. */
         boolean ended;
+
         boolean overdue;
         boolean overtaken;
 
@@ -254,14 +414,19 @@
         }
     }
 
-    /** What is remembered of a number called: its caller's first try, and until when its lines seem busy. */
+    /**
+     * What is remembered of a number called: its caller's first try, and until when its lines seem
+     * busy.
+     */
     private static final class Called {
         long first = -NEVER / 2;
         long gap;
         long busyUntil;
         long touched;
+
         /** Until when a caller was asked to stay away, and how many came before. */
         long awayUntil;
+
         int early;
     }
 
@@ -281,7 +446,11 @@
         }
     }
 
-    private enum Test { PASS, FULL, KEPT_BACK }
+    private enum Test {
+        PASS,
+        FULL,
+        KEPT_BACK
+    }
 
     public Choice(Settings settings, RandomGenerator chance) {
         this(settings, chance, new Planner(settings));
@@ -303,7 +472,8 @@
         subscribes = settings.subscribe();
         subscribeAt = subscribes ? 0 : NEVER;
         peers = settings.peers() && !pools;
-        // All tell all: at a fixed gap the work of listening would grow with the square of the fleet.
+        // All tell all: at a fixed gap the work of listening would grow with the square of the
+        // fleet.
         tellEvery = TELL_EVERY * Math.max(1, routers / NEWS_A_SECOND);
         marks = settings.redialsMarked();
         List<Settings.Service> given = settings.services();
@@ -312,15 +482,22 @@
         int most = 1;
         for (int i = 0; i < services.length; i++) {
             Settings.Service it = given.get(i / 2);
-            services[i] = new Service(it.target(), it.width(), it.hold(), it.repeatable(),
-                    i == dearest && given.size() > 1 ? PRESS_HIGH : PRESS_LOW, it.pools());
+            services[i] =
+                    new Service(
+                            it.target(),
+                            it.width(),
+                            it.hold(),
+                            it.repeatable(),
+                            i == dearest && given.size() > 1 ? PRESS_HIGH : PRESS_LOW,
+                            it.pools());
             most = Math.max(most, it.width());
         }
         widest = most;
         overdue = given.stream().mapToLong(Settings.Service::target).min().orElse(0);
     }
 
-    // The class of a session: odd when it can only stand late. Where callers mark redials the mark is asked
+    // The class of a session: odd when it can only stand late. Where callers mark redials the mark
+    // is asked
     // first, as many may call one number; the memory of numbers tells when its caller first came.
     private int kind(long now, Session session) {
         Called known = session.transit() ? null : numbers.get(session.number());
@@ -331,7 +508,10 @@
         return 2 * session.service() + (tried && !inTime ? 1 : 0);
     }
 
-    /** What is known of a number, made if new; the one touched longest ago is dropped once it is old. */
+    /**
+     * What is known of a number, made if new; the one touched longest ago is dropped once it is
+     * old.
+     */
     private Called touch(long now, Session session) {
         Called known = numbers.remove(session.number());
         known = known == null ? new Called() : known;
@@ -347,7 +527,10 @@
         return known;
     }
 
-    /** A number whose lines are all busy is left alone for a growing while: each ask is work for all. */
+    /**
+     * A number whose lines are all busy is left alone for a growing while: each ask is work for
+     * all.
+     */
     private void linesBusy(long now, Session session) {
         if (session.number() != 0) {
             Called known = touch(now, session);
@@ -356,7 +539,10 @@
         }
     }
 
-    /** Whether callers of a number were asked to stay away and keep coming: refused again, they are no load. */
+    /**
+     * Whether callers of a number were asked to stay away and keep coming: refused again, they are
+     * no load.
+     */
     private boolean early(long now, Session session) {
         Called known = session.transit() ? null : numbers.get(session.number());
         return known != null && now < known.awayUntil && ++known.early > EARLY;
@@ -392,8 +578,15 @@
     }
 
     @Override
-    public Answer after(long now, long session, Ending ending, Cause cause, long exchange, long took,
-            long namedWait, boolean over) {
+    public Answer after(
+            long now,
+            long session,
+            Ending ending,
+            Cause cause,
+            long exchange,
+            long took,
+            long namedWait,
+            boolean over) {
         begin(now);
         Held it = held.get(session);
         if (it == null || it.invite == null) {
@@ -442,8 +635,15 @@
         exchanges.values().forEach(far -> far.ready &= !whole);
         for (Exchange each : list) {
             Group group = groups.computeIfAbsent(each.number(), n -> new Group(n, services));
-            Far far = exchanges.computeIfAbsent(each.id(),
-                    id -> new Far(id, each.number(), group, new Ring(fallWindow * 9 / 8, 9)));
+            Far far =
+                    exchanges.computeIfAbsent(
+                            each.id(),
+                            id ->
+                                    new Far(
+                                            id,
+                                            each.number(),
+                                            group,
+                                            new Ring(fallWindow * 9 / 8, 9)));
             far.ready = each.phase() == READY;
             if (far.since != each.since()) {
                 far.since = each.since();
@@ -489,7 +689,8 @@
         if (tandem == null) {
             return;
         }
-        // News says more than the last turning back, either way; a lost message ends with newsUntil.
+        // News says more than the last turning back, either way; a lost message ends with
+        // newsUntil.
         tandem.turnedBack.clear();
         tandem.news = body;
         tandem.newsUntil = now + NEWS_FRESH * tellEvery;
@@ -511,28 +712,40 @@
         }
     }
 
-    /** Own number in two bytes, then a bit a number: whether a session in transit there would go on. */
+    /**
+     * Own number in two bytes, then a bit a number: whether a session in transit there would go on.
+     */
     private byte[] waysOn(long now) {
-        byte[] out = new byte[Math.min(NEWS_BYTES, groups.isEmpty() ? 2 : 3 + groups.lastKey() / 8)];
+        byte[] out =
+                new byte[Math.min(NEWS_BYTES, groups.isEmpty() ? 2 : 3 + groups.lastKey() / 8)];
         out[0] = (byte) ownNumber;
         out[1] = (byte) (ownNumber >> 8);
-        // A pressed processor turns transit back only after two have worked on it: it tells of no ways.
+        // A pressed processor turns transit back only after two have worked on it: it tells of no
+        // ways.
         if (inFlight(now) >= ownWindow * PRESS_TOLD * place(now, ownQuick, OWN_MOST)) {
             return out;
         }
         boolean quiet = slowShare < FEW && !lossy() && inFlight(now) < PRESS_QUIET * ownWindow;
-        groups.forEach((number, group) -> {
-            if (2 + number / 8 < out.length && group.serving != null && roomy(group)
-                    && group.free >= (quiet ? Math.min(TOLD_WIDTHS * widest, TOLD_SHARE * group.size)
-                    : TOLD_WIDTHS * widest)) {
-                out[2 + number / 8] |= (byte) (1 << number % 8);
-            }
-        });
+        groups.forEach(
+                (number, group) -> {
+                    if (2 + number / 8 < out.length
+                            && group.serving != null
+                            && roomy(group)
+                            && group.free
+                                    >= (quiet
+                                            ? Math.min(
+                                                    TOLD_WIDTHS * widest, TOLD_SHARE * group.size)
+                                            : TOLD_WIDTHS * widest)) {
+                        out[2 + number / 8] |= (byte) (1 << number % 8);
+                    }
+                });
         return out;
     }
 
     private static boolean bit(byte[] news, int number) {
-        return number >= 0 && 2 + number / 8 < news.length && (news[2 + number / 8] & 1 << number % 8) != 0;
+        return number >= 0
+                && 2 + number / 8 < news.length
+                && (news[2 + number / 8] & 1 << number % 8) != 0;
     }
 
     private void begin(long now) {
@@ -546,11 +759,14 @@
     private Answer choose(long now, Held it) {
         Session session = it.session;
         Far direct = ready(session.farEnd());
-        if (it.sent >= inviteLimit || session.limit() - now < TOO_LATE || linesBusyNow(now, session)) {
+        if (it.sent >= inviteLimit
+                || session.limit() - now < TOO_LATE
+                || linesBusyNow(now, session)) {
             return refuse(now, it, direct);
         }
         if (direct == null || !open(now, direct, services[it.kind].press)) {
-            // In a mesh every way ends at the far end; another pool can serve what the first choice cannot.
+            // In a mesh every way ends at the far end; another pool can serve what the first choice
+            // cannot.
             return pools ? overflow(now, it, direct) : refuse(now, it, direct);
         }
         if (session.transit() && direct.group.free < FREE_LEG * direct.group.size) {
@@ -566,7 +782,10 @@
         };
     }
 
-    /** A session whose direct group is full tries the tandem whose first leg passes with the least slope. */
+    /**
+     * A session whose direct group is full tries the tandem whose first leg passes with the least
+     * slope.
+     */
     private Answer overflow(long now, Held it, Far direct) {
         Session session = it.session;
         Service service = services[it.kind];
@@ -575,10 +794,14 @@
         boolean knownOnly = unknownLead < UNKNOWN_LEAD && wayKnown(session.farEnd());
         for (Group group : groups.values()) {
             Far far = direct != null && group == direct.group ? null : group.serving;
-            if (far == null || far.number == ownNumber || it.tried.contains(far) || !allowed(service, far)
+            if (far == null
+                    || far.number == ownNumber
+                    || it.tried.contains(far)
+                    || !allowed(service, far)
                     || knownOnly && !leads(group, session.farEnd())
                     || closedBeyond(now, group, session.farEnd())
-                    || now < far.noTandemUntil || !open(now, far, PRESS_TANDEM)
+                    || now < far.noTandemUntil
+                    || !open(now, far, PRESS_TANDEM)
                     || group.free < FREE_LEG * group.size
                     || test(now, group, it) != Test.PASS) {
                 continue;
@@ -596,8 +819,10 @@
         return send(now, it, best);
     }
 
-    // A slope tells of the first leg only; a tandem without a way on loads three processors for nothing.
-    // While few unknown ones lead on, they are asked only where none is known, also if the known are closed.
+    // A slope tells of the first leg only; a tandem without a way on loads three processors for
+    // nothing.
+    // While few unknown ones lead on, they are asked only where none is known, also if the known
+    // are closed.
     private boolean wayKnown(int farEnd) {
         for (Group group : groups.values()) {
             if (leads(group, farEnd)) {
@@ -616,7 +841,9 @@
                 || now < tandem.newsUntil && !bit(tandem.news, farEnd);
     }
 
-    /** Equal slopes, as of groups not used yet, go by circuits free: no order for all to pile up on. */
+    /**
+     * Equal slopes, as of groups not used yet, go by circuits free: no order for all to pile up on.
+     */
     private static boolean betterLeg(double slope, Group group, double least, Group best) {
         return slope < least || slope == least && group.free > best.free;
     }
@@ -637,7 +864,8 @@
         far.settingUp++;
         inFlight++;
         out.add(it.invite);
-        // Only quick answers look at it: what ended must not gather at an exchange that is slow for hours.
+        // Only quick answers look at it: what ended must not gather at an exchange that is slow for
+        // hours.
         while (!far.out.isEmpty() && far.out.peek().ended) {
             far.out.poll();
         }
@@ -645,18 +873,23 @@
         far.sends.add(now, 1);
         far.sentAt = now;
         long left = session.limit() - now;
-        return Answer.send(far.id,
+        return Answer.send(
+                far.id,
                 trial ? Math.min(left, services[it.kind].target) : patience(now, it, far, left));
     }
 
-    // While answers get lost, an exchange whose last answer was quick answers soon or not at all: waiting to
-    // the caller's time earns nothing and holds circuits. What is left of the target must pay for the release
-    // wait and a new set-up; a slow exchange, a session in transit or one past its target is waited for.
+    // While answers get lost, an exchange whose last answer was quick answers soon or not at all:
+    // waiting to
+    // the caller's time earns nothing and holds circuits. What is left of the target must pay for
+    // the release
+    // wait and a new set-up; a slow exchange, a session in transit or one past its target is waited
+    // for.
     private long patience(long now, Held it, Far far, long left) {
         long target = services[it.kind].target;
         long wait = it.session.arrived() + target - now - releaseWait - (long) (SET_UP * target);
         boolean resend = it.kind % 2 == 0 && services[it.kind].repeatable && it.sent < inviteLimit;
-        boolean early = lossy() && resend && !far.slow && !it.session.transit() && wait >= SLOW * target;
+        boolean early =
+                lossy() && resend && !far.slow && !it.session.transit() && wait >= SLOW * target;
         return early ? Math.min(left, wait) : left;
     }
 
@@ -681,7 +914,8 @@
 
     private Answer again(long now, Held it, Far far, Ending ending, Cause cause) {
         Service service = services[it.kind];
-        boolean ran = ending == Ending.TIMED_OUT || ending == Ending.RESET || ending == Ending.CANCELLED;
+        boolean ran =
+                ending == Ending.TIMED_OUT || ending == Ending.RESET || ending == Ending.CANCELLED;
         if (ran) {
             it.notBefore = now + releaseWait;
             it.lost = ending != Ending.CANCELLED && lossy();
@@ -690,14 +924,21 @@
             held.remove(it.session.id());
             return Answer.FAIL;
         }
-        // The own processor down: each INVITE comes back at once; a session would spend them all in a moment.
+        // The own processor down: each INVITE comes back at once; a session would spend them all in
+        // a moment.
         boolean ownDown = ending == Ending.NOT_SENT && cause == Cause.PROCESSOR_FULL;
-        boolean hopeless = ownDown || cause == Cause.FULL_BEYOND || cause == Cause.LINES_BUSY
-                || far.number == it.session.farEnd() && ending != Ending.NOT_SENT && !it.lost
-                || Math.max(now, it.notBefore) > it.session.arrived() + service.target
-                // A redial may be left less time than the release wait: waiting would lose its answer.
-                || Math.max(now, it.notBefore) + TOO_LATE > it.session.limit()
-                || it.session.transit();
+        boolean hopeless =
+                ownDown
+                        || cause == Cause.FULL_BEYOND
+                        || cause == Cause.LINES_BUSY
+                        || far.number == it.session.farEnd()
+                                && ending != Ending.NOT_SENT
+                                && !it.lost
+                        || Math.max(now, it.notBefore) > it.session.arrived() + service.target
+                        // A redial may be left less time than the release wait: waiting would lose
+                        // its answer.
+                        || Math.max(now, it.notBefore) + TOO_LATE > it.session.limit()
+                        || it.session.transit();
         if (hopeless) {
             return refuse(now, it, ready(it.session.farEnd()));
         }
@@ -718,8 +959,10 @@
             follow(now, group, targets.held(now, group.number));
         }
         Load load = group.loads[it.kind];
-        boolean room = session.transit() || it.kind % 2 == 1 ? roomy(group)
-                : group.free >= FREE_OWN * group.size;
+        boolean room =
+                session.transit() || it.kind % 2 == 1
+                        ? roomy(group)
+                        : group.free >= FREE_OWN * group.size;
         if (room || !load.aimed) {
             return Test.PASS;
         }
@@ -729,8 +972,9 @@
         if (load.c1 <= 0) {
             return Test.PASS;
         }
-        double bound = load.phantoms.sum(now) / load.c1
-                + Math.log(load.c0 / load.c1) / (group.beta * session.width());
+        double bound =
+                load.phantoms.sum(now) / load.c1
+                        + Math.log(load.c0 / load.c1) / (group.beta * session.width());
         return load.standing / load.c0 <= bound ? Test.PASS : Test.KEPT_BACK;
     }
 
@@ -782,8 +1026,10 @@
 
     // ---- what a processor shows
 
-    // INVITEs in flight from here that may wait at the own processor. While few answers are slow, one out for
-    // longer than the shortest target waits for a far end that hangs or a lost answer, and fills no window.
+    // INVITEs in flight from here that may wait at the own processor. While few answers are slow,
+    // one out for
+    // longer than the shortest target waits for a far end that hangs or a lost answer, and fills no
+    // window.
     private int inFlight(long now) {
         while (!out.isEmpty() && (out.peek().ended || now - out.peek().sentAt > overdue)) {
             Invite invite = out.poll();
@@ -806,8 +1052,10 @@
                 && inFlight(now) < Math.max(1, ownWindow * press) * place(now, ownQuick, OWN_MOST);
     }
 
-    // Set-ups that one place of a window stands for. The windows are cut for some dozens a second; where
-    // hundreds are answered quickly, that many more are in flight without a queue, and a short stall would
+    // Set-ups that one place of a window stands for. The windows are cut for some dozens a second;
+    // where
+    // hundreds are answered quickly, that many more are in flight without a queue, and a short
+    // stall would
     // fill them. The widest window holds what comes while an answer still counts as quick.
     private double place(long now, Ring quick, double most) {
         return Math.max(1, quick.sum(now) / PLACE_SPAN * SLOW * overdue / most);
@@ -817,8 +1065,10 @@
     private void pace(long now, Far far, Invite invite, boolean quick, boolean answered) {
         far.slow = !quick;
         far.noTandemUntil = quick ? 0 : now + SLOW_TANDEM_HOLD;
-        // A few hung or slow exchanges must not close the way to the others; most slow is the own processor.
-        // In a large fleet an exchange's last answer is old: the newest of all tell more, one each in turn.
+        // A few hung or slow exchanges must not close the way to the others; most slow is the own
+        // processor.
+        // In a large fleet an exchange's last answer is old: the newest of all tell more, one each
+        // in turn.
         if (answered && far != lastPaced) {
             slowShare += SLOW_STEP * ((quick ? 0 : 1) - slowShare);
             lastPaced = far;
@@ -843,13 +1093,16 @@
     }
 
     /**
-     * A processor takes set-ups in turn: what a later one has overtaken does not wait in its queue, but for a
-     * message that was lost and is sent again. It tells nothing of the processor, and slow it fills no place.
+     * A processor takes set-ups in turn: what a later one has overtaken does not wait in its queue,
+     * but for a message that was lost and is sent again. It tells nothing of the processor, and
+     * slow it fills no place.
      */
     private void overtake(long now, Far far, long sentAt) {
         far.quickSentAt = Math.max(far.quickSentAt, sentAt);
-        while (!far.out.isEmpty() && (far.out.peek().ended
-                || far.out.peek().sentAt < sentAt && now - far.out.peek().sentAt > SLOW * overdue)) {
+        while (!far.out.isEmpty()
+                && (far.out.peek().ended
+                        || far.out.peek().sentAt < sentAt
+                                && now - far.out.peek().sentAt > SLOW * overdue)) {
             Invite invite = far.out.poll();
             invite.overtaken = !invite.ended;
             far.overtaken += invite.overtaken ? 1 : 0;
@@ -863,8 +1116,10 @@
         }
         double rate = ownLoad.sum(now) / rateSpan(now) * 1e6;
         double budget = coldBudget * rate / Math.max(1, routers - 1);
-        // In a large fleet one set-up each a window would be too many together: less means more windows.
-        return budget < 1 ? now - far.sentAt >= fallWindow / Math.max(LEAST_PART, budget)
+        // In a large fleet one set-up each a window would be too many together: less means more
+        // windows.
+        return budget < 1
+                ? now - far.sentAt >= fallWindow / Math.max(LEAST_PART, budget)
                 : far.sends.sum(now) + 1 <= budget;
     }
 
@@ -884,7 +1139,8 @@
             learnUnknown(far.group, it.session.farEnd(), 1);
             far.group.leadsTo.add(it.session.farEnd());
         }
-        boolean answered = ending == Ending.STANDS || ending == Ending.BUSY || ending == Ending.ERROR;
+        boolean answered =
+                ending == Ending.STANDS || ending == Ending.BUSY || ending == Ending.ERROR;
         Called called = numbers.get(it.session.number());
         if (ending == Ending.STANDS && called != null) {
             called.gap = 0;
@@ -893,10 +1149,12 @@
             lostShare -= LOST_STEP * lostShare;
             far.failures = 0;
             far.trials = 0;
-            // A busy reply is quick and says nothing good: a full processor must not widen its own window.
+            // A busy reply is quick and says nothing good: a full processor must not widen its own
+            // window.
             if (ending == Ending.STANDS || cause == Cause.PROCESSOR_FULL) {
                 boolean quick = ending == Ending.STANDS && took < SLOW * services[it.kind].target;
-                boolean queued = far.number != it.session.farEnd() || it.invite.sentAt >= far.quickSentAt;
+                boolean queued =
+                        far.number != it.session.farEnd() || it.invite.sentAt >= far.quickSentAt;
                 if (quick) {
                     overtake(now, far, it.invite.sentAt);
                 }
@@ -904,17 +1162,22 @@
                     pace(now, far, it.invite, quick, true);
                 }
             }
-        } else if (wasSettingUp && (ending == Ending.TIMED_OUT || ending == Ending.UNREACHABLE
-                || ending == Ending.RESET)) {
-            // One that just answered does not hang: a second failure in a row tells nothing of losses.
+        } else if (wasSettingUp
+                && (ending == Ending.TIMED_OUT
+                        || ending == Ending.UNREACHABLE
+                        || ending == Ending.RESET)) {
+            // One that just answered does not hang: a second failure in a row tells nothing of
+            // losses.
             lostShare += far.failures == 0 && !far.slow ? LOST_STEP * (1 - lostShare) : 0;
             far.failures++;
-            // While answers get lost, narrowing at each would shut the few ways of a small mesh that is well.
+            // While answers get lost, narrowing at each would shut the few ways of a small mesh
+            // that is well.
             if (far.slow || !lossy()) {
                 pace(now, far, it.invite, false, false);
             }
             far.trials += wasTrial ? 1 : 0;
-            // INVITEs older than the closing are no trials: they must not put the next one off nor lengthen
+            // INVITEs older than the closing are no trials: they must not put the next one off nor
+            // lengthen
             // its wait, or lost answers, some out for seconds, keep the only way to a far end shut.
             if (wasTrial || far.failures == FAILURES) {
                 far.trialAt = now + Math.min(TRIAL_LONGEST, TRIAL_FIRST << Math.min(8, far.trials));
@@ -937,9 +1200,12 @@
 
     private void turnedBack(long now, Group tandem, int farEnd) {
         learnUnknown(tandem, farEnd, 0);
-        int turns = tandem.leadsTo.contains(farEnd) ? 0
-                : tandem.turnsInARow.merge(farEnd, 1, Integer::sum) - 1;
-        tandem.turnedBack.put(farEnd, now + (TURNED_BACK_HOLD << Math.min(TURNED_BACK_DOUBLINGS, turns)));
+        int turns =
+                tandem.leadsTo.contains(farEnd)
+                        ? 0
+                        : tandem.turnsInARow.merge(farEnd, 1, Integer::sum) - 1;
+        tandem.turnedBack.put(
+                farEnd, now + (TURNED_BACK_HOLD << Math.min(TURNED_BACK_DOUBLINGS, turns)));
     }
 
     private Far ready(int number) {
--- a/src/main/java/coralcove/Planner.java
+++ b/src/main/java/coralcove/Planner.java
@@ -4,11 +4,15 @@
 import java.util.List;
 
 /**
- * What is worked out over seconds, apart from what is decided for a session: the targets of the design's
- * fractional knapsack. In one process it is asked by the module itself, in two it runs in the planner.
+ * What is worked out over seconds, apart from what is decided for a session: the targets of the
+ * design's fractional knapsack. In one process it is asked by the module itself, in two it runs in
+ * the planner.
  */
 public final class Planner implements Targets {
-    /** Share: the design's bound on the slack of the targets; the largest gives the steepest allowed test. */
+    /**
+     * Share: the design's bound on the slack of the targets; the largest gives the steepest allowed
+     * test.
+     */
     public static final double EPSILON = 0.05;
 
     private record Class(int width, long hold) {}
@@ -35,7 +39,10 @@
         return order.stream().mapToInt(Integer::intValue).toArray();
     }
 
-    /** Value per circuit of class i: a service's first tries, or its redials, which can only stand late. */
+    /**
+     * Value per circuit of class i: a service's first tries, or its redials, which can only stand
+     * late.
+     */
     private static double worth(List<Settings.Service> given, int i) {
         Settings.Service it = given.get(i / 2);
         return it.value() / it.width() * (i % 2 == 0 ? 1 : it.lateValue());
@@ -45,8 +52,15 @@
     @Override
     public GroupPlan of(long now, GroupFacts facts) {
         int n = classes.length;
-        GroupPlan plan = new GroupPlan(facts.at(), facts.number(), 0, new double[n], new double[n],
-                new boolean[n], new double[n]);
+        GroupPlan plan =
+                new GroupPlan(
+                        facts.at(),
+                        facts.number(),
+                        0,
+                        new double[n],
+                        new double[n],
+                        new boolean[n],
+                        new double[n]);
         double left = facts.size() / (1 + 4 * EPSILON);
         double least = Double.POSITIVE_INFINITY;
         for (int index : byWorth) {
@@ -69,7 +83,13 @@
             }
             plan.phantoms()[index] = (1 - alpha) * rho;
         }
-        return new GroupPlan(plan.at(), plan.number(), EPSILON * least, plan.c0(), plan.c1(), plan.seen(),
+        return new GroupPlan(
+                plan.at(),
+                plan.number(),
+                EPSILON * least,
+                plan.c0(),
+                plan.c1(),
+                plan.seen(),
                 plan.phantoms());
     }
 }
--- a/src/main/java/coralcove/baseline/Direct.java
+++ b/src/main/java/coralcove/baseline/Direct.java
@@ -17,19 +17,30 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Baselines to hold the module against: a session goes direct if a circuit is free, and else over a tandem as its
- * kind has it. They keep drains, one INVITE and the release wait.
+ * Baselines to hold the module against: a session goes direct if a circuit is free, and else over a
+ * tandem as its kind has it. They keep drains, one INVITE and the release wait.
  */
 public final class Direct implements CallRouter {
     /**
-     * What a session whose direct group is full does: nothing; the first tandem with room, in the order of the list; the
-     * same where each leg keeps circuits for direct calls; of those tandems the one with most circuits free; one tandem
-     * drawn by chance, and no other if that has no room.
+     * What a session whose direct group is full does: nothing; the first tandem with room, in the
+     * order of the list; the same where each leg keeps circuits for direct calls; of those tandems
+     * the one with most circuits free; one tandem drawn by chance, and no other if that has no
+     * room.
      */
-    public enum Kind { ALONE, FIRST_TANDEM, RESERVED, LEAST_BUSY, ONE_TANDEM }
+    public enum Kind {
+        ALONE,
+        FIRST_TANDEM,
+        RESERVED,
+        LEAST_BUSY,
+        ONE_TANDEM
+    }
 
-    /** Share of a group kept for direct calls, and circuits at least: the figure that ends bistability in theory.Symmetric. */
+    /**
+     * Share of a group kept for direct calls, and circuits at least: the figure that ends
+     * bistability in theory.Symmetric.
+     */
     private static final double RESERVED = 0.05;
+
     private static final int RESERVED_LEAST = 1;
 
     private static final class Held {
@@ -75,7 +86,8 @@
         Session session = it.session;
         if (it.sent < settings.inviteLimit() && session.limit() > now) {
             for (Exchange each : list.values()) {
-                if (each.number() == session.farEnd() && fits(each, it, session.transit() ? kept(each) : 0)) {
+                if (each.number() == session.farEnd()
+                        && fits(each, it, session.transit() ? kept(each) : 0)) {
                     return send(now, it, each);
                 }
             }
@@ -85,8 +97,12 @@
             }
             Exchange best = null;
             for (Exchange each : list.values()) {
-                boolean open = kind != Kind.ALONE && tandem(each, session) && fits(each, it, kept(each));
-                if (open && (best == null || kind == Kind.LEAST_BUSY && free.get(each.id()) > free.get(best.id()))) {
+                boolean open =
+                        kind != Kind.ALONE && tandem(each, session) && fits(each, it, kept(each));
+                if (open
+                        && (best == null
+                                || kind == Kind.LEAST_BUSY
+                                        && free.get(each.id()) > free.get(best.id()))) {
                     best = each;
                 }
             }
@@ -103,23 +119,30 @@
     }
 
     private boolean tandem(Exchange each, Session session) {
-        return !session.transit() && each.number() != settings.ownNumber() && each.number() != session.farEnd();
+        return !session.transit()
+                && each.number() != settings.ownNumber()
+                && each.number() != session.farEnd();
     }
 
     private Exchange drawn(Session session) {
-        List<Exchange> tandems = list.values().stream().filter(each -> tandem(each, session)).toList();
+        List<Exchange> tandems =
+                list.values().stream().filter(each -> tandem(each, session)).toList();
         return tandems.isEmpty() ? null : tandems.get(chance.nextInt(tandems.size()));
     }
 
     private boolean fits(Exchange each, Held it, int kept) {
-        return each.phase() == Exchange.Phase.READY && !it.tried.contains(each.id())
+        return each.phase() == Exchange.Phase.READY
+                && !it.tried.contains(each.id())
                 && free.getOrDefault(each.id(), 0) >= it.session.width() + kept;
     }
 
     /** Circuits of this group that only direct calls may have. */
     private int kept(Exchange each) {
-        return kind != Kind.RESERVED && kind != Kind.LEAST_BUSY ? 0
-                : Math.max(RESERVED_LEAST, (int) Math.round(RESERVED * sizes.getOrDefault(each.id(), 0)));
+        return kind != Kind.RESERVED && kind != Kind.LEAST_BUSY
+                ? 0
+                : Math.max(
+                        RESERVED_LEAST,
+                        (int) Math.round(RESERVED * sizes.getOrDefault(each.id(), 0)));
     }
 
     private Answer send(long now, Held it, Exchange to) {
@@ -129,7 +152,14 @@
     }
 
     @Override
-    public Answer after(long now, long session, Ending ending, Cause cause, long exchange, long took, long namedWait,
+    public Answer after(
+            long now,
+            long session,
+            Ending ending,
+            Cause cause,
+            long exchange,
+            long took,
+            long namedWait,
             boolean over) {
         Held it = held.get(session);
         if (ending == Ending.STANDS || over || it == null) {
--- a/src/main/java/coralcove/baseline/Policies.java
+++ b/src/main/java/coralcove/baseline/Policies.java
@@ -8,8 +8,8 @@
 
 /** The policies that a router can be started with, by name. */
 public final class Policies {
-    public static final List<String> NAMES = List.of("choice", "direct", "first-tandem", "reserved", "least-busy",
-            "one-tandem");
+    public static final List<String> NAMES =
+            List.of("choice", "direct", "first-tandem", "reserved", "least-busy", "one-tandem");
 
     private Policies() {}
 
--- a/src/main/java/coralcove/boot/Boot.java
+++ b/src/main/java/coralcove/boot/Boot.java
@@ -10,8 +10,8 @@
 import java.util.Map;
 
 /**
- * A router's settings, as the simulator's first message and the platform's configuration both give them: paths and values.
- * Reads them into this project's words. Nothing is decided here.
+ * A router's settings, as the simulator's first message and the platform's configuration both give
+ * them: paths and values. Reads them into this project's words. Nothing is decided here.
  */
 public final class Boot {
     private final Map<String, String> pairs;
@@ -23,12 +23,16 @@
     /** From lines of path=value. */
     public static Boot read(String text) {
         Map<String, String> pairs = new HashMap<>();
-        text.lines().forEach(line -> {
-            int at = line.indexOf('=');
-            if (at > 0) {
-                pairs.put(line.substring(0, at).strip(), line.substring(at + 1).strip());
-            }
-        });
+        text.lines()
+                .forEach(
+                        line -> {
+                            int at = line.indexOf('=');
+                            if (at > 0) {
+                                pairs.put(
+                                        line.substring(0, at).strip(),
+                                        line.substring(at + 1).strip());
+                            }
+                        });
         return new Boot(pairs);
     }
 
@@ -51,30 +55,46 @@
         List<String> widths = list("family_info.class_width");
         int count = Integer.parseInt(need("classes.count"));
         if (count < 1 || holds.size() < count || widths.size() < count) {
-            throw new BadConfig("settings: call_length or class_width is shorter than classes.count=" + count);
+            throw new BadConfig(
+                    "settings: call_length or class_width is shorter than classes.count=" + count);
         }
         for (int i = 0; i < count; i++) {
             String at = "classes." + i + ".";
-            services.add(new Settings.Service(down(need(at + "aim")), Double.parseDouble(need(at + "credit")),
-                    number(at + "late_worth", 0), (int) Double.parseDouble(widths.get(i)),
-                    Math.max(1, down(holds.get(i))), get(at + "effect", "repeatable").equals("repeatable"),
-                    pools(i)));
+            services.add(
+                    new Settings.Service(
+                            down(need(at + "aim")),
+                            Double.parseDouble(need(at + "credit")),
+                            number(at + "late_worth", 0),
+                            (int) Double.parseDouble(widths.get(i)),
+                            Math.max(1, down(holds.get(i))),
+                            get(at + "effect", "repeatable").equals("repeatable"),
+                            pools(i)));
         }
         atLeast("balancers", 1);
         atLeast("limits.try_limit", 1);
         atLeast("contract.fall_multiple", Double.MIN_VALUE);
         atLeast("contract.cold_from", Double.MIN_VALUE);
-        return new Settings(Integer.parseInt(need("balancers")), Integer.parseInt(need("family_info.this_node")),
-                get("family_info.layout", "mesh").equals("pools"), services,
-                Integer.parseInt(need("limits.try_limit")), flag("clients.marks_retry"), flag("limits.retry_after"),
-                down(get("limits.max_retry_after", "0")), flag("limits.peers"),
-                get("discovery", "pushed").equals("on_request"), up(need("family_info.release_guard")),
+        return new Settings(
+                Integer.parseInt(need("balancers")),
+                Integer.parseInt(need("family_info.this_node")),
+                get("family_info.layout", "mesh").equals("pools"),
+                services,
+                Integer.parseInt(need("limits.try_limit")),
+                flag("clients.marks_retry"),
+                flag("limits.retry_after"),
+                down(get("limits.max_retry_after", "0")),
+                flag("limits.peers"),
+                get("discovery", "pushed").equals("on_request"),
+                up(need("family_info.release_guard")),
                 Double.parseDouble(need("contract.fall_multiple")),
-                Math.max(1, up(need("contract.overload_for"))), Double.parseDouble(need("contract.cold_from")),
+                Math.max(1, up(need("contract.overload_for"))),
+                Double.parseDouble(need("contract.cold_from")),
                 up(need("contract.warm_up")));
     }
 
-    /** The pools of service i; the list of lists comes flat per service, or as one path per service. */
+    /**
+     * The pools of service i; the list of lists comes flat per service, or as one path per service.
+     */
     private List<Integer> pools(int i) {
         List<Integer> found = new ArrayList<>();
         for (String each : list("family_info.allowed_pools." + i)) {
--- a/src/main/java/coralcove/bound/ExactBound.java
+++ b/src/main/java/coralcove/bound/ExactBound.java
@@ -5,25 +5,34 @@
 import org.ojalgo.optimisation.Optimisation;
 import org.ojalgo.optimisation.Variable;
 
-/** The bound as a linear programme, solved by ojAlgo: exact, and for networks of some dozens of exchanges only. */
+/**
+ * The bound as a linear programme, solved by ojAlgo: exact, and for networks of some dozens of
+ * exchanges only.
+ */
 public final class ExactBound {
     /** Exchanges at most: ways grow with their cube. */
     public static final int MOST = 16;
 
     private ExactBound() {}
 
-    /** The most value that direct ways and ways through one tandem can carry, calls taken as a fluid. */
+    /**
+     * The most value that direct ways and ways through one tandem can carry, calls taken as a
+     * fluid.
+     */
     public static double of(Network network) {
         int n = network.exchanges();
         if (n > MOST) {
-            throw new IllegalArgumentException(n + " exchanges, and at most " + MOST + " are solved exactly");
+            throw new IllegalArgumentException(
+                    n + " exchanges, and at most " + MOST + " are solved exactly");
         }
         ExpressionsBasedModel model = new ExpressionsBasedModel();
         Expression[][][] groups = new Expression[network.slices()][n][n];
         for (int slice = 0; slice < network.slices(); slice++) {
             for (int i = 0; i < n; i++) {
                 for (int j = i + 1; j < n; j++) {
-                    groups[slice][i][j] = model.newExpression("group " + slice + " " + i + " " + j).upper(network.room(i, j));
+                    groups[slice][i][j] =
+                            model.newExpression("group " + slice + " " + i + " " + j)
+                                    .upper(network.room(i, j));
                     groups[slice][j][i] = groups[slice][i][j];
                 }
             }
@@ -35,14 +44,22 @@
             int to = demand.to();
             for (int tandem = -1; tandem < n; tandem++) {
                 boolean direct = tandem < 0;
-                if (tandem == from || tandem == to || (direct ? network.room(from, to) <= 0
-                        : network.room(from, tandem) <= 0 || network.room(tandem, to) <= 0)) {
+                if (tandem == from
+                        || tandem == to
+                        || (direct
+                                ? network.room(from, to) <= 0
+                                : network.room(from, tandem) <= 0
+                                        || network.room(tandem, to) <= 0)) {
                     continue;
                 }
-                Variable way = model.newVariable("way " + at + " " + tandem).lower(0).weight(demand.value());
+                Variable way =
+                        model.newVariable("way " + at + " " + tandem)
+                                .lower(0)
+                                .weight(demand.value());
                 calls.set(way, 1);
                 for (int slice = demand.slice(); slice < network.slices(); slice++) {
-                    double use = demand.width() * network.use(demand.hold(), slice - demand.slice());
+                    double use =
+                            demand.width() * network.use(demand.hold(), slice - demand.slice());
                     if (direct) {
                         groups[slice][from][to].set(way, use);
                     } else {
--- a/src/main/java/coralcove/bound/PricedBound.java
+++ b/src/main/java/coralcove/bound/PricedBound.java
@@ -6,24 +6,35 @@
 import java.util.TreeMap;
 
 /**
- * The bound for networks of any size: whatever a circuit-second of each group is said to cost in each slice, no routing serves more than the price
- * of all room and, of each call, its value less the price of its cheapest way. Prices are moved by subgradients
- * towards the least such figure; each step's figure is a bound, and the least one seen is told. No I/O, no chance.
+ * The bound for networks of any size: whatever a circuit-second of each group is said to cost in
+ * each slice, no routing serves more than the price of all room and, of each call, its value less
+ * the price of its cheapest way. Prices are moved by subgradients towards the least such figure;
+ * each step's figure is a bound, and the least one seen is told. No I/O, no chance.
  */
 public final class PricedBound {
-    /** Steps; the bound falls by under a thousandth in the last half of them on the networks measured. */
+    /**
+     * Steps; the bound falls by under a thousandth in the last half of them on the networks
+     * measured.
+     */
     public static final int STEPS = 300;
-    /** The first step, as a part of the dearest call's value a circuit-second, and steps after which it has halved. */
+
+    /**
+     * The first step, as a part of the dearest call's value a circuit-second, and steps after which
+     * it has halved.
+     */
     private static final double FIRST_STEP = 0.05;
+
     private static final double HALVED_AFTER = 45;
+
     /** Multiples of a group's room past which more makes no longer step. */
     private static final double MOST_OVER = 20;
+
     private static final int DIRECT = -1;
     private static final int NO_WAY = -2;
 
     /**
-     * Demands of one slice and hold, and what a call of theirs uses of that and each later slice: a way costs the same for
-     * each of a pair's, but for its width.
+     * Demands of one slice and hold, and what a call of theirs uses of that and each later slice: a
+     * way costs the same for each of a pair's, but for its width.
      */
     private record Bucket(int slice, double[] uses, List<List<Demand>> pairs) {}
 
@@ -41,11 +52,25 @@
         used = new double[network.slices()][n][n];
         cost = new double[n][n];
         TreeMap<Integer, TreeMap<Double, TreeMap<Integer, List<Demand>>>> sorted = new TreeMap<>();
-        network.demands().forEach(d -> sorted.computeIfAbsent(d.slice(), s -> new TreeMap<>())
-                .computeIfAbsent(d.hold(), h -> new TreeMap<>())
-                .computeIfAbsent(Math.min(d.from(), d.to()) * n + Math.max(d.from(), d.to()), p -> new ArrayList<>(2)).add(d));
-        sorted.forEach((slice, holds) -> holds.forEach((hold, pairs) ->
-                buckets.add(new Bucket(slice, uses(slice, hold), List.copyOf(pairs.values())))));
+        network.demands()
+                .forEach(
+                        d ->
+                                sorted.computeIfAbsent(d.slice(), s -> new TreeMap<>())
+                                        .computeIfAbsent(d.hold(), h -> new TreeMap<>())
+                                        .computeIfAbsent(
+                                                Math.min(d.from(), d.to()) * n
+                                                        + Math.max(d.from(), d.to()),
+                                                p -> new ArrayList<>(2))
+                                        .add(d));
+        sorted.forEach(
+                (slice, holds) ->
+                        holds.forEach(
+                                (hold, pairs) ->
+                                        buckets.add(
+                                                new Bucket(
+                                                        slice,
+                                                        uses(slice, hold),
+                                                        List.copyOf(pairs.values())))));
     }
 
     private double[] uses(int slice, double hold) {
@@ -61,7 +86,11 @@
 
     /** The least bound of this many steps. */
     public double value(int steps) {
-        double dearest = network.demands().stream().mapToDouble(d -> d.value() / (d.width() * d.hold())).max().orElse(0);
+        double dearest =
+                network.demands().stream()
+                        .mapToDouble(d -> d.value() / (d.width() * d.hold()))
+                        .max()
+                        .orElse(0);
         double best = Double.POSITIVE_INFINITY;
         for (int step = 0; step < steps; step++) {
             best = Math.min(best, figure());
@@ -78,7 +107,8 @@
             for (int j = i + 1; j < n; j++) {
                 double room = network.room(i, j);
                 if (room > 0) {
-                    // Each group's step by how far it is over or under its room, so that thin ones count as thick ones.
+                    // Each group's step by how far it is over or under its room, so that thin ones
+                    // count as thick ones.
                     double over = Math.min(MOST_OVER, (uses[i][j] - room) / room);
                     prices[i][j] = Math.max(0, prices[i][j] + length * over);
                     prices[j][i] = prices[i][j];
@@ -87,7 +117,10 @@
         }
     }
 
-    /** What the present prices prove, and in {@link #used} what calls would use of each group by them. */
+    /**
+     * What the present prices prove, and in {@link #used} what calls would use of each group by
+     * them.
+     */
     private double figure() {
         double sum = 0;
         for (int slice = 0; slice < network.slices(); slice++) {
@@ -107,7 +140,10 @@
         return sum;
     }
 
-    /** What a call of this bucket pays for a circuit of each group, over all slices that it holds it in. */
+    /**
+     * What a call of this bucket pays for a circuit of each group, over all slices that it holds it
+     * in.
+     */
     private void costs(Bucket bucket) {
         for (double[] row : cost) {
             Arrays.fill(row, 0);
@@ -144,7 +180,10 @@
         return sum;
     }
 
-    /** The cheapest way: direct, a tandem, or none; of equal ones the direct, then the lowest number. */
+    /**
+     * The cheapest way: direct, a tandem, or none; of equal ones the direct, then the lowest
+     * number.
+     */
     private int way(int from, int to) {
         int best = network.room(from, to) > 0 ? DIRECT : NO_WAY;
         double least = best == DIRECT ? cost[from][to] : Double.POSITIVE_INFINITY;
--- a/src/main/java/coralcove/cli/Commands.java
+++ b/src/main/java/coralcove/cli/Commands.java
@@ -11,8 +11,8 @@
 import coralcove.config.Toml;
 import coralcove.directory.DirectoryCore;
 import coralcove.directory.DirectoryFile;
-import coralcove.edge.EdgeCore;
 import coralcove.dns.transport.DnsClient;
+import coralcove.edge.EdgeCore;
 import coralcove.edge.EdgeFile;
 import coralcove.edge.NumberDesk;
 import coralcove.edge.NumbersFile;
@@ -42,7 +42,6 @@
 import coralcove.rehearsal.CaptureLine;
 import coralcove.rehearsal.Day;
 import coralcove.rehearsal.DayFile;
-import coralcove.rehearsal.Rehearsal;
 import coralcove.rehearsal.Rehearse;
 import coralcove.rehearsal.Result;
 import coralcove.sip.Core;
@@ -69,40 +68,66 @@
 import picocli.CommandLine.Parameters;
 
 /** The command line. Exit 0 good, 1 bad input, 2 usage, 3 a rule broken. */
-@Command(name = "coralcove", mixinStandardHelpOptions = true, version = "coralcove " + Program.VERSION,
+@Command(
+        name = "coralcove",
+        mixinStandardHelpOptions = true,
+        version = "coralcove " + Program.VERSION,
         description = "A call router for a private voice network, its stand-ins and rehearsals.",
-        subcommands = {Commands.Edge.class, Commands.PlannerCommand.class, PairCommand.class,
-            Commands.Exchange.class, Commands.Directory.class,
-            Commands.RehearseCommand.class, Commands.Compare.class, Commands.JudgeCommand.class, Commands.Check.class, NumbersCommand.class, SourcesCommand.class,
+        subcommands = {
+            Commands.Edge.class,
+            Commands.PlannerCommand.class,
+            PairCommand.class,
+            Commands.Exchange.class,
+            Commands.Directory.class,
+            Commands.RehearseCommand.class,
+            Commands.Compare.class,
+            Commands.JudgeCommand.class,
+            Commands.Check.class,
+            NumbersCommand.class,
+            SourcesCommand.class,
             ExperimentCommand.class,
-            StartedByMain.DrillHelp.class, StartedByMain.ServeHelp.class, StartedByMain.TrialHelp.class},
-        footer = {"", "Exit: 0 good, 1 bad input, 2 usage, 3 a rule broken.", "", "Examples:",
+            StartedByMain.DrillHelp.class,
+            StartedByMain.ServeHelp.class,
+            StartedByMain.TrialHelp.class
+        },
+        footer = {
+            "",
+            "Exit: 0 good, 1 bad input, 2 usage, 3 a rule broken.",
+            "",
+            "Examples:",
             "  coralcove rehearse days/bad-day.toml --virtual",
             "  coralcove check deploy/examples/edge-0.toml",
-            "  coralcove edge deploy/examples/edge-0.toml"})
+            "  coralcove edge deploy/examples/edge-0.toml"
+        })
 public final class Commands implements Runnable {
     static final int BAD_INPUT = 1;
     static final int RULE_BROKEN = 3;
+
     /** µs that a router told to end has for the answers it owes: longer than any caller waits. */
     private static final long LAST_ANSWERS = 30_000_000;
+
     /** µs between two looks at the files of the table of numbers. */
     private static final long LOOK_AT_TABLE = 1_000_000;
-    /** Milliseconds between two writes of plans: a kill loses one, and the planner's next comes as soon. */
+
+    /**
+     * Milliseconds between two writes of plans: a kill loses one, and the planner's next comes as
+     * soon.
+     */
     private static final long KEEP_PLANS = 1000;
 
-    @CommandLine.Spec
-    private CommandLine.Model.CommandSpec spec;
+    @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
     static int run(String[] args) {
         CommandLine line = new CommandLine(new Commands());
-        line.setExecutionExceptionHandler((e, command, result) -> {
-            Throwable cause = e instanceof UncheckedIOException ? e.getCause() : e;
-            if (cause instanceof BadConfig || cause instanceof IOException) {
-                System.err.println("coralcove: " + cause.getMessage());
-                return BAD_INPUT;
-            }
-            throw e;
-        });
+        line.setExecutionExceptionHandler(
+                (e, command, result) -> {
+                    Throwable cause = e instanceof UncheckedIOException ? e.getCause() : e;
+                    if (cause instanceof BadConfig || cause instanceof IOException) {
+                        System.err.println("coralcove: " + cause.getMessage());
+                        return BAD_INPUT;
+                    }
+                    throw e;
+                });
         return line.execute(args);
     }
 
@@ -115,8 +140,14 @@
     abstract static class Serving implements Callable<Integer> {
         @Parameters(paramLabel = "CONFIG", description = "settings, TOML")
         private Path config;
-        @Option(names = "--log", paramLabel = "LEVEL", defaultValue = "INFO",
-                description = "what is logged as JSON lines on standard error: ERROR, WARN, INFO (default) or OFF")
+
+        @Option(
+                names = "--log",
+                paramLabel = "LEVEL",
+                defaultValue = "INFO",
+                description =
+                        "what is logged as JSON lines on standard error: ERROR, WARN, INFO"
+                                + " (default) or OFF")
         private String level;
 
         abstract void serve(Toml toml) throws BadConfig, InterruptedException;
@@ -129,11 +160,13 @@
         }
     }
 
-    private static void run(Toml toml, String table, String name, Hop self, Core core) throws BadConfig {
+    private static void run(Toml toml, String table, String name, Hop self, Core core)
+            throws BadConfig {
         run(toml, table, name, self, core, null, null);
     }
 
-    private static void run(Toml toml, String table, String name, Hop self, Core core, EdgeFile file, EdgeLink link)
+    private static void run(
+            Toml toml, String table, String name, Hop self, Core core, EdgeFile file, EdgeLink link)
             throws BadConfig {
         NumbersFile numbers = file == null ? null : file.numbers();
         AtomicBoolean stop = new AtomicBoolean();
@@ -141,12 +174,23 @@
         LiveNetwork network = new LiveNetwork(null);
         TableWatch watch = null;
         if (numbers != null && core instanceof EdgeCore edge) {
-            watch = new TableWatch(numbers.table(), numbers.changes(), edge::mayReach, trouble ->
-                    LoggerFactory.getLogger(name).warn("table-refused: {}", trouble));
+            watch =
+                    new TableWatch(
+                            numbers.table(),
+                            numbers.changes(),
+                            edge::mayReach,
+                            trouble ->
+                                    LoggerFactory.getLogger(name)
+                                            .warn("table-refused: {}", trouble));
             try {
                 DnsClient client = new DnsClient(numbers.resolver(), new SecureRandom());
-                edge.numbers(new NumberDesk(numbers.mostTables(), watch.first(), numbers.porting(),
-                        Portability.over(client, numbers.suffix(), network, name, () -> edge)));
+                edge.numbers(
+                        new NumberDesk(
+                                numbers.mostTables(),
+                                watch.first(),
+                                numbers.porting(),
+                                Portability.over(
+                                        client, numbers.suffix(), network, name, () -> edge)));
             } catch (IOException | TableReader.Bad e) {
                 throw toml.table("numbers").bad("table", e.getMessage());
             }
@@ -157,28 +201,48 @@
             throw toml.table(table).bad("listen", e.getCause().getMessage());
         }
         if (file != null && file.dns() != null && core instanceof EdgeCore edge) {
-            Locators.join(network, name, edge, file.dns(), new DnsClient(file.dns().servers(), new SecureRandom()));
+            Locators.join(
+                    network,
+                    name,
+                    edge,
+                    file.dns(),
+                    new DnsClient(file.dns().servers(), new SecureRandom()));
         }
         if (link != null && core instanceof EdgeCore edge) {
             try {
-                EdgePort port = new EdgePort(name, file.planner().host(), file.planner().port(), link,
-                        act -> network.on(name, (now, out) -> act.accept(now)));
+                EdgePort port =
+                        new EdgePort(
+                                name,
+                                file.planner().host(),
+                                file.planner().port(),
+                                link,
+                                act -> network.on(name, (now, out) -> act.accept(now)));
                 network.on(name, (now, out) -> edge.planner(now, link, port));
             } catch (IOException e) {
                 throw toml.table("planner").bad("listen", e.getMessage());
             }
         }
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-            stop.set(true);
-            try {
-                ended.await(LAST_ANSWERS, TimeUnit.MICROSECONDS);
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-            }
-            network.close();
-            Runtime.getRuntime().halt(0);
-        }));
-        System.err.println("coralcove: " + name + " listens on " + self.host() + ":" + self.port() + " (UDP and TCP)");
+        Runtime.getRuntime()
+                .addShutdownHook(
+                        new Thread(
+                                () -> {
+                                    stop.set(true);
+                                    try {
+                                        ended.await(LAST_ANSWERS, TimeUnit.MICROSECONDS);
+                                    } catch (InterruptedException e) {
+                                        Thread.currentThread().interrupt();
+                                    }
+                                    network.close();
+                                    Runtime.getRuntime().halt(0);
+                                }));
+        System.err.println(
+                "coralcove: "
+                        + name
+                        + " listens on "
+                        + self.host()
+                        + ":"
+                        + self.port()
+                        + " (UDP and TCP)");
         boolean told = false;
         long lookAt = network.now() + LOOK_AT_TABLE;
         while (true) {
@@ -193,23 +257,32 @@
             if (stop.get() && core instanceof EdgeCore edge) {
                 boolean first = !told;
                 told = true;
-                network.on(name, (now, out) -> {
-                    if (first) {
-                        out.log("stopping", "", "");
-                        edge.stop();
-                    } else if (edge.idle()) {
-                        ended.countDown();
-                    }
-                });
+                network.on(
+                        name,
+                        (now, out) -> {
+                            if (first) {
+                                out.log("stopping", "", "");
+                                edge.stop();
+                            } else if (edge.idle()) {
+                                ended.countDown();
+                            }
+                        });
             } else if (stop.get()) {
                 ended.countDown();
             }
         }
     }
 
-    @Command(name = "edge", mixinStandardHelpOptions = true, description = "Runs one call router.",
-            footer = {"", "Ends on SIGTERM once all sessions in hand have their answer.", "Example:",
-                "  coralcove edge deploy/examples/edge-0.toml"})
+    @Command(
+            name = "edge",
+            mixinStandardHelpOptions = true,
+            description = "Runs one call router.",
+            footer = {
+                "",
+                "Ends on SIGTERM once all sessions in hand have their answer.",
+                "Example:",
+                "  coralcove edge deploy/examples/edge-0.toml"
+            })
     static final class Edge extends Serving {
         @Override
         void serve(Toml toml) throws BadConfig {
@@ -217,52 +290,89 @@
             Settings module = file.settings().module();
             FactsOut facts = new FactsOut(PlannerCore.MOST_GROUPS);
             PlanKeeper keeper = new PlanKeeper(module, facts::add);
-            EdgeCore core = new EdgeCore(file.settings(), file.planner() == null
-                    ? Policies.router(file.policy(), module, file.settings().seed())
-                    : new Choice(module, new SplittableRandom(file.settings().seed()), keeper));
+            EdgeCore core =
+                    new EdgeCore(
+                            file.settings(),
+                            file.planner() == null
+                                    ? Policies.router(file.policy(), module, file.settings().seed())
+                                    : new Choice(
+                                            module,
+                                            new SplittableRandom(file.settings().seed()),
+                                            keeper));
             if (file.roster() != null) {
-                RosterStore.keep(file.roster(), "edge-" + file.settings().number(),
+                RosterStore.keep(
+                        file.roster(),
+                        "edge-" + file.settings().number(),
                         (kept, to) -> core.resume(LiveNetwork.clock(), kept, to));
             }
-            EdgeLink link = file.planner() == null ? null
-                    : new EdgeLink(module, keeper, facts, System.currentTimeMillis(), keep(file, keeper));
-            Commands.run(toml, "edge", "edge-" + file.settings().number(), file.settings().self(), core, file, link);
+            EdgeLink link =
+                    file.planner() == null
+                            ? null
+                            : new EdgeLink(
+                                    module,
+                                    keeper,
+                                    facts,
+                                    System.currentTimeMillis(),
+                                    keep(file, keeper));
+            Commands.run(
+                    toml,
+                    "edge",
+                    "edge-" + file.settings().number(),
+                    file.settings().self(),
+                    core,
+                    file,
+                    link);
         }
     }
 
     /**
-     * Puts the plans in force that the last start left; what hears of new ones, which are written once a second off the
-     * router's thread, or of no use where none are kept.
+     * Puts the plans in force that the last start left; what hears of new ones, which are written
+     * once a second off the router's thread, or of no use where none are kept.
      */
     private static Consumer<Plan> keep(EdgeFile file, PlanKeeper keeper) {
         if (file.plans() == null) {
-            return plan -> { };
+            return plan -> {};
         }
         PlanShelf shelf = new PlanShelf();
         var log = LoggerFactory.getLogger("edge-" + file.settings().number());
-        EntryStore<Integer, Plan> store = GroupStore.plans(file.plans(), said -> log.warn("plans: {}", said));
+        EntryStore<Integer, Plan> store =
+                GroupStore.plans(file.plans(), said -> log.warn("plans: {}", said));
         List<Plan> stored = store.read();
-        int groups = PlanShelf.resume(LiveNetwork.clock(), file.settings().module(), keeper, stored);
-        log.info("plans: {} of {} stored groups resumed, version {}", groups, stored.size(), keeper.version());
-        Thread writer = new Thread(() -> {
-            while (true) {
-                try {
-                    Thread.sleep(KEEP_PLANS);
-                } catch (InterruptedException e) {
-                    return;
-                }
-                store.write(shelf.drain());
-            }
-        }, "plans");
+        int groups =
+                PlanShelf.resume(LiveNetwork.clock(), file.settings().module(), keeper, stored);
+        log.info(
+                "plans: {} of {} stored groups resumed, version {}",
+                groups,
+                stored.size(),
+                keeper.version());
+        Thread writer =
+                new Thread(
+                        () -> {
+                            while (true) {
+                                try {
+                                    Thread.sleep(KEEP_PLANS);
+                                } catch (InterruptedException e) {
+                                    return;
+                                }
+                                store.write(shelf.drain());
+                            }
+                        },
+                        "plans");
         writer.setDaemon(true);
         writer.start();
         return shelf::taken;
     }
 
-    @Command(name = "planner", mixinStandardHelpOptions = true,
+    @Command(
+            name = "planner",
+            mixinStandardHelpOptions = true,
             description = "Runs the planner of one call router, from the router's own settings.",
-            footer = {"", "The edge serves without it too: its plans lose their say within a minute.", "Example:",
-                "  coralcove planner deploy/examples/edge-0.toml"})
+            footer = {
+                "",
+                "The edge serves without it too: its plans lose their say within a minute.",
+                "Example:",
+                "  coralcove planner deploy/examples/edge-0.toml"
+            })
     static final class PlannerCommand extends Serving {
         @Override
         void serve(Toml toml) throws BadConfig, InterruptedException {
@@ -271,41 +381,71 @@
                 throw toml.table("planner").bad("listen", "is missing: this router has no planner");
             }
             long start = System.currentTimeMillis();
-            PlannerCore core = new PlannerCore(file.settings().module(), start, new SplittableRandom(start),
-                    file.ahead());
+            PlannerCore core =
+                    new PlannerCore(
+                            file.settings().module(),
+                            start,
+                            new SplittableRandom(start),
+                            file.ahead());
             String name = "planner-" + file.settings().number();
-            EntryStore<Integer, GroupFacts> store = file.store() == null ? null : GroupStore.facts(file.store(),
-                    said -> LoggerFactory.getLogger(name).warn("store: {}", said));
-            PlannerPort port = new PlannerPort(name, file.planner().host(), file.planner().port(), core, store);
+            EntryStore<Integer, GroupFacts> store =
+                    file.store() == null
+                            ? null
+                            : GroupStore.facts(
+                                    file.store(),
+                                    said -> LoggerFactory.getLogger(name).warn("store: {}", said));
+            PlannerPort port =
+                    new PlannerPort(
+                            name, file.planner().host(), file.planner().port(), core, store);
             Runtime.getRuntime().addShutdownHook(new Thread(port::end));
-            System.err.println("coralcove: planner-" + file.settings().number() + " plans for the edge at "
-                    + file.planner().host() + ":" + file.planner().port());
+            System.err.println(
+                    "coralcove: planner-"
+                            + file.settings().number()
+                            + " plans for the edge at "
+                            + file.planner().host()
+                            + ":"
+                            + file.planner().port());
             new CountDownLatch(1).await();
         }
     }
 
-    @Command(name = "exchange", mixinStandardHelpOptions = true, description = "Runs a stand-in exchange.",
+    @Command(
+            name = "exchange",
+            mixinStandardHelpOptions = true,
+            description = "Runs a stand-in exchange.",
             footer = {"", "Example:", "  coralcove exchange deploy/examples/exchange-0.toml"})
     static final class Exchange extends Serving {
         @Override
         void serve(Toml toml) throws BadConfig {
             ExchangeFile file = ExchangeFile.of(toml);
             long now = LiveNetwork.clock();
-            ExchangeSettings settings = file.cold() ? file.settings().startedAt(now) : file.settings();
+            ExchangeSettings settings =
+                    file.cold() ? file.settings().startedAt(now) : file.settings();
             List<Arrival> arrivals = file.arrivals().stream().map(a -> a.after(now)).toList();
-            Commands.run(toml, "exchange", "exchange-" + settings.number(), settings.self(),
+            Commands.run(
+                    toml,
+                    "exchange",
+                    "exchange-" + settings.number(),
+                    settings.self(),
                     new ExchangeCore(settings, arrivals, new Stats()));
         }
     }
 
-    @Command(name = "directory", mixinStandardHelpOptions = true, description = "Runs the stand-in directory.",
+    @Command(
+            name = "directory",
+            mixinStandardHelpOptions = true,
+            description = "Runs the stand-in directory.",
             footer = {"", "Example:", "  coralcove directory deploy/examples/directory.toml"})
     static final class Directory extends Serving {
         @Override
         void serve(Toml toml) throws BadConfig {
             DirectoryFile file = DirectoryFile.of(toml);
-            Commands.run(toml, "directory", "directory", file.listen(), new DirectoryCore(file.listen(), file.late(),
-                    Starts.tag()));
+            Commands.run(
+                    toml,
+                    "directory",
+                    "directory",
+                    file.listen(),
+                    new DirectoryCore(file.listen(), file.late(), Starts.tag()));
         }
     }
 
@@ -313,9 +453,18 @@
     static final class DayChoice {
         @Parameters(paramLabel = "DAY", arity = "0..1", description = "the day, TOML")
         private Path day;
-        @Option(names = "--from", paramLabel = "DAY.json", description = "a day as the operators' bench draws it")
+
+        @Option(
+                names = "--from",
+                paramLabel = "DAY.json",
+                description = "a day as the operators' bench draws it")
         private Path from;
-        @Option(names = "--seed", paramLabel = "N", defaultValue = "1", description = "seed of all chance (default 1)")
+
+        @Option(
+                names = "--seed",
+                paramLabel = "N",
+                defaultValue = "1",
+                description = "seed of all chance (default 1)")
         long seed;
 
         Day read() throws BadConfig, IOException {
@@ -326,40 +475,72 @@
         }
     }
 
-    @Command(name = "rehearse", mixinStandardHelpOptions = true,
-            description = "Starts routers and stand-ins, plays a day, and judges the five rules from the traffic.",
-            footer = {"", "Examples:", "  coralcove rehearse days/bad-day.toml",
-                "  coralcove rehearse days/bad-day.toml --virtual --seed 7 --policy direct --summary out.json",
-                "  coralcove rehearse --from day.json --virtual"})
+    @Command(
+            name = "rehearse",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Starts routers and stand-ins, plays a day, and judges the five rules from the"
+                            + " traffic.",
+            footer = {
+                "",
+                "Examples:",
+                "  coralcove rehearse days/bad-day.toml",
+                "  coralcove rehearse days/bad-day.toml --virtual --seed 7 --policy direct"
+                        + " --summary out.json",
+                "  coralcove rehearse --from day.json --virtual"
+            })
     static final class RehearseCommand implements Callable<Integer> {
-        @CommandLine.Mixin
-        private DayChoice day;
-        @Option(names = "--virtual", description = "in virtual time on a seeded network, not on sockets")
+        @CommandLine.Mixin private DayChoice day;
+
+        @Option(
+                names = "--virtual",
+                description = "in virtual time on a seeded network, not on sockets")
         private boolean virtual;
-        @Option(names = "--policy", paramLabel = "NAME", defaultValue = "choice",
-                description = "choice (default) or a baseline: direct, first-tandem, reserved, least-busy")
+
+        @Option(
+                names = "--policy",
+                paramLabel = "NAME",
+                defaultValue = "choice",
+                description =
+                        "choice (default) or a baseline: direct, first-tandem, reserved,"
+                                + " least-busy")
         private String policy;
-        @Option(names = "--summary", paramLabel = "FILE", description = "write one JSON object there")
+
+        @Option(
+                names = "--summary",
+                paramLabel = "FILE",
+                description = "write one JSON object there")
         private Path summary;
-        @Option(names = "--capture", paramLabel = "FILE", description = "write the routers' traffic there, JSON lines")
+
+        @Option(
+                names = "--capture",
+                paramLabel = "FILE",
+                description = "write the routers' traffic there, JSON lines")
         private Path capture;
-        @Option(names = "--log", paramLabel = "LEVEL", defaultValue = "WARN",
+
+        @Option(
+                names = "--log",
+                paramLabel = "LEVEL",
+                defaultValue = "WARN",
                 description = "what is logged live as JSON lines on standard error (default WARN)")
         private String level;
-        @CommandLine.Spec
-        private CommandLine.Model.CommandSpec spec;
+
+        @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
         @Override
         public Integer call() throws Exception {
             System.setProperty("coralcove.log", level);
             if (!Policies.NAMES.contains(policy)) {
-                throw new CommandLine.ParameterException(spec.commandLine(), "--policy: " + policy + " is none of "
-                        + String.join(", ", Policies.NAMES));
+                throw new CommandLine.ParameterException(
+                        spec.commandLine(),
+                        "--policy: " + policy + " is none of " + String.join(", ", Policies.NAMES));
             }
             Day it = day.read();
             it.unmapped().forEach(line -> System.out.println("not mapped: " + line));
-            Result result = virtual ? Rehearse.virtual(it, day.seed, policy, capture, null)
-                    : Rehearse.live(it, day.seed, policy, capture);
+            Result result =
+                    virtual
+                            ? Rehearse.virtual(it, day.seed, policy, capture, null)
+                            : Rehearse.live(it, day.seed, policy, capture);
             print(result);
             if (summary != null) {
                 Files.writeString(summary, result.json().toPrettyString() + "\n");
@@ -369,39 +550,87 @@
 
         private static void print(Result result) {
             Stats stats = result.stats();
-            System.out.printf(Locale.ROOT, "%s, policy %s, seed %d, %s%n", result.day(), result.policy(),
-                    result.seed(), result.virtual() ? "virtual time" : "live on loopback");
-            System.out.printf(Locale.ROOT, "value served %.0f of %.0f: %.3f%n", stats.valueServed, result.offered(),
+            System.out.printf(
+                    Locale.ROOT,
+                    "%s, policy %s, seed %d, %s%n",
+                    result.day(),
+                    result.policy(),
+                    result.seed(),
+                    result.virtual() ? "virtual time" : "live on loopback");
+            System.out.printf(
+                    Locale.ROOT,
+                    "value served %.0f of %.0f: %.3f%n",
+                    stats.valueServed,
+                    result.offered(),
                     result.share());
-            System.out.printf(Locale.ROOT, "sessions %d: stood %d (cut later %d), busy-replied %d, terminated %d, "
-                    + "gave up %d%n", stats.sessions, stats.stood, stats.cut, stats.busyReplied, stats.terminated,
+            System.out.printf(
+                    Locale.ROOT,
+                    "sessions %d: stood %d (cut later %d), busy-replied %d, terminated %d, "
+                            + "gave up %d%n",
+                    stats.sessions,
+                    stats.stood,
+                    stats.cut,
+                    stats.busyReplied,
+                    stats.terminated,
                     stats.gaveUp);
-            System.out.printf(Locale.ROOT, "set-up p50 %.0f ms, p99 %.0f ms; added by one router p50 %.2f ms, "
-                    + "p99 %.2f ms%n", stats.setUp.getValueAtPercentile(50) / 1e3,
-                    stats.setUp.getValueAtPercentile(99) / 1e3, result.added().getValueAtPercentile(50) / 1e3,
+            System.out.printf(
+                    Locale.ROOT,
+                    "set-up p50 %.0f ms, p99 %.0f ms; added by one router p50 %.2f ms, "
+                            + "p99 %.2f ms%n",
+                    stats.setUp.getValueAtPercentile(50) / 1e3,
+                    stats.setUp.getValueAtPercentile(99) / 1e3,
+                    result.added().getValueAtPercentile(50) / 1e3,
                     result.added().getValueAtPercentile(99) / 1e3);
             if (result.lastSent().getTotalCount() > 0) {
-                System.out.printf(Locale.ROOT, "last INVITE after a drain or an end was told: p99 %.0f ms, most %.0f ms, of %d "
-                        + "tellings%n", result.lastSent().getValueAtPercentile(99) / 1e3,
-                        result.lastSent().getMaxValue() / 1e3, result.lastSent().getTotalCount());
+                System.out.printf(
+                        Locale.ROOT,
+                        "last INVITE after a drain or an end was told: p99 %.0f ms, most %.0f ms,"
+                                + " of %d tellings%n",
+                        result.lastSent().getValueAtPercentile(99) / 1e3,
+                        result.lastSent().getMaxValue() / 1e3,
+                        result.lastSent().getTotalCount());
             }
             result.rules().values().forEach(Commands::print);
         }
     }
 
-    @Command(name = "compare", mixinStandardHelpOptions = true,
-            description = "Plays a day in virtual time under several policies on the same seeds, and tabulates them.",
+    @Command(
+            name = "compare",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Plays a day in virtual time under several policies on the same seeds, and"
+                            + " tabulates them.",
             footer = {"", "Example:", "  coralcove compare days/bad-day.toml --seeds 50"})
     static final class Compare implements Callable<Integer> {
-        @Parameters(paramLabel = "DAY", description = "the day, TOML; several may be given, or days as the bench "
-                + "draws them (.json)", arity = "1..*")
+        @Parameters(
+                paramLabel = "DAY",
+                description =
+                        "the day, TOML; several may be given, or days as the bench "
+                                + "draws them (.json)",
+                arity = "1..*")
         private List<Path> days;
-        @Option(names = "--seeds", paramLabel = "N", defaultValue = "10", description = "seeds 1 to N (default 10)")
+
+        @Option(
+                names = "--seeds",
+                paramLabel = "N",
+                defaultValue = "10",
+                description = "seeds 1 to N (default 10)")
         private int seeds;
-        @Option(names = "--policies", split = ",", paramLabel = "NAME", defaultValue = "choice,direct,first-tandem",
-                description = "which (default choice,direct,first-tandem; also reserved, least-busy)")
+
+        @Option(
+                names = "--policies",
+                split = ",",
+                paramLabel = "NAME",
+                defaultValue = "choice,direct,first-tandem",
+                description =
+                        "which (default choice,direct,first-tandem; also reserved, least-busy)")
         private List<String> policies;
-        @Option(names = "--jobs", paramLabel = "N", defaultValue = "4", description = "runs at once (default 4)")
+
+        @Option(
+                names = "--jobs",
+                paramLabel = "N",
+                defaultValue = "4",
+                description = "runs at once (default 4)")
         private int jobs;
 
         @Override
@@ -417,32 +646,57 @@
         }
 
         private boolean table(Path path, String policy) throws Exception {
-            java.util.concurrent.ExecutorService pool = java.util.concurrent.Executors.newFixedThreadPool(jobs);
+            java.util.concurrent.ExecutorService pool =
+                    java.util.concurrent.Executors.newFixedThreadPool(jobs);
             try {
                 List<java.util.concurrent.Future<Result>> runs = new java.util.ArrayList<>();
                 for (int i = 1; i <= seeds; i++) {
                     long seed = i;
-                    runs.add(pool.submit(() -> Rehearse.virtual(path.toString().endsWith(".json")
-                            ? BenchDay.read(path, seed) : DayFile.read(path, seed), seed, policy, null, null)));
+                    runs.add(
+                            pool.submit(
+                                    () ->
+                                            Rehearse.virtual(
+                                                    path.toString().endsWith(".json")
+                                                            ? BenchDay.read(path, seed)
+                                                            : DayFile.read(path, seed),
+                                                    seed,
+                                                    policy,
+                                                    null,
+                                                    null)));
                 }
                 double[] shares = new double[seeds];
                 java.util.TreeMap<String, long[]> rules = new java.util.TreeMap<>();
                 for (int i = 0; i < seeds; i++) {
                     Result result = runs.get(i).get();
                     shares[i] = result.share();
-                    result.rules().forEach((name, verdict) -> {
-                        long[] sum = rules.computeIfAbsent(name, n -> new long[2]);
-                        sum[0] += verdict.checked();
-                        sum[1] += verdict.broken();
-                    });
-                    result.rules().values().stream().flatMap(v -> v.breaches().stream()).limit(3)
-                            .forEach(line -> System.out.println("  seed " + result.seed() + " " + line));
+                    result.rules()
+                            .forEach(
+                                    (name, verdict) -> {
+                                        long[] sum = rules.computeIfAbsent(name, n -> new long[2]);
+                                        sum[0] += verdict.checked();
+                                        sum[1] += verdict.broken();
+                                    });
+                    result.rules().values().stream()
+                            .flatMap(v -> v.breaches().stream())
+                            .limit(3)
+                            .forEach(
+                                    line ->
+                                            System.out.println(
+                                                    "  seed " + result.seed() + " " + line));
                 }
                 java.util.Arrays.sort(shares);
-                System.out.printf(Locale.ROOT, "%s %s: value served mean %.3f, least %.3f, median %.3f, most %.3f;",
-                        path.getFileName(), policy, java.util.Arrays.stream(shares).average().orElse(0), shares[0],
-                        shares[seeds / 2], shares[seeds - 1]);
-                rules.forEach((name, sum) -> System.out.printf(Locale.ROOT, " %s %d/%d", name, sum[1], sum[0]));
+                System.out.printf(
+                        Locale.ROOT,
+                        "%s %s: value served mean %.3f, least %.3f, median %.3f, most %.3f;",
+                        path.getFileName(),
+                        policy,
+                        java.util.Arrays.stream(shares).average().orElse(0),
+                        shares[0],
+                        shares[seeds / 2],
+                        shares[seeds - 1]);
+                rules.forEach(
+                        (name, sum) ->
+                                System.out.printf(Locale.ROOT, " %s %d/%d", name, sum[1], sum[0]));
                 System.out.println(" (broken/checked)");
                 return rules.values().stream().allMatch(sum -> sum[1] == 0);
             } finally {
@@ -452,19 +706,35 @@
     }
 
     private static void print(Verdict verdict) {
-        System.out.printf(Locale.ROOT, "rule %-13s %s: checked %d, broken %d%n", verdict.rule,
-                verdict.broken() == 0 ? "kept" : "BROKEN", verdict.checked(), verdict.broken());
+        System.out.printf(
+                Locale.ROOT,
+                "rule %-13s %s: checked %d, broken %d%n",
+                verdict.rule,
+                verdict.broken() == 0 ? "kept" : "BROKEN",
+                verdict.checked(),
+                verdict.broken());
         verdict.breaches().forEach(line -> System.out.println("  " + line));
     }
 
-    @Command(name = "judge", mixinStandardHelpOptions = true,
-            description = "Judges a capture by the figures of its day; knows no kills and no cold starts but what "
-                + "the capture shows.",
-            footer = {"", "Example:", "  coralcove judge days/bad-day.toml --capture capture.jsonl"})
+    @Command(
+            name = "judge",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Judges a capture by the figures of its day; knows no kills and no cold starts"
+                            + " but what the capture shows.",
+            footer = {
+                "",
+                "Example:",
+                "  coralcove judge days/bad-day.toml --capture capture.jsonl"
+            })
     static final class JudgeCommand implements Callable<Integer> {
-        @CommandLine.Mixin
-        private DayChoice day;
-        @Option(names = "--capture", paramLabel = "FILE", required = true, description = "a capture, JSON lines")
+        @CommandLine.Mixin private DayChoice day;
+
+        @Option(
+                names = "--capture",
+                paramLabel = "FILE",
+                required = true,
+                description = "a capture, JSON lines")
         private Path capture;
 
         @Override
@@ -472,12 +742,18 @@
             Judge judge = new Judge(day.read().rules());
             judge.end(CaptureLine.read(capture, judge));
             judge.verdicts().values().forEach(Commands::print);
-            return judge.verdicts().values().stream().allMatch(v -> v.broken() == 0) ? 0 : RULE_BROKEN;
+            return judge.verdicts().values().stream().allMatch(v -> v.broken() == 0)
+                    ? 0
+                    : RULE_BROKEN;
         }
     }
 
-    @Command(name = "check", mixinStandardHelpOptions = true,
-            description = "Checks a settings file or a day: a mistake is told with file, line, key and reason.",
+    @Command(
+            name = "check",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Checks a settings file or a day: a mistake is told with file, line, key and"
+                            + " reason.",
             footer = {"", "Example:", "  coralcove check days/bad-day.toml"})
     static final class Check implements Callable<Integer> {
         @Parameters(paramLabel = "CONFIG", description = "settings of any kind, TOML")
@@ -494,16 +770,27 @@
                 kind = "call router " + file.settings().number();
                 if (file.numbers() != null) {
                     NumberTable table = NumbersCommand.read(file.numbers().table(), n -> true);
-                    kind += ", table " + table.version() + " of " + table.trie().size() + " prefixes";
-                    HoursCheck.of(table, System.currentTimeMillis() * 1000).forEach(
-                            each -> System.out.println(file.numbers().table() + ": warning: " + each));
+                    kind +=
+                            ", table "
+                                    + table.version()
+                                    + " of "
+                                    + table.trie().size()
+                                    + " prefixes";
+                    HoursCheck.of(table, System.currentTimeMillis() * 1000)
+                            .forEach(
+                                    each ->
+                                            System.out.println(
+                                                    file.numbers().table() + ": warning: " + each));
                 }
             } else if (toml.has("exchange")) {
                 kind = "stand-in exchange " + ExchangeFile.of(toml).settings().number();
             } else if (toml.has("directory")) {
                 kind = "stand-in directory at " + DirectoryFile.of(toml).listen();
             } else {
-                throw new BadConfig(config + ":1: none of [day], [edge], [exchange], [directory] is in the file");
+                throw new BadConfig(
+                        config
+                                + ":1: none of [day], [edge], [exchange], [directory] is in the"
+                                + " file");
             }
             System.out.println(config + ": good: " + kind);
             return 0;
--- a/src/main/java/coralcove/cli/Main.java
+++ b/src/main/java/coralcove/cli/Main.java
@@ -8,7 +8,10 @@
 import java.io.IOException;
 import java.nio.file.Path;
 
-/** The program's entry. {@code drill}, {@code serve} and {@code trial} are started here, without what the other commands need. */
+/**
+ * The program's entry. {@code drill}, {@code serve} and {@code trial} are started here, without
+ * what the other commands need.
+ */
 public final class Main {
     /** The variable that names a session router's configuration. */
     private static final String CONFIG = "BALANCER_CONFIG";
@@ -33,9 +36,15 @@
                 }
                 case "trial" -> {
                     Trial.Result result = Trial.run(SESSIONS);
-                    System.out.println(result.asked() + " sessions, " + result.stood() + " stood, " + result.released()
-                            + " were released");
-                    System.exit(result.stood() == SESSIONS && result.released() == SESSIONS ? 0 : 1);
+                    System.out.println(
+                            result.asked()
+                                    + " sessions, "
+                                    + result.stood()
+                                    + " stood, "
+                                    + result.released()
+                                    + " were released");
+                    System.exit(
+                            result.stood() == SESSIONS && result.released() == SESSIONS ? 0 : 1);
                 }
                 default -> System.exit(Commands.run(args));
             }
--- a/src/main/java/coralcove/cli/NumbersCommand.java
+++ b/src/main/java/coralcove/cli/NumbersCommand.java
@@ -21,14 +21,25 @@
 import picocli.CommandLine.Parameters;
 
 /** Tables of numbers on the command line. */
-@Command(name = "numbers", mixinStandardHelpOptions = true, description = "Checks, explains and compares tables of numbers.",
-        subcommands = {NumbersCommand.Build.class, NumbersCommand.Look.class, NumbersCommand.Diff.class,
-            NumbersCommand.Stats.class},
-        footer = {"", "Examples:", "  coralcove numbers build deploy/examples/numbers.table --far-ends 0-1",
-            "  coralcove numbers look deploy/examples/numbers.table 011-12345 --at 2026-11-30T03:00:00Z"})
+@Command(
+        name = "numbers",
+        mixinStandardHelpOptions = true,
+        description = "Checks, explains and compares tables of numbers.",
+        subcommands = {
+            NumbersCommand.Build.class,
+            NumbersCommand.Look.class,
+            NumbersCommand.Diff.class,
+            NumbersCommand.Stats.class
+        },
+        footer = {
+            "",
+            "Examples:",
+            "  coralcove numbers build deploy/examples/numbers.table --far-ends 0-1",
+            "  coralcove numbers look deploy/examples/numbers.table 011-12345 --at"
+                    + " 2026-11-30T03:00:00Z"
+        })
 final class NumbersCommand implements Runnable {
-    @CommandLine.Spec
-    private CommandLine.Model.CommandSpec spec;
+    @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
     @Override
     public void run() {
@@ -37,7 +48,10 @@
 
     /** Which far ends there are, for the check. */
     static final class FarEnds {
-        @Option(names = "--far-ends", paramLabel = "A-B", description = "the far ends there are; else all are taken")
+        @Option(
+                names = "--far-ends",
+                paramLabel = "A-B",
+                description = "the far ends there are; else all are taken")
         private String range;
 
         IntPredicate known() {
@@ -65,22 +79,32 @@
         return System.currentTimeMillis() * 1000;
     }
 
-    @Command(name = "build", mixinStandardHelpOptions = true,
-            description = "Reads a table, with changes if given, and tells what is wrong: exit 1 if it cannot serve.")
+    @Command(
+            name = "build",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Reads a table, with changes if given, and tells what is wrong: exit 1 if it"
+                            + " cannot serve.")
     static final class Build implements Callable<Integer> {
         @Parameters(paramLabel = "TABLE", description = "the table's file")
         private Path path;
+
         @Option(names = "--changes", paramLabel = "FILE", description = "changes to be made to it")
         private Path changes;
-        @CommandLine.Mixin
-        private FarEnds farEnds;
+
+        @CommandLine.Mixin private FarEnds farEnds;
 
         @Override
         public Integer call() throws IOException {
             long start = System.nanoTime();
             NumberTable table = read(path, farEnds.known());
-            System.out.printf("table %d: %d prefixes, %d destinations, %d calendars, %.0f ms%n", table.version(),
-                    table.trie().size(), table.destinations(), table.calendars().size(), (System.nanoTime() - start) / 1e6);
+            System.out.printf(
+                    "table %d: %d prefixes, %d destinations, %d calendars, %.0f ms%n",
+                    table.version(),
+                    table.trie().size(),
+                    table.destinations(),
+                    table.calendars().size(),
+                    (System.nanoTime() - start) / 1e6);
             if (changes != null) {
                 long edit = System.nanoTime();
                 try {
@@ -89,8 +113,9 @@
                         throw new IOException(changes + ": made for version " + read.after());
                     }
                     table = table.edited(read.version(), read.list());
-                    System.out.printf("table %d: %d changes, %.1f ms%n", table.version(), read.list().size(),
-                            (System.nanoTime() - edit) / 1e6);
+                    System.out.printf(
+                            "table %d: %d changes, %.1f ms%n",
+                            table.version(), read.list().size(), (System.nanoTime() - edit) / 1e6);
                 } catch (TableReader.Bad e) {
                     throw new IOException(e.getMessage(), e);
                 }
@@ -100,18 +125,36 @@
         }
     }
 
-    @Command(name = "look", mixinStandardHelpOptions = true, description = "Tells step by step where a number goes and why.")
+    @Command(
+            name = "look",
+            mixinStandardHelpOptions = true,
+            description = "Tells step by step where a number goes and why.")
     static final class Look implements Callable<Integer> {
         @Parameters(index = "0", paramLabel = "TABLE", description = "the table's file")
         private Path path;
+
         @Parameters(index = "1", paramLabel = "NUMBER", description = "what is dialled")
         private String dialled;
-        @Option(names = "--at", paramLabel = "TIME", description = "a moment, as 2026-11-30T03:00:00Z; else now")
+
+        @Option(
+                names = "--at",
+                paramLabel = "TIME",
+                description = "a moment, as 2026-11-30T03:00:00Z; else now")
         private String at;
-        @Option(names = "--service", paramLabel = "N", defaultValue = "0", description = "the service (default 0)")
+
+        @Option(
+                names = "--service",
+                paramLabel = "N",
+                defaultValue = "0",
+                description = "the service (default 0)")
         private int service;
-        @Option(names = "--routing", paramLabel = "DIGITS",
-                description = "what the portability server would say; else the number counts as not moved")
+
+        @Option(
+                names = "--routing",
+                paramLabel = "DIGITS",
+                description =
+                        "what the portability server would say; else the number counts as not"
+                                + " moved")
         private String routing;
 
         @Override
@@ -129,29 +172,47 @@
             boolean first = true;
             while (step instanceof Search.Wait wait) {
                 boolean moved = first && routing != null;
-                porting.ended(now, wait.number(), moved ? Porting.Outcome.MOVED : Porting.Outcome.NOT_MOVED,
-                        moved ? Digits.pack(routing) : 0, 60_000_000);
+                porting.ended(
+                        now,
+                        wait.number(),
+                        moved ? Porting.Outcome.MOVED : Porting.Outcome.NOT_MOVED,
+                        moved ? Digits.pack(routing) : 0,
+                        60_000_000);
                 first = false;
                 step = search.resume(now, porting);
             }
             System.out.println("table " + table.version());
             search.steps().forEach(each -> System.out.println("  " + each));
             if (step instanceof Search.Route route) {
-                System.out.println("goes to far end " + route.farEnd() + (route.until() == Long.MAX_VALUE ? ""
-                        : " until " + Instant.ofEpochSecond(route.until() / 1_000_000)));
+                System.out.println(
+                        "goes to far end "
+                                + route.farEnd()
+                                + (route.until() == Long.MAX_VALUE
+                                        ? ""
+                                        : " until "
+                                                + Instant.ofEpochSecond(
+                                                        route.until() / 1_000_000)));
             } else if (step instanceof Search.Refused no) {
-                System.out.println("is refused: " + no.status() + " " + no.reason()
-                        + (no.number().isEmpty() ? "" : ", now " + no.number()));
+                System.out.println(
+                        "is refused: "
+                                + no.status()
+                                + " "
+                                + no.reason()
+                                + (no.number().isEmpty() ? "" : ", now " + no.number()));
             }
             return 0;
         }
     }
 
-    @Command(name = "diff", mixinStandardHelpOptions = true,
-            description = "Writes the changes that make one table of another, as a file of changes.")
+    @Command(
+            name = "diff",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Writes the changes that make one table of another, as a file of changes.")
     static final class Diff implements Callable<Integer> {
         @Parameters(index = "0", paramLabel = "FROM", description = "the older table's file")
         private Path from;
+
         @Parameters(index = "1", paramLabel = "TO", description = "the newer table's file")
         private Path to;
 
@@ -160,25 +221,39 @@
             NumberTable old = read(from, n -> true);
             NumberTable now = read(to, n -> true);
             if (!old.rules().equals(now.rules()) || !old.calendars().equals(now.calendars())) {
-                System.out.println("# rules or calendars differ: changes cannot carry that, the whole table can");
+                System.out.println(
+                        "# rules or calendars differ: changes cannot carry that, the whole table"
+                                + " can");
             }
             System.out.println("changes " + now.version() + " after " + old.version());
             int[] count = {0};
-            old.trie().each((key, value) -> {
-                if (now.trie().get(key) == 0) {
-                    System.out.println("drop " + name(key));
-                    count[0]++;
-                }
-            });
-            now.trie().each((key, value) -> {
-                int before = old.trie().get(key);
-                Destination goes = now.destination(value);
-                if (before == 0 || !old.destination(before).equals(goes)) {
-                    System.out.println("put " + name(key) + " " + goes.text() + (before == 0 ? "" : "  # was "
-                            + old.destination(before).text()));
-                    count[0]++;
-                }
-            });
+            old.trie()
+                    .each(
+                            (key, value) -> {
+                                if (now.trie().get(key) == 0) {
+                                    System.out.println("drop " + name(key));
+                                    count[0]++;
+                                }
+                            });
+            now.trie()
+                    .each(
+                            (key, value) -> {
+                                int before = old.trie().get(key);
+                                Destination goes = now.destination(value);
+                                if (before == 0 || !old.destination(before).equals(goes)) {
+                                    System.out.println(
+                                            "put "
+                                                    + name(key)
+                                                    + " "
+                                                    + goes.text()
+                                                    + (before == 0
+                                                            ? ""
+                                                            : "  # was "
+                                                                    + old.destination(before)
+                                                                            .text()));
+                                    count[0]++;
+                                }
+                            });
             System.out.println("end " + count[0]);
             return 0;
         }
@@ -188,7 +263,10 @@
         return key == 0 ? "*" : Digits.text(key);
     }
 
-    @Command(name = "stats", mixinStandardHelpOptions = true, description = "Counts a table's prefixes and what it takes.")
+    @Command(
+            name = "stats",
+            mixinStandardHelpOptions = true,
+            description = "Counts a table's prefixes and what it takes.")
     static final class Stats implements Callable<Integer> {
         @Parameters(paramLabel = "TABLE", description = "the table's file")
         private Path path;
@@ -198,15 +276,27 @@
             NumberTable table = read(path, n -> true);
             Map<String, Integer> kinds = new TreeMap<>();
             Map<Integer, Integer> lengths = new TreeMap<>();
-            table.trie().each((key, value) -> {
-                kinds.merge(table.destination(value).getClass().getSimpleName(), 1, Integer::sum);
-                lengths.merge(Digits.length(key), 1, Integer::sum);
-            });
+            table.trie()
+                    .each(
+                            (key, value) -> {
+                                kinds.merge(
+                                        table.destination(value).getClass().getSimpleName(),
+                                        1,
+                                        Integer::sum);
+                                lengths.merge(Digits.length(key), 1, Integer::sum);
+                            });
             System.out.println("table " + table.version());
-            System.out.println("prefixes " + table.trie().size() + ", " + table.trie().bytes() + " bytes, "
-                    + table.trie().bytes() / Math.max(1, table.trie().size()) + " a prefix");
+            System.out.println(
+                    "prefixes "
+                            + table.trie().size()
+                            + ", "
+                            + table.trie().bytes()
+                            + " bytes, "
+                            + table.trie().bytes() / Math.max(1, table.trie().size())
+                            + " a prefix");
             kinds.forEach((kind, count) -> System.out.println("  " + kind + " " + count));
-            lengths.forEach((length, count) -> System.out.println("  of " + length + " digits " + count));
+            lengths.forEach(
+                    (length, count) -> System.out.println("  of " + length + " digits " + count));
             return 0;
         }
     }
--- a/src/main/java/coralcove/cli/PairCommand.java
+++ b/src/main/java/coralcove/cli/PairCommand.java
@@ -15,20 +15,41 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Starts an edge and its planner as processes of their own; the planner is started again, the edge never because of it. */
-@Command(name = "pair", mixinStandardHelpOptions = true,
-        description = "Runs a call router and its planner as two processes, and starts the planner again when it ends.",
-        footer = {"", "Ends when the router ends, with its exit code; SIGTERM goes to the router first.", "Example:",
-            "  coralcove pair deploy/examples/edge-0.toml"})
+/**
+ * Starts an edge and its planner as processes of their own; the planner is started again, the edge
+ * never because of it.
+ */
+@Command(
+        name = "pair",
+        mixinStandardHelpOptions = true,
+        description =
+                "Runs a call router and its planner as two processes, and starts the planner again"
+                        + " when it ends.",
+        footer = {
+            "",
+            "Ends when the router ends, with its exit code; SIGTERM goes to the router first.",
+            "Example:",
+            "  coralcove pair deploy/examples/edge-0.toml"
+        })
 final class PairCommand implements Callable<Integer> {
     /** Milliseconds between two looks at the two processes. */
     private static final int LOOK = 50;
-    /** Seconds that the planner has to close its store; the edge takes as long as its sessions need. */
+
+    /**
+     * Seconds that the planner has to close its store; the edge takes as long as its sessions need.
+     */
     private static final int PLANNER_ENDS = 5;
 
-    @Parameters(paramLabel = "CONFIG", description = "the router's settings, TOML, with a [planner] table")
+    @Parameters(
+            paramLabel = "CONFIG",
+            description = "the router's settings, TOML, with a [planner] table")
     private Path config;
-    @Option(names = "--log", paramLabel = "LEVEL", defaultValue = "INFO", description = "as for edge")
+
+    @Option(
+            names = "--log",
+            paramLabel = "LEVEL",
+            defaultValue = "INFO",
+            description = "as for edge")
     private String level;
 
     @Override
@@ -47,8 +68,12 @@
             long now = System.nanoTime() / 1000;
             if (planner[0] != null && !planner[0].isAlive()) {
                 startAt = restarts.ended(now);
-                System.err.println("coralcove: planner ended with " + planner[0].exitValue() + ", starts again in "
-                        + (startAt - now) / 1000 + " ms");
+                System.err.println(
+                        "coralcove: planner ended with "
+                                + planner[0].exitValue()
+                                + ", starts again in "
+                                + (startAt - now) / 1000
+                                + " ms");
                 planner[0] = null;
             }
             if (planner[0] == null && now >= startAt) {
@@ -63,9 +88,20 @@
 
     /** The same program again, with the same settings of the machine. */
     private Process start(String command) throws IOException {
-        List<String> line = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
-                System.getProperty("java.class.path").replace(File.pathSeparator + File.pathSeparator, File.pathSeparator),
-                Main.class.getName(), command, config.toString(), "--log", level));
+        List<String> line =
+                new ArrayList<>(
+                        List.of(
+                                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                                "-cp",
+                                System.getProperty("java.class.path")
+                                        .replace(
+                                                File.pathSeparator + File.pathSeparator,
+                                                File.pathSeparator),
+                                Main.class.getName(),
+                                command,
+                                config.toString(),
+                                "--log",
+                                level));
         return new ProcessBuilder(line).inheritIO().start();
     }
 
--- a/src/main/java/coralcove/cli/SourcesCommand.java
+++ b/src/main/java/coralcove/cli/SourcesCommand.java
@@ -27,15 +27,31 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Asks a router's sources from beside it, and tells what each says, what is believed of it, and why. */
-@Command(name = "sources", mixinStandardHelpOptions = true,
-        description = "Asks a router's directories and name servers, and tells what each says and what is believed, and why.",
-        footer = {"", "It asks from a port of its own and changes nothing; the router may be running or not.", "Example:",
-            "  coralcove sources deploy/examples/edge-0.toml"})
+/**
+ * Asks a router's sources from beside it, and tells what each says, what is believed of it, and
+ * why.
+ */
+@Command(
+        name = "sources",
+        mixinStandardHelpOptions = true,
+        description =
+                "Asks a router's directories and name servers, and tells what each says and what is"
+                        + " believed, and why.",
+        footer = {
+            "",
+            "It asks from a port of its own and changes nothing; the router may be running or not.",
+            "Example:",
+            "  coralcove sources deploy/examples/edge-0.toml"
+        })
 final class SourcesCommand implements Callable<Integer> {
     @Parameters(paramLabel = "CONFIG", description = "a router's settings, TOML")
     private Path config;
-    @Option(names = "--wait", paramLabel = "MS", defaultValue = "1500", description = "for answers, in ms (default 1500)")
+
+    @Option(
+            names = "--wait",
+            paramLabel = "MS",
+            defaultValue = "1500",
+            description = "for answers, in ms (default 1500)")
     private int wait;
 
     /** What is read from the core, on its thread. */
@@ -50,24 +66,43 @@
         }
         EdgeFile file = EdgeFile.of(toml);
         EdgeSettings router = file.settings();
-        EdgeSettings settings = new EdgeSettings(router.number(), new Hop(false, router.self().host(),
-                freePort(router.self().host())), router.exchange(), router.directories(), router.module(),
-                router.answerMargin(), router.mostOpen(), router.seed(), router.start());
+        EdgeSettings settings =
+                new EdgeSettings(
+                        router.number(),
+                        new Hop(false, router.self().host(), freePort(router.self().host())),
+                        router.exchange(),
+                        router.directories(),
+                        router.module(),
+                        router.answerMargin(),
+                        router.mostOpen(),
+                        router.seed(),
+                        router.start());
         SourcesCore core = new SourcesCore(settings);
         try (LiveNetwork network = new LiveNetwork(null)) {
             network.add("sources", settings.self(), core, false);
             if (file.dns() != null) {
-                Locators.join(network, "sources", core, file.dns(), new DnsClient(file.dns().servers(), new SecureRandom()));
+                Locators.join(
+                        network,
+                        "sources",
+                        core,
+                        file.dns(),
+                        new DnsClient(file.dns().servers(), new SecureRandom()));
             }
             network.run(network.now() + wait * 1000L);
             CompletableFuture<Seen> seen = new CompletableFuture<>();
-            network.on("sources", (now, out) -> {
-                List<Roster.Say> says = new ArrayList<>();
-                for (int i = 0; i < settings.directories().size(); i++) {
-                    says.add(core.roster().say(now, i));
-                }
-                seen.complete(new Seen(core.roster().said(), List.copyOf(core.roster().beliefs()), says));
-            });
+            network.on(
+                    "sources",
+                    (now, out) -> {
+                        List<Roster.Say> says = new ArrayList<>();
+                        for (int i = 0; i < settings.directories().size(); i++) {
+                            says.add(core.roster().say(now, i));
+                        }
+                        seen.complete(
+                                new Seen(
+                                        core.roster().said(),
+                                        List.copyOf(core.roster().beliefs()),
+                                        says));
+                    });
             print(settings, seen.get(wait + 5000L, TimeUnit.MILLISECONDS));
             return 0;
         }
@@ -82,19 +117,45 @@
     private static void print(EdgeSettings settings, Seen seen) {
         for (int i = 0; i < settings.directories().size(); i++) {
             String name = settings.directories().get(i).toString();
-            System.out.println(name + (seen.says.get(i) == Roster.Say.NONE ? " says nothing" : " says"));
+            System.out.println(
+                    name + (seen.says.get(i) == Roster.Say.NONE ? " says nothing" : " says"));
             for (Roster.Said each : seen.said) {
                 if (each.source().equals(name)) {
                     Life life = each.life();
-                    System.out.println("  " + each.id() + " number " + life.number() + " " + life.phase() + " start "
-                            + life.start() + " sign " + life.beat() + (life.silent() ? " silent" : "") + " at " + life.address());
+                    System.out.println(
+                            "  "
+                                    + each.id()
+                                    + " number "
+                                    + life.number()
+                                    + " "
+                                    + life.phase()
+                                    + " start "
+                                    + life.start()
+                                    + " sign "
+                                    + life.beat()
+                                    + (life.silent() ? " silent" : "")
+                                    + " at "
+                                    + life.address());
                 }
             }
         }
         System.out.println("believed");
-        seen.beliefs.stream().sorted(Comparator.comparingInt((Belief b) -> b.exchange().number())
-                .thenComparingLong(b -> b.exchange().id())).forEach(each -> System.out.println("  number "
-                + each.exchange().number() + " is " + each.exchange().id() + " " + each.exchange().phase() + " at "
-                + each.address() + ": " + each.why()));
+        seen.beliefs.stream()
+                .sorted(
+                        Comparator.comparingInt((Belief b) -> b.exchange().number())
+                                .thenComparingLong(b -> b.exchange().id()))
+                .forEach(
+                        each ->
+                                System.out.println(
+                                        "  number "
+                                                + each.exchange().number()
+                                                + " is "
+                                                + each.exchange().id()
+                                                + " "
+                                                + each.exchange().phase()
+                                                + " at "
+                                                + each.address()
+                                                + ": "
+                                                + each.why()));
     }
 }
--- a/src/main/java/coralcove/config/Hops.java
+++ b/src/main/java/coralcove/config/Hops.java
@@ -12,10 +12,16 @@
 
     private Hops() {}
 
-    /** Reads an address that has been checked, as {@link Hop#toString} writes it; the colon of the port is the last. */
+    /**
+     * Reads an address that has been checked, as {@link Hop#toString} writes it; the colon of the
+     * port is the last.
+     */
     public static Hop of(String text) {
         int colon = text.lastIndexOf(':');
-        return new Hop(text.startsWith("tcp:"), text.substring(4, colon), Integer.parseInt(text.substring(colon + 1)));
+        return new Hop(
+                text.startsWith("tcp:"),
+                text.substring(4, colon),
+                Integer.parseInt(text.substring(colon + 1)));
     }
 
     /** One address, or several in a list under the same key. */
@@ -32,7 +38,8 @@
             hops.add(hop);
         }
         if (hops.isEmpty() || hops.size() > MOST) {
-            throw table.bad(key, "has " + hops.size() + " addresses; 1 to " + MOST + " are possible");
+            throw table.bad(
+                    key, "has " + hops.size() + " addresses; 1 to " + MOST + " are possible");
         }
         return List.copyOf(hops);
     }
@@ -48,7 +55,8 @@
             throw table.bad(key, "\"" + text + "\" is not udp:HOST:PORT or tcp:HOST:PORT");
         }
         if (!tcp && text.startsWith("[", 4)) {
-            throw table.bad(key, "\"" + text + "\" is IPv6 over UDP, which is not served; tcp:[...] is");
+            throw table.bad(
+                    key, "\"" + text + "\" is IPv6 over UDP, which is not served; tcp:[...] is");
         }
         try {
             int port = Integer.parseInt(text.substring(colon + 1));
@@ -58,6 +66,7 @@
         } catch (NumberFormatException e) {
             // Told below.
         }
-        throw table.bad(key, "\"" + text.substring(colon + 1) + "\" is no port between 1 and 65535");
+        throw table.bad(
+                key, "\"" + text.substring(colon + 1) + "\" is no port between 1 and 65535");
     }
 }
--- a/src/main/java/coralcove/config/Toml.java
+++ b/src/main/java/coralcove/config/Toml.java
@@ -15,8 +15,8 @@
 import java.util.Set;
 
 /**
- * A TOML settings file, read with checks: each value is asked for with its bounds, a bad one is told with file,
- * line, key and reason, and so is a key that nobody asked for.
+ * A TOML settings file, read with checks: each value is asked for with its bounds, a bad one is
+ * told with file, line, key and reason, and so is a key that nobody asked for.
  */
 public final class Toml {
     /** One table of the file. */
@@ -33,7 +33,8 @@
         }
 
         public BadConfig bad(String key, String reason) {
-            return new BadConfig(file + ":" + line(path, key) + ": " + path + "." + key + ": " + reason);
+            return new BadConfig(
+                    file + ":" + line(path, key) + ": " + path + "." + key + ": " + reason);
         }
 
         public boolean has(String key) {
@@ -62,7 +63,8 @@
             return found;
         }
 
-        public double number(String key, double least, double most, double otherwise) throws BadConfig {
+        public double number(String key, double least, double most, double otherwise)
+                throws BadConfig {
             return has(key) ? number(key, least, most) : otherwise;
         }
 
@@ -83,7 +85,8 @@
             return Math.round(1000 * number(key, least, most));
         }
 
-        public long millis(String key, double least, double most, double otherwise) throws BadConfig {
+        public long millis(String key, double least, double most, double otherwise)
+                throws BadConfig {
             return Math.round(1000 * number(key, least, most, otherwise));
         }
 
@@ -92,7 +95,8 @@
             return Math.round(1e6 * number(key, least, most));
         }
 
-        public long seconds(String key, double least, double most, double otherwise) throws BadConfig {
+        public long seconds(String key, double least, double most, double otherwise)
+                throws BadConfig {
             return Math.round(1e6 * number(key, least, most, otherwise));
         }
 
@@ -145,8 +149,11 @@
             List<JsonNode> value = list(key);
             double[] found = new double[value.size()];
             for (int i = 0; i < found.length; i++) {
-                if (!value.get(i).isNumber() || value.get(i).doubleValue() < least || value.get(i).doubleValue() > most) {
-                    throw bad(key, value.get(i) + " is no number between " + least + " and " + most);
+                if (!value.get(i).isNumber()
+                        || value.get(i).doubleValue() < least
+                        || value.get(i).doubleValue() > most) {
+                    throw bad(
+                            key, value.get(i) + " is no number between " + least + " and " + most);
                 }
                 found[i] = value.get(i).doubleValue();
             }
@@ -170,7 +177,9 @@
             int[] found = new int[value.size()];
             for (int i = 0; i < found.length; i++) {
                 JsonNode each = value.get(i);
-                if (!each.isIntegralNumber() || each.longValue() < least || each.longValue() > most) {
+                if (!each.isIntegralNumber()
+                        || each.longValue() < least
+                        || each.longValue() > most) {
                     throw bad(key, each + " is no whole number between " + least + " and " + most);
                 }
                 found[i] = each.intValue();
@@ -184,6 +193,7 @@
     private final Map<String, Integer> lines = new HashMap<>();
     private final List<Table> tables = new ArrayList<>();
     private final Set<String> askedTables = new HashSet<>();
+
     /** By table: several readers may ask for the same one. */
     private final Map<String, Set<String>> askedIn = new HashMap<>();
 
@@ -227,7 +237,10 @@
         return file;
     }
 
-    /** Notes on which line each key of each table stands; a list's tables are told apart by their place. */
+    /**
+     * Notes on which line each key of each table stands; a list's tables are told apart by their
+     * place.
+     */
     private void index(String text) {
         String table = "";
         Map<String, Integer> counts = new HashMap<>();
@@ -243,7 +256,8 @@
                 table = line.substring(1, Math.max(1, line.indexOf(']'))).strip();
                 lines.put(table + ".", number);
             } else if (!line.startsWith("#") && line.indexOf('=') > 0) {
-                lines.putIfAbsent(table + "." + line.substring(0, line.indexOf('=')).strip(), number);
+                lines.putIfAbsent(
+                        table + "." + line.substring(0, line.indexOf('=')).strip(), number);
             }
         }
     }
@@ -260,7 +274,11 @@
         if (node != null && !node.isObject()) {
             throw new BadConfig(file + ":" + line(name, "") + ": " + name + " is no table");
         }
-        return new Table(name, node == null ? com.fasterxml.jackson.databind.node.JsonNodeFactory.instance.objectNode() : node);
+        return new Table(
+                name,
+                node == null
+                        ? com.fasterxml.jackson.databind.node.JsonNodeFactory.instance.objectNode()
+                        : node);
     }
 
     public boolean has(String name) {
@@ -273,8 +291,15 @@
         JsonNode node = root.get(name);
         List<Table> found = new ArrayList<>();
         if (node != null && !node.isArray()) {
-            throw new BadConfig(file + ":" + line(name, "") + ": " + name + " is no list of tables: write [[" + name
-                    + "]]");
+            throw new BadConfig(
+                    file
+                            + ":"
+                            + line(name, "")
+                            + ": "
+                            + name
+                            + " is no list of tables: write [["
+                            + name
+                            + "]]");
         }
         for (int i = 0; node != null && i < node.size(); i++) {
             found.add(new Table(name + "[" + i + "]", node.get(i)));
@@ -286,7 +311,13 @@
     public void nothingElse() throws BadConfig {
         for (Map.Entry<String, JsonNode> each : root.properties()) {
             if (!askedTables.contains(each.getKey())) {
-                throw new BadConfig(file + ":" + line(each.getKey(), "") + ": " + each.getKey() + ": is not known");
+                throw new BadConfig(
+                        file
+                                + ":"
+                                + line(each.getKey(), "")
+                                + ": "
+                                + each.getKey()
+                                + ": is not known");
             }
         }
         for (Table table : tables) {
--- a/src/main/java/coralcove/directory/DirectoryCore.java
+++ b/src/main/java/coralcove/directory/DirectoryCore.java
@@ -13,9 +13,10 @@
 import java.util.Map;
 
 /**
- * The stand-in exchange directory: exchanges register with it, routers subscribe to it, and its news is late. It knows
- * only whether a processor runs. Its epoch is drawn at its start; until it has been up for longer than a silence it says
- * of its lists that they are learning, since it cannot know who is missing.
+ * The stand-in exchange directory: exchanges register with it, routers subscribe to it, and its
+ * news is late. It knows only whether a processor runs. Its epoch is drawn at its start; until it
+ * has been up for longer than a silence it says of its lists that they are learning, since it
+ * cannot know who is missing.
  */
 public final class DirectoryCore extends CallFreeCore {
     /** Its settings in µs: how late news of a drain or an end, of silence, and of a start is. */
@@ -23,6 +24,7 @@
 
     /** Exchanges it lists at most; a REGISTER past that is answered 503. */
     private static final int MOST = 10_000;
+
     /** µs past a silence until it knows all that run: two of their signs of life. */
     private static final long LEARNT_AFTER = 2_000_000;
 
@@ -32,8 +34,10 @@
         long start = -1;
         long beat;
         String phase = "";
+
         /** On this clock; {@link Listing#LONG_AGO} for long ago. */
         long since;
+
         String address = "";
         long heard;
         long toldStart = -1;
@@ -45,8 +49,14 @@
         }
 
         String line(long now) {
-            return ListingText.text(id, number, toldPhase, toldStart, start == toldStart ? beat : 0,
-                    since == Listing.LONG_AGO ? since : Math.max(0, now - since), toldAddress);
+            return ListingText.text(
+                    id,
+                    number,
+                    toldPhase,
+                    toldStart,
+                    start == toldStart ? beat : 0,
+                    since == Listing.LONG_AGO ? since : Math.max(0, now - since),
+                    toldAddress);
         }
     }
 
@@ -82,9 +92,15 @@
     }
 
     private Notifier.State state(long now) {
-        StringBuilder body = new StringBuilder(ListingText.head(epoch, version, learning ? Listing.Kind.LEARNING
-                : Listing.Kind.WHOLE, 0));
-        entries.values().stream().filter(e -> e.toldPhase.equals("ready") || e.toldPhase.equals("draining"))
+        StringBuilder body =
+                new StringBuilder(
+                        ListingText.head(
+                                epoch,
+                                version,
+                                learning ? Listing.Kind.LEARNING : Listing.Kind.WHOLE,
+                                0));
+        entries.values().stream()
+                .filter(e -> e.toldPhase.equals("ready") || e.toldPhase.equals("draining"))
                 .forEach(e -> body.append(e.line(now)).append('\n'));
         return new Notifier.State(tag(), body.toString());
     }
@@ -113,15 +129,20 @@
             return;
         }
         if (line.life().silent() || entries.size() >= MOST && !entries.containsKey(line.id())) {
-            agent.respond(now, tx, agent.reply(tx, line.life().silent() ? 400 : 503, "Not taken"), out);
+            agent.respond(
+                    now, tx, agent.reply(tx, line.life().silent() ? 400 : 503, "Not taken"), out);
             return;
         }
         Entry entry = entries.computeIfAbsent(line.id(), Entry::new);
         SipMessage reply = agent.reply(tx, 200, "OK");
-        boolean over = line.life().start() < entry.start || line.life().start() == entry.start
-                && entry.phase.equals("left") && !line.life().left();
+        boolean over =
+                line.life().start() < entry.start
+                        || line.life().start() == entry.start
+                                && entry.phase.equals("left")
+                                && !line.life().left();
         if (over) {
-            // Its clock went back, or it said farewell: it must take a newer number of its start to be believed.
+            // Its clock went back, or it said farewell: it must take a newer number of its start to
+            // be believed.
             reply.add("X-Start", Long.toString(entry.start));
         }
         agent.respond(now, tx, reply, out);
@@ -138,7 +159,8 @@
             return;
         }
         String phase = line.life().left() ? "left" : line.life().drains() ? "draining" : "ready";
-        boolean news = newer || !phase.equals(entry.phase) || !line.life().address().equals(entry.address);
+        boolean news =
+                newer || !phase.equals(entry.phase) || !line.life().address().equals(entry.address);
         if (newer) {
             entry.start = line.life().start();
             entry.since = line.age() == Listing.LONG_AGO ? line.age() : now - line.age();
@@ -149,8 +171,12 @@
         entry.address = line.life().address();
         entry.heard = now;
         if (news) {
-            // The network's first lists are there from the start; what starts later is news, and late.
-            long wait = first && line.age() == Listing.LONG_AGO ? 0 : phase.equals("ready") ? late.add : late.notice;
+            // The network's first lists are there from the start; what starts later is news, and
+            // late.
+            long wait =
+                    first && line.age() == Listing.LONG_AGO
+                            ? 0
+                            : phase.equals("ready") ? late.add : late.notice;
             long start = entry.start;
             timers.set(now + wait, (at, o) -> tell(at, entry, start, phase, o));
         }
@@ -158,15 +184,19 @@
     }
 
     private void silent(long now, Entry entry, Out out) {
-        if (now - entry.heard >= late.silence && !entry.phase.equals("left") && !entry.phase.equals("silent")) {
+        if (now - entry.heard >= late.silence
+                && !entry.phase.equals("left")
+                && !entry.phase.equals("silent")) {
             entry.phase = "silent";
             tell(now, entry, entry.start, entry.phase, out);
         }
     }
 
     private void tell(long now, Entry entry, long start, String phase, Out out) {
-        if (start < entry.toldStart || start == entry.toldStart && phase.equals(entry.toldPhase)
-                && entry.address.equals(entry.toldAddress)) {
+        if (start < entry.toldStart
+                || start == entry.toldStart
+                        && phase.equals(entry.toldPhase)
+                        && entry.address.equals(entry.toldAddress)) {
             return;
         }
         entry.toldStart = start;
@@ -175,7 +205,11 @@
         long before = version++;
         String line = entry.line(now);
         out.log("change", "", line);
-        notifier.changed(now, tag(), ListingText.head(epoch, version, Listing.Kind.CHANGES, before) + line + "\n", out);
+        notifier.changed(
+                now,
+                tag(),
+                ListingText.head(epoch, version, Listing.Kind.CHANGES, before) + line + "\n",
+                out);
     }
 
     @Override
--- a/src/main/java/coralcove/directory/DirectoryFile.java
+++ b/src/main/java/coralcove/directory/DirectoryFile.java
@@ -9,9 +9,13 @@
 public record DirectoryFile(Hop listen, DirectoryCore.Late late) {
     public static DirectoryFile of(Toml toml) throws BadConfig {
         Toml.Table directory = toml.table("directory");
-        DirectoryFile file = new DirectoryFile(Hops.read(directory, "listen"), new DirectoryCore.Late(
-                directory.millis("notice_ms", 0, 60_000, 1000), directory.millis("silence_ms", 1500, 120_000, 8000),
-                directory.millis("add_ms", 0, 60_000, 800)));
+        DirectoryFile file =
+                new DirectoryFile(
+                        Hops.read(directory, "listen"),
+                        new DirectoryCore.Late(
+                                directory.millis("notice_ms", 0, 60_000, 1000),
+                                directory.millis("silence_ms", 1500, 120_000, 8000),
+                                directory.millis("add_ms", 0, 60_000, 800)));
         toml.nothingElse();
         return file;
     }
--- a/src/main/java/coralcove/dns/DnsMessage.java
+++ b/src/main/java/coralcove/dns/DnsMessage.java
@@ -8,11 +8,20 @@
 import java.util.Locale;
 
 /**
- * A DNS message (RFC 1035 section 4), read and written. Names are kept as text in lower case without the last dot;
- * only what a stub resolver looks at is understood, other record data stays bytes.
+ * A DNS message (RFC 1035 section 4), read and written. Names are kept as text in lower case
+ * without the last dot; only what a stub resolver looks at is understood, other record data stays
+ * bytes.
  */
-public record DnsMessage(int id, boolean response, boolean truncated, int code, String name, int type,
-        List<Resource> answers, List<Resource> authority, List<Resource> additional) {
+public record DnsMessage(
+        int id,
+        boolean response,
+        boolean truncated,
+        int code,
+        String name,
+        int type,
+        List<Resource> answers,
+        List<Resource> authority,
+        List<Resource> additional) {
     /** One record; {@code life} in seconds. */
     public record Resource(String name, int type, long life, byte[] data) {}
 
@@ -26,27 +35,46 @@
     public static final int SERVER_FAILURE = 2;
     public static final int NO_SUCH_NAME = 3;
     private static final int INTERNET = 1;
+
     /** Octets of a name and of a label at most (RFC 1035 section 2.3.4). */
     private static final int LONGEST_NAME = 255;
+
     private static final int LONGEST_LABEL = 63;
-    /** Records read of one message at most: past it the message is taken for an attack on the reader. */
+
+    /**
+     * Records read of one message at most: past it the message is taken for an attack on the
+     * reader.
+     */
     private static final int MOST_RECORDS = 400;
+
     /** Seconds: lives with the top bit set count as 0 (RFC 2181 section 8). */
     private static final long LIFE_MOST = 0x7fff_ffffL;
 
     /** A question, recursion desired. */
     public static DnsMessage question(int id, String name, int type) {
-        return new DnsMessage(id, false, false, NO_ERROR, name.toLowerCase(Locale.ROOT), type, List.of(), List.of(), List.of());
+        return new DnsMessage(
+                id,
+                false,
+                false,
+                NO_ERROR,
+                name.toLowerCase(Locale.ROOT),
+                type,
+                List.of(),
+                List.of(),
+                List.of());
     }
 
     /** The answer to this question. */
-    public DnsMessage answer(int withCode, List<Resource> withAnswers, List<Resource> withAuthority) {
-        return new DnsMessage(id, true, false, withCode, name, type, withAnswers, withAuthority, List.of());
+    public DnsMessage answer(
+            int withCode, List<Resource> withAnswers, List<Resource> withAuthority) {
+        return new DnsMessage(
+                id, true, false, withCode, name, type, withAnswers, withAuthority, List.of());
     }
 
     /** The same with these beside. */
     public DnsMessage with(List<Resource> beside) {
-        return new DnsMessage(id, response, truncated, code, name, type, answers, authority, beside);
+        return new DnsMessage(
+                id, response, truncated, code, name, type, answers, authority, beside);
     }
 
     /** The same without records, to be asked again over TCP (RFC 1035 section 4.2.1). */
@@ -59,7 +87,12 @@
     public byte[] bytes() {
         Writer out = new Writer();
         out.two(id);
-        out.two((response ? 0x8000 : 0) | (truncated ? 0x0200 : 0) | 0x0100 | (response ? 0x0080 : 0) | code);
+        out.two(
+                (response ? 0x8000 : 0)
+                        | (truncated ? 0x0200 : 0)
+                        | 0x0100
+                        | (response ? 0x0080 : 0)
+                        | code);
         out.two(1);
         out.two(answers.size());
         out.two(authority.size());
@@ -122,8 +155,16 @@
         if (in.two() != INTERNET) {
             throw new BadDns("a class that is not IN");
         }
-        return new DnsMessage(id, (flags & 0x8000) != 0, (flags & 0x0200) != 0, flags & 15, name, type,
-                in.resources(answers), in.resources(authority), in.resources(additional));
+        return new DnsMessage(
+                id,
+                (flags & 0x8000) != 0,
+                (flags & 0x0200) != 0,
+                flags & 15,
+                name,
+                type,
+                in.resources(answers),
+                in.resources(authority),
+                in.resources(additional));
     }
 
     private static final class Reader {
@@ -145,7 +186,10 @@
             return one() << 8 | one();
         }
 
-        /** A name; a pointer leads only to what stands before it, so that none goes round in a circle. */
+        /**
+         * A name; a pointer leads only to what stands before it, so that none goes round in a
+         * circle.
+         */
         String name() throws BadDns {
             StringBuilder name = new StringBuilder();
             int back = -1;
@@ -172,7 +216,9 @@
                     throw new BadDns("a name of more than " + LONGEST_NAME + " bytes");
                 }
                 name.append(name.length() == 0 ? "" : ".");
-                name.append(new String(bytes, at, length, StandardCharsets.ISO_8859_1).toLowerCase(Locale.ROOT));
+                name.append(
+                        new String(bytes, at, length, StandardCharsets.ISO_8859_1)
+                                .toLowerCase(Locale.ROOT));
                 at += length;
             }
             at = back < 0 ? at : back;
@@ -192,7 +238,12 @@
             at += before;
             byte[] name = plainName(name());
             if (at != end) {
-                throw new BadDns("record data of " + length + " bytes that ends " + (at - end) + " past its length");
+                throw new BadDns(
+                        "record data of "
+                                + length
+                                + " bytes that ends "
+                                + (at - end)
+                                + " past its length");
             }
             byte[] data = Arrays.copyOf(head, before + name.length);
             System.arraycopy(name, 0, data, before, name.length);
@@ -208,7 +259,12 @@
                 long life = (long) two() << 16 | two();
                 int length = two();
                 if (at + length > bytes.length) {
-                    throw new BadDns("record data of " + length + " bytes where " + (bytes.length - at) + " are left");
+                    throw new BadDns(
+                            "record data of "
+                                    + length
+                                    + " bytes where "
+                                    + (bytes.length - at)
+                                    + " are left");
                 }
                 byte[] data = data(type, length);
                 list.add(new Resource(name, type, life > LIFE_MOST ? 0 : life, data));
@@ -230,7 +286,10 @@
         return out.bytes.toByteArray();
     }
 
-    /** The seconds for which it may be remembered that there is no such record (RFC 2308 section 5); 0 if not told. */
+    /**
+     * The seconds for which it may be remembered that there is no such record (RFC 2308 section 5);
+     * 0 if not told.
+     */
     public long negativeLife() {
         for (Resource each : authority) {
             if (each.type == SOA && each.data.length >= 20) {
--- a/src/main/java/coralcove/dns/Enum.java
+++ b/src/main/java/coralcove/dns/Enum.java
@@ -4,9 +4,15 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Numbers in the DNS: the name that a number has (RFC 6116 section 3.2) and what its records say of a move. */
+/**
+ * Numbers in the DNS: the name that a number has (RFC 6116 section 3.2) and what its records say of
+ * a move.
+ */
 public final class Enum {
-    /** What a number's records say: its routing number's digits, or "" if it has not moved; {@code life} in seconds. */
+    /**
+     * What a number's records say: its routing number's digits, or "" if it has not moved; {@code
+     * life} in seconds.
+     */
     public record Ported(String routing, long life) {}
 
     private Enum() {}
@@ -30,8 +36,9 @@
     }
 
     /**
-     * By order, then preference, the first record with a tel URI; its {@code rn} is the routing number, also written
-     * with the prefix of its context (RFC 4694 section 4). Without one the number has not moved.
+     * By order, then preference, the first record with a tel URI; its {@code rn} is the routing
+     * number, also written with the prefix of its context (RFC 4694 section 4). Without one the
+     * number has not moved.
      */
     public static Ported ported(DnsMessage answer, String digits) throws BadDns {
         record Ranked(Naptr it, long life) {}
@@ -44,7 +51,9 @@
                 }
             }
         }
-        found.sort(Comparator.<Ranked>comparingInt(r -> r.it.order()).thenComparingInt(r -> r.it.preference()));
+        found.sort(
+                Comparator.<Ranked>comparingInt(r -> r.it.order())
+                        .thenComparingInt(r -> r.it.preference()));
         for (Ranked each : found) {
             String uri = each.it.uri(digits);
             if (uri != null && uri.toLowerCase(Locale.ROOT).startsWith("tel:")) {
--- a/src/main/java/coralcove/dns/Locator.java
+++ b/src/main/java/coralcove/dns/Locator.java
@@ -12,9 +12,10 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Keeps what DNS says of where each number's router is: SRV (RFC 2782), then the addresses of its targets, from the
- * additional data or asked for, IPv4 and IPv6. Records are asked for again shortly before their end, at moments spread by
- * chance. It tells addresses of the best priority that has any; what they are worth is decided elsewhere.
+ * Keeps what DNS says of where each number's router is: SRV (RFC 2782), then the addresses of its
+ * targets, from the additional data or asked for, IPv4 and IPv6. Records are asked for again
+ * shortly before their end, at moments spread by chance. It tells addresses of the best priority
+ * that has any; what they are worth is decided elsewhere.
  */
 public final class Locator {
     /** What is told of a number; {@code stale}: nobody answers, and this is past its life. */
@@ -24,15 +25,28 @@
         void log(String event, String detail);
     }
 
-    /** Targets of one number that are looked at, the best first; 200 records are read, and these of them used. */
+    /**
+     * Targets of one number that are looked at, the best first; 200 records are read, and these of
+     * them used.
+     */
     private static final int MOST_TARGETS = 8;
+
     /** µs until a name is asked for again of which nobody knew anything. */
     private static final long AGAIN = 5_000_000;
-    /** µs between two questions for one name at the most: a day's life must not hide a move for a day. */
+
+    /**
+     * µs between two questions for one name at the most: a day's life must not hide a move for a
+     * day.
+     */
     private static final long EVERY_MOST = 600_000_000;
-    /** Part of its life after which a record is looked at again, and what chance takes off it: in its last tenth it is
-     * asked for anew while it still holds, so that none expires under a burst of calls. */
+
+    /**
+     * Part of its life after which a record is looked at again, and what chance takes off it: in
+     * its last tenth it is asked for anew while it still holds, so that none expires under a burst
+     * of calls.
+     */
     private static final double ASK_FROM = 0.99;
+
     private static final double ASK_SPREAD = 0.08;
 
     private static final class Watched {
@@ -71,9 +85,12 @@
                     done(now, List.of());
                     return;
                 }
-                List<Srv> targets = groups.get(group).subList(0, Math.min(MOST_TARGETS, groups.get(group).size()));
+                List<Srv> targets =
+                        groups.get(group)
+                                .subList(0, Math.min(MOST_TARGETS, groups.get(group).size()));
                 found.clear();
-                // One more until all are asked, so that answers from memory do not end the group early.
+                // One more until all are asked, so that answers from memory do not end the group
+                // early.
                 open = 1;
                 targets.forEach(each -> target(now, each));
                 open--;
@@ -86,29 +103,50 @@
         private void target(long now, Srv target) {
             List<String> addresses = new ArrayList<>();
             found.put(target, addresses);
-            List<Resource> along = additional.stream().filter(r -> r.name().equals(target.target())
-                    && (r.type() == DnsMessage.A || r.type() == DnsMessage.AAAA)).toList();
+            List<Resource> along =
+                    additional.stream()
+                            .filter(
+                                    r ->
+                                            r.name().equals(target.target())
+                                                    && (r.type() == DnsMessage.A
+                                                            || r.type() == DnsMessage.AAAA))
+                            .toList();
             if (!along.isEmpty()) {
                 along.forEach(r -> add(addresses, r, target.port()));
-                life = Math.min(life, along.stream().mapToLong(Resource::life).min().orElse(0) * 1_000_000);
+                life =
+                        Math.min(
+                                life,
+                                along.stream().mapToLong(Resource::life).min().orElse(0)
+                                        * 1_000_000);
                 return;
             }
             for (int type : new int[] {DnsMessage.A, DnsMessage.AAAA}) {
                 open++;
-                lookups.ask(now, target.target(), type, (at, answer) -> {
-                    answer.records().forEach(r -> add(addresses, r, target.port()));
-                    stale |= answer.worth() == Lookups.Worth.STALE;
-                    failed |= answer.worth() == Lookups.Worth.NONE;
-                    life = answer.worth() == Lookups.Worth.FRESH ? Math.min(life, answer.life()) : 0;
-                    open--;
-                    if (open == 0 && !ended(at)) {
-                        next(at);
-                    }
-                }, questions);
+                lookups.ask(
+                        now,
+                        target.target(),
+                        type,
+                        (at, answer) -> {
+                            answer.records().forEach(r -> add(addresses, r, target.port()));
+                            stale |= answer.worth() == Lookups.Worth.STALE;
+                            failed |= answer.worth() == Lookups.Worth.NONE;
+                            life =
+                                    answer.worth() == Lookups.Worth.FRESH
+                                            ? Math.min(life, answer.life())
+                                            : 0;
+                            open--;
+                            if (open == 0 && !ended(at)) {
+                                next(at);
+                            }
+                        },
+                        questions);
             }
         }
 
-        /** Whether this group has an address, so that the search has ended; else the next group is up. */
+        /**
+         * Whether this group has an address, so that the search has ended; else the next group is
+         * up.
+         */
         private boolean ended(long now) {
             List<String> all = found.values().stream().flatMap(List::stream).distinct().toList();
             group++;
@@ -136,14 +174,26 @@
     private final List<Watched> watched = new ArrayList<>();
     private final TreeMap<Long, List<Watched>> due = new TreeMap<>();
 
-    /** {@code transport} is udp or tcp; {@code names} gives a number's name, without the service before it. */
-    public Locator(List<Integer> numbers, IntFunction<String> names, String transport, RandomGenerator chance,
-            Lookups.Out questions, Out out) {
+    /**
+     * {@code transport} is udp or tcp; {@code names} gives a number's name, without the service
+     * before it.
+     */
+    public Locator(
+            List<Integer> numbers,
+            IntFunction<String> names,
+            String transport,
+            RandomGenerator chance,
+            Lookups.Out questions,
+            Out out) {
         this.questions = questions;
         this.chance = chance;
         this.out = out;
         this.transport = transport;
-        numbers.forEach(number -> watched.add(new Watched(number, "_sip._" + transport + "." + names.apply(number))));
+        numbers.forEach(
+                number ->
+                        watched.add(
+                                new Watched(
+                                        number, "_sip._" + transport + "." + names.apply(number))));
     }
 
     public void start(long now) {
@@ -162,7 +212,12 @@
     public void tick(long now) {
         while (!due.isEmpty() && due.firstKey() <= now) {
             for (Watched each : due.pollFirstEntry().getValue()) {
-                lookups.ask(now, each.name, DnsMessage.SRV, (at, found) -> srv(at, each, found), questions);
+                lookups.ask(
+                        now,
+                        each.name,
+                        DnsMessage.SRV,
+                        (at, found) -> srv(at, each, found),
+                        questions);
             }
         }
     }
@@ -189,7 +244,8 @@
                 out.log("dns-bad", it.name + ": " + e.getMessage());
             }
         }
-        boolean notThere = records.isEmpty() || records.size() == 1 && records.get(0).target().isEmpty();
+        boolean notThere =
+                records.isEmpty() || records.size() == 1 && records.get(0).target().isEmpty();
         if (notThere) {
             out.located(now, it.number, List.of(), found.worth() == Lookups.Worth.STALE);
             again(now, it, found.life());
--- a/src/main/java/coralcove/dns/Naptr.java
+++ b/src/main/java/coralcove/dns/Naptr.java
@@ -8,7 +8,13 @@
 import java.util.regex.PatternSyntaxException;
 
 /** The data of a NAPTR record (RFC 3403 section 4). */
-public record Naptr(int order, int preference, String flags, String service, String regexp, String replacement) {
+public record Naptr(
+        int order,
+        int preference,
+        String flags,
+        String service,
+        String regexp,
+        String replacement) {
     /** Characters of an expression at most: it is run against a number of 16. */
     private static final int LONGEST = 255;
 
@@ -49,19 +55,32 @@
         }
         // ENUM's terminal rules have no replacement; one that has is not followed.
         String replacement = at < data.length && data[at] == 0 ? "" : "?";
-        return new Naptr(order, preference, texts[0].toLowerCase(Locale.ROOT), texts[1].toLowerCase(Locale.ROOT),
-                texts[2], replacement);
+        return new Naptr(
+                order,
+                preference,
+                texts[0].toLowerCase(Locale.ROOT),
+                texts[1].toLowerCase(Locale.ROOT),
+                texts[2],
+                replacement);
     }
 
-    /** The URI that the expression makes of {@code +number} (RFC 6116 section 3.2); null if it makes none. */
+    /**
+     * The URI that the expression makes of {@code +number} (RFC 6116 section 3.2); null if it makes
+     * none.
+     */
     public String uri(String number) {
-        if (!flags.equals("u") || !replacement.isEmpty() || regexp.length() < 3 || regexp.length() > LONGEST) {
+        if (!flags.equals("u")
+                || !replacement.isEmpty()
+                || regexp.length() < 3
+                || regexp.length() > LONGEST) {
             return null;
         }
         char mark = regexp.charAt(0);
         int middle = regexp.indexOf(mark, 1);
         int end = middle < 0 ? -1 : regexp.indexOf(mark, middle + 1);
-        if (end < 0 || regexp.length() > end + 2 || regexp.length() == end + 2 && regexp.charAt(end + 1) != 'i') {
+        if (end < 0
+                || regexp.length() > end + 2
+                || regexp.length() == end + 2 && regexp.charAt(end + 1) != 'i') {
             return null;
         }
         try {
@@ -79,7 +98,8 @@
             char c = put.charAt(i);
             if (c == '\\' && i + 1 < put.length()) {
                 char next = put.charAt(++i);
-                String group = next >= '0' && next <= '9' ? found.group(next - '0') : String.valueOf(next);
+                String group =
+                        next >= '0' && next <= '9' ? found.group(next - '0') : String.valueOf(next);
                 uri.append(group == null ? "" : group);
             } else {
                 uri.append(c);
--- a/src/main/java/coralcove/dns/Resolver.java
+++ b/src/main/java/coralcove/dns/Resolver.java
@@ -8,16 +8,18 @@
 import java.util.random.RandomGenerator;
 
 /**
- * A stub resolver without sockets and clock: questions, packets and times in, packets and answers out. Each try has an
- * id and a socket (so a port) by chance, and only what answers that question to that socket from that server is heard;
- * all else is counted and dropped (RFC 5452 section 9.1). A cut answer is asked for again over TCP.
+ * A stub resolver without sockets and clock: questions, packets and times in, packets and answers
+ * out. Each try has an id and a socket (so a port) by chance, and only what answers that question
+ * to that socket from that server is heard; all else is counted and dropped (RFC 5452 section 9.1).
+ * A cut answer is asked for again over TCP.
  */
 public final class Resolver {
     /** Where a name server listens, on UDP and TCP alike. */
     public record Server(String host, int port) {}
 
     /** Times in µs; {@code sockets} is how many ports there are to choose from. */
-    public record Settings(List<Server> servers, long tryFor, int tries, int sockets, int mostOut) {}
+    public record Settings(
+            List<Server> servers, long tryFor, int tries, int sockets, int mostOut) {}
 
     /** How a question ended: an answer with records or none, or no usable answer. */
     public record Result(DnsMessage answer, String failure) {}
@@ -26,7 +28,10 @@
     public interface Out {
         void datagram(int socket, Server to, byte[] bytes);
 
-        /** Opens a stream, writes this question in its two-byte frame, and hands back what is read under {@code key}. */
+        /**
+         * Opens a stream, writes this question in its two-byte frame, and hands back what is read
+         * under {@code key}.
+         */
         void stream(long key, Server to, byte[] bytes);
 
         void close(long key);
@@ -53,11 +58,17 @@
         }
     }
 
-    /** Tries to draw an id that is in use by no other question before it is given up: 65,536 are plenty. */
+    /**
+     * Tries to draw an id that is in use by no other question before it is given up: 65,536 are
+     * plenty.
+     */
     private static final int DRAWS = 8;
 
-    /** Failures in a row after which a server rests, and µs for how long: doubling up to the most. */
+    /**
+     * Failures in a row after which a server rests, and µs for how long: doubling up to the most.
+     */
     private static final int FAILURES = 5;
+
     private static final long REST = 2_000_000;
     private static final long REST_MOST = 60_000_000;
 
@@ -71,8 +82,10 @@
     private final Map<Server, Health> health = new HashMap<>();
     private final Map<Integer, Question> byId = new HashMap<>();
     private final Map<Long, Question> byStream = new HashMap<>();
+
     /** By moment and a number that makes moments differ. */
     private final TreeMap<Long, List<Question>> due = new TreeMap<>();
+
     private final Map<String, Long> counts = new TreeMap<>();
     private long streams;
 
@@ -118,7 +131,10 @@
         byId.put(id, question);
         arm(now + settings.tryFor, question);
         count("sent");
-        out.datagram(question.socket, question.server, DnsMessage.question(id, question.name, question.type).bytes());
+        out.datagram(
+                question.socket,
+                question.server,
+                DnsMessage.question(id, question.name, question.type).bytes());
     }
 
     /** Servers in turn, but those that rest; the one whose turn it is where all do. */
@@ -167,7 +183,8 @@
     /** A datagram came to one of the sockets. */
     public void datagram(long now, int socket, Server from, byte[] bytes, Out out) {
         // The id alone tells whose it may be, also of a packet that cannot be read further.
-        Question question = bytes.length < 2 ? null : byId.get((bytes[0] & 255) << 8 | bytes[1] & 255);
+        Question question =
+                bytes.length < 2 ? null : byId.get((bytes[0] & 255) << 8 | bytes[1] & 255);
         if (question == null || question.socket != socket || !question.server.equals(from)) {
             count("unasked");
             return;
@@ -198,12 +215,15 @@
         try {
             answer = DnsMessage.read(bytes);
         } catch (BadDns e) {
-            // Only who saw the question knows its id and port: the server itself is broken, the next may not be.
+            // Only who saw the question knows its id and port: the server itself is broken, the
+            // next may not be.
             count("malformed");
             next(now, question, "malformed: " + e.getMessage(), out);
             return;
         }
-        if (!answer.response() || answer.id() != question.id || !answer.name().equals(question.name)
+        if (!answer.response()
+                || answer.id() != question.id
+                || !answer.name().equals(question.name)
                 || answer.type() != question.type) {
             // Perhaps forged, perhaps the answer to another question: the right one may still come.
             count("other-question");
@@ -220,7 +240,9 @@
             question.key = ++streams;
             question.stream = true;
             byStream.put(question.key, question);
-            out.stream(question.key, question.server,
+            out.stream(
+                    question.key,
+                    question.server,
                     DnsMessage.question(question.id, question.name, question.type).bytes());
             return;
         }
--- a/src/main/java/coralcove/dns/ServiceZone.java
+++ b/src/main/java/coralcove/dns/ServiceZone.java
@@ -8,7 +8,10 @@
 import java.util.TreeSet;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** A stand-in's zone of services: SRV records, the addresses of their targets beside them, and aliases. */
+/**
+ * A stand-in's zone of services: SRV records, the addresses of their targets beside them, and
+ * aliases.
+ */
 public final class ServiceZone implements DnsStandIn.Zone {
     private final String domain;
     private final long life;
@@ -45,7 +48,11 @@
 
     /** What is said of a name from now on: this service alone. */
     public ServiceZone only(String name, String target, int port) {
-        records.put(name, List.of(new Resource(name, DnsMessage.SRV, life, new Srv(1, 1, port, target).bytes())));
+        records.put(
+                name,
+                List.of(
+                        new Resource(
+                                name, DnsMessage.SRV, life, new Srv(1, 1, port, target).bytes())));
         return this;
     }
 
@@ -56,12 +63,15 @@
     }
 
     private ServiceZone add(String name, int type, byte[] data) {
-        records.computeIfAbsent(name, n -> new ArrayList<>()).add(new Resource(name, type, life, data));
+        records.computeIfAbsent(name, n -> new ArrayList<>())
+                .add(new Resource(name, type, life, data));
         return this;
     }
 
     private List<Resource> of(String name, int type) {
-        return records.getOrDefault(name, List.of()).stream().filter(r -> r.type() == type).toList();
+        return records.getOrDefault(name, List.of()).stream()
+                .filter(r -> r.type() == type)
+                .toList();
     }
 
     @Override
@@ -69,7 +79,9 @@
         List<Resource> answers = new ArrayList<>();
         Set<String> seen = new TreeSet<>();
         String name = question.name();
-        while (seen.add(name) && of(name, question.type()).isEmpty() && !of(name, DnsMessage.CNAME).isEmpty()) {
+        while (seen.add(name)
+                && of(name, question.type()).isEmpty()
+                && !of(name, DnsMessage.CNAME).isEmpty()) {
             answers.addAll(of(name, DnsMessage.CNAME));
             try {
                 name = DnsMessage.plainName(of(name, DnsMessage.CNAME).get(0).data(), 0);
@@ -81,8 +93,12 @@
         if (answers.isEmpty()) {
             byte[] soa = new byte[22];
             soa[21] = (byte) Math.min(60, life);
-            return question.answer(records.containsKey(question.name()) ? DnsMessage.NO_ERROR : DnsMessage.NO_SUCH_NAME,
-                    List.of(), List.of(new Resource(domain, DnsMessage.SOA, Math.min(60, life), soa)));
+            return question.answer(
+                    records.containsKey(question.name())
+                            ? DnsMessage.NO_ERROR
+                            : DnsMessage.NO_SUCH_NAME,
+                    List.of(),
+                    List.of(new Resource(domain, DnsMessage.SOA, Math.min(60, life), soa)));
         }
         List<Resource> along = new ArrayList<>();
         for (Resource each : beside ? answers : List.<Resource>of()) {
--- a/src/main/java/coralcove/dns/Srv.java
+++ b/src/main/java/coralcove/dns/Srv.java
@@ -32,15 +32,24 @@
     }
 
     /**
-     * Groups of equal priority, the lowest first, each in an order drawn by weight as RFC 2782 has it: a record's chance to be
-     * next is its weight's share, and those of weight 0 have a very small one.
+     * Groups of equal priority, the lowest first, each in an order drawn by weight as RFC 2782 has
+     * it: a record's chance to be next is its weight's share, and those of weight 0 have a very
+     * small one.
      */
     public static List<List<Srv>> order(List<Srv> records, RandomGenerator chance) {
         TreeMap<Integer, List<Srv>> byPriority = new TreeMap<>();
         // Equal records in equal order, whatever order the server put them in.
-        records.stream().distinct().sorted(Comparator.comparingInt(Srv::weight).thenComparing(Srv::target)
-                .thenComparingInt(Srv::port)).forEach(each -> byPriority.computeIfAbsent(each.priority,
-                p -> new ArrayList<>()).add(each));
+        records.stream()
+                .distinct()
+                .sorted(
+                        Comparator.comparingInt(Srv::weight)
+                                .thenComparing(Srv::target)
+                                .thenComparingInt(Srv::port))
+                .forEach(
+                        each ->
+                                byPriority
+                                        .computeIfAbsent(each.priority, p -> new ArrayList<>())
+                                        .add(each));
         List<List<Srv>> groups = new ArrayList<>();
         for (List<Srv> left : byPriority.values()) {
             List<Srv> drawn = new ArrayList<>();
--- a/src/main/java/coralcove/dns/transport/DnsClient.java
+++ b/src/main/java/coralcove/dns/transport/DnsClient.java
@@ -20,14 +20,19 @@
 import org.apache.mina.transport.socket.nio.NioSocketConnector;
 
 /**
- * The resolver on Apache MINA: one thread owns it, sockets are connected, each from a port that the system draws, and
- * are replaced after a while. Answers are handed over on the resolver's thread.
+ * The resolver on Apache MINA: one thread owns it, sockets are connected, each from a port that the
+ * system draws, and are replaced after a while. Answers are handed over on the resolver's thread.
  */
 public final class DnsClient implements Questions, AutoCloseable {
-    /** Datagrams sent by one socket before it is replaced: a port that is used for long can be guessed. */
+    /**
+     * Datagrams sent by one socket before it is replaced: a port that is used for long can be
+     * guessed.
+     */
     private static final int USES = 1000;
+
     /** Milliseconds to open a stream at most. */
     private static final int CONNECT = 1000;
+
     private static final String INDEX = "index";
     private static final String KEY = "key";
 
@@ -52,11 +57,13 @@
     public DnsClient(Resolver.Settings settings, RandomGenerator chance) {
         resolver = new Resolver(settings, chance);
         tryFor = settings.tryFor();
-        thread = Executors.newSingleThreadScheduledExecutor(r -> {
-            Thread made = new Thread(r, "resolver");
-            made.setDaemon(true);
-            return made;
-        });
+        thread =
+                Executors.newSingleThreadScheduledExecutor(
+                        r -> {
+                            Thread made = new Thread(r, "resolver");
+                            made.setDaemon(true);
+                            return made;
+                        });
         datagrams.setHandler(new Datagrams());
         streams.setHandler(new Streams());
         streams.setConnectTimeoutMillis(CONNECT);
@@ -67,7 +74,10 @@
         return System.nanoTime() / 1000;
     }
 
-    /** Asks; {@code done} is called once, on the resolver's thread. After {@link #close} nothing is asked. */
+    /**
+     * Asks; {@code done} is called once, on the resolver's thread. After {@link #close} nothing is
+     * asked.
+     */
     @Override
     public void ask(String name, int type, Consumer<Resolver.Result> done) {
         run(() -> resolver.ask(now(), name, type, done, outputs));
@@ -75,10 +85,11 @@
 
     private void run(Runnable act) {
         try {
-            thread.execute(() -> {
-                act.run();
-                arm();
-            });
+            thread.execute(
+                    () -> {
+                        act.run();
+                        arm();
+                    });
         } catch (RejectedExecutionException e) {
             // Closed: nobody waits for what comes now.
         }
@@ -88,11 +99,14 @@
         long due = resolver.due();
         if (due < armed) {
             armed = due;
-            thread.schedule(() -> {
-                armed = Long.MAX_VALUE;
-                resolver.tick(now(), outputs);
-                arm();
-            }, Math.max(0, due - now()), TimeUnit.MICROSECONDS);
+            thread.schedule(
+                    () -> {
+                        armed = Long.MAX_VALUE;
+                        resolver.tick(now(), outputs);
+                        arm();
+                    },
+                    Math.max(0, due - now()),
+                    TimeUnit.MICROSECONDS);
         }
     }
 
@@ -115,7 +129,8 @@
             }
             if (socket.session == null) {
                 socket.uses = 1;
-                ConnectFuture connected = datagrams.connect(new InetSocketAddress(to.host(), to.port()));
+                ConnectFuture connected =
+                        datagrams.connect(new InetSocketAddress(to.host(), to.port()));
                 connected.awaitUninterruptibly();
                 if (!connected.isConnected()) {
                     return;
@@ -128,19 +143,21 @@
 
         @Override
         public void stream(long key, Resolver.Server to, byte[] bytes) {
-            streams.connect(new InetSocketAddress(to.host(), to.port())).addListener(future -> {
-                ConnectFuture done = (ConnectFuture) future;
-                if (!done.isConnected()) {
-                    run(() -> resolver.broken(now(), key, this));
-                    return;
-                }
-                IoSession session = done.getSession();
-                session.setAttribute(KEY, key);
-                IoBuffer framed = IoBuffer.allocate(bytes.length + 2);
-                framed.putShort((short) bytes.length).put(bytes).flip();
-                session.write(framed);
-                run(() -> open.put(key, session));
-            });
+            streams.connect(new InetSocketAddress(to.host(), to.port()))
+                    .addListener(
+                            future -> {
+                                ConnectFuture done = (ConnectFuture) future;
+                                if (!done.isConnected()) {
+                                    run(() -> resolver.broken(now(), key, this));
+                                    return;
+                                }
+                                IoSession session = done.getSession();
+                                session.setAttribute(KEY, key);
+                                IoBuffer framed = IoBuffer.allocate(bytes.length + 2);
+                                framed.putShort((short) bytes.length).put(bytes).flip();
+                                session.write(framed);
+                                run(() -> open.put(key, session));
+                            });
         }
 
         @Override
@@ -162,10 +179,11 @@
         @Override
         public void messageReceived(IoSession session, Object message) {
             byte[] bytes = Mina.bytes(message);
-            run(() -> {
-                Place place = (Place) session.getAttribute(INDEX);
-                resolver.datagram(now(), place.socket, place.server, bytes, outputs);
-            });
+            run(
+                    () -> {
+                        Place place = (Place) session.getAttribute(INDEX);
+                        resolver.datagram(now(), place.socket, place.server, bytes, outputs);
+                    });
         }
 
         @Override
@@ -188,10 +206,11 @@
         public void sessionClosed(IoSession session) {
             Long key = (Long) session.getAttribute(KEY);
             if (key != null) {
-                run(() -> {
-                    open.remove(key);
-                    resolver.broken(now(), key, outputs);
-                });
+                run(
+                        () -> {
+                            open.remove(key);
+                            resolver.broken(now(), key, outputs);
+                        });
             }
         }
 
--- a/src/main/java/coralcove/dns/transport/DnsServer.java
+++ b/src/main/java/coralcove/dns/transport/DnsServer.java
@@ -13,7 +13,10 @@
 import org.apache.mina.transport.socket.nio.NioDatagramAcceptor;
 import org.apache.mina.transport.socket.nio.NioSocketAcceptor;
 
-/** The stand-in portability server on Apache MINA, UDP and TCP on one port; one thread owns the server. */
+/**
+ * The stand-in portability server on Apache MINA, UDP and TCP on one port; one thread owns the
+ * server.
+ */
 public final class DnsServer implements AutoCloseable {
     private final DnsStandIn server;
     private final ScheduledExecutorService thread;
@@ -23,11 +26,13 @@
     /** Binds both; a port in use ends in an IOException that names the address. */
     public DnsServer(String host, int port, DnsStandIn server) throws IOException {
         this.server = server;
-        thread = Executors.newSingleThreadScheduledExecutor(r -> {
-            Thread made = new Thread(r, "portability");
-            made.setDaemon(true);
-            return made;
-        });
+        thread =
+                Executors.newSingleThreadScheduledExecutor(
+                        r -> {
+                            Thread made = new Thread(r, "portability");
+                            made.setDaemon(true);
+                            return made;
+                        });
         datagrams.setHandler(new Handler(false));
         streams.setHandler(new Handler(true));
         streams.setReuseAddress(true);
@@ -64,8 +69,15 @@
             byte[] read = Mina.bytes(message);
             byte[] question = stream ? Frames.take(session, read) : read;
             if (question != null && !thread.isShutdown()) {
-                thread.execute(() -> server.ask(question, stream).forEach(packet -> thread.schedule(
-                        () -> send(session, packet.bytes()), packet.delay(), TimeUnit.MICROSECONDS)));
+                thread.execute(
+                        () ->
+                                server.ask(question, stream)
+                                        .forEach(
+                                                packet ->
+                                                        thread.schedule(
+                                                                () -> send(session, packet.bytes()),
+                                                                packet.delay(),
+                                                                TimeUnit.MICROSECONDS)));
             }
         }
 
--- a/src/main/java/coralcove/dns/transport/Frames.java
+++ b/src/main/java/coralcove/dns/transport/Frames.java
@@ -3,15 +3,22 @@
 import java.util.Arrays;
 import org.apache.mina.core.session.IoSession;
 
-/** Messages on a stream: two bytes of length before each (RFC 1035 section 4.2.2). One message a stream is read. */
+/**
+ * Messages on a stream: two bytes of length before each (RFC 1035 section 4.2.2). One message a
+ * stream is read.
+ */
 final class Frames {
     private static final String HELD = "held";
+
     /** Bytes kept of a stream at most: one message of the largest size. */
     private static final int MOST = 65_537;
 
     private Frames() {}
 
-    /** Adds what was read; a whole message, or null while there is none. A stream that brings more is closed. */
+    /**
+     * Adds what was read; a whole message, or null while there is none. A stream that brings more
+     * is closed.
+     */
     static byte[] take(IoSession session, byte[] bytes) {
         byte[] held = (byte[]) session.getAttribute(HELD, new byte[0]);
         if (held.length + bytes.length > MOST) {
--- a/src/main/java/coralcove/drill/Drill.java
+++ b/src/main/java/coralcove/drill/Drill.java
@@ -20,7 +20,10 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The simulator's wire: batches in, replies out, one {@link Line} for each instance. It decides nothing. */
+/**
+ * The simulator's wire: batches in, replies out, one {@link Line} for each instance. It decides
+ * nothing.
+ */
 public final class Drill {
     private static final int HEADER = 16;
     private static final int RECORD = 48;
@@ -45,11 +48,13 @@
             }
             int size = ByteBuffer.wrap(length).order(ByteOrder.LITTLE_ENDIAN).getInt();
             if (size < HEADER || size > LARGEST) {
-                throw new BadFrame("frame: length " + Integer.toUnsignedString(size) + " cannot be");
+                throw new BadFrame(
+                        "frame: length " + Integer.toUnsignedString(size) + " cannot be");
             }
             byte[] body = input.readNBytes(size);
             if (body.length < size) {
-                throw new BadFrame("frame: " + size + " bytes announced, input ends after " + body.length);
+                throw new BadFrame(
+                        "frame: " + size + " bytes announced, input ends after " + body.length);
             }
             out.write(drill.answer(ByteBuffer.wrap(body).order(ByteOrder.LITTLE_ENDIAN)));
             out.flush();
@@ -61,13 +66,25 @@
         long clock = frame.getLong(4);
         int batch = frame.getInt(12);
         if (count < 0 || count > (frame.limit() - HEADER) / RECORD) {
-            throw new BadFrame("batch " + batch + ": " + Integer.toUnsignedString(count) + " records do not fit");
+            throw new BadFrame(
+                    "batch "
+                            + batch
+                            + ": "
+                            + Integer.toUnsignedString(count)
+                            + " records do not fit");
         }
         Reply reply = new Reply();
         Set<Line> woken = new LinkedHashSet<>();
         for (int i = 0; i < count; i++) {
-            event(new Event(frame, HEADER + i * RECORD, HEADER + count * RECORD, "batch " + batch + " record " + i),
-                    clock, reply, woken);
+            event(
+                    new Event(
+                            frame,
+                            HEADER + i * RECORD,
+                            HEADER + count * RECORD,
+                            "batch " + batch + " record " + i),
+                    clock,
+                    reply,
+                    woken);
         }
         for (Line line : woken) {
             if (lines.get(line.who()) == line) {
@@ -106,7 +123,12 @@
             int kind = event.u8(3);
             List<Exchange> list = ledgers.get(event.u16(12));
             if (kind > 3 || kind < 3 && list == null) {
-                throw new BadFrame(event.where() + ": list of kind " + kind + " names ledger " + event.u16(12));
+                throw new BadFrame(
+                        event.where()
+                                + ": list of kind "
+                                + kind
+                                + " names ledger "
+                                + event.u16(12));
             }
             line.list(clock, kind, list);
         } else {
@@ -132,8 +154,12 @@
             if (phase < 0 || phase > 2) {
                 throw new BadFrame(event.where() + ": phase " + phase + " cannot be");
             }
-            list.add(new Exchange(in.getInt(at + 12) & 0xffffffffL, in.getShort(at + 16) & 0xffff,
-                    Phase.values()[phase], Micros.up(in.getLong(at + 2))));
+            list.add(
+                    new Exchange(
+                            in.getInt(at + 12) & 0xffffffffL,
+                            in.getShort(at + 16) & 0xffff,
+                            Phase.values()[phase],
+                            Micros.up(in.getLong(at + 2))));
         }
         return list;
     }
