--- a/src/main/java/coralcove/drill/Line.java
+++ b/src/main/java/coralcove/drill/Line.java
@@ -17,10 +17,19 @@
 
 /** One instance on the simulator's wire: its call router, what it has in hand and its timers. */
 final class Line implements Wire {
-    private static final Ending[] ENDINGS = {Ending.ERROR, Ending.OVER, Ending.BUSY, Ending.TIMED_OUT,
-        Ending.UNREACHABLE, Ending.RESET, Ending.CANCELLED, Ending.NOT_SENT};
-    private static final Cause[] CAUSES = {Cause.NONE, Cause.NO_CIRCUIT, Cause.TURNED_BACK, Cause.PROCESSOR_FULL,
-        Cause.LINES_BUSY};
+    private static final Ending[] ENDINGS = {
+        Ending.ERROR,
+        Ending.OVER,
+        Ending.BUSY,
+        Ending.TIMED_OUT,
+        Ending.UNREACHABLE,
+        Ending.RESET,
+        Ending.CANCELLED,
+        Ending.NOT_SENT
+    };
+    private static final Cause[] CAUSES = {
+        Cause.NONE, Cause.NO_CIRCUIT, Cause.TURNED_BACK, Cause.PROCESSOR_FULL, Cause.LINES_BUSY
+    };
     private static final int WAKE = 0;
 
     private final int who;
@@ -29,6 +38,7 @@
     private final InHand inHand;
     private final Map<Integer, Long> timers = new HashMap<>();
     private int lastLabel = WAKE;
+
     /** The reply in the making, while an event is looked at. */
     private Reply reply;
 
@@ -78,14 +88,27 @@
 
     private void session(Event event, long clock) throws BadFrame {
         if (event.u8(7) >= services) {
-            throw new BadFrame(event.where() + ": service " + event.u8(7) + " is not in the settings");
+            throw new BadFrame(
+                    event.where() + ": service " + event.u8(7) + " is not in the settings");
         }
         int flags = event.u16(46);
         long now = Micros.up(clock);
         long limit = Micros.down(clock + event.i64(18));
-        inHand.take(now, new Session(event.u32(3), event.u8(7), event.u16(8), (int) event.f32(34),
-                (int) event.f32(38), (int) event.f32(42), (flags & 8) != 0, event.i64(10),
-                (flags & 2) != 0, (flags & 16) != 0, now, limit));
+        inHand.take(
+                now,
+                new Session(
+                        event.u32(3),
+                        event.u8(7),
+                        event.u16(8),
+                        (int) event.f32(34),
+                        (int) event.f32(38),
+                        (int) event.f32(42),
+                        (flags & 8) != 0,
+                        event.i64(10),
+                        (flags & 2) != 0,
+                        (flags & 16) != 0,
+                        now,
+                        limit));
     }
 
     private void verdict(Event event, long now) throws BadFrame {
@@ -95,10 +118,19 @@
         }
         int reason = event.i32(24);
         int low = reason & 15;
-        Cause cause = low == 2 && (reason & 16) != 0 ? Cause.FULL_BEYOND : low < CAUSES.length ? CAUSES[low]
-                : Cause.NONE;
+        Cause cause =
+                low == 2 && (reason & 16) != 0
+                        ? Cause.FULL_BEYOND
+                        : low < CAUSES.length ? CAUSES[low] : Cause.NONE;
         long wait = cause == Cause.PROCESSOR_FULL ? (reason >>> 4) * 1000L : 0;
-        inHand.ended(now, event.u32(3), ENDINGS[ending], cause, event.u32(9), Micros.up(event.i64(15)), wait,
+        inHand.ended(
+                now,
+                event.u32(3),
+                ENDINGS[ending],
+                cause,
+                event.u32(9),
+                Micros.up(event.i64(15)),
+                wait,
                 event.u8(23) != 0);
     }
 
--- a/src/main/java/coralcove/drill/Reply.java
+++ b/src/main/java/coralcove/drill/Reply.java
@@ -43,12 +43,19 @@
     byte[] frame(int batch) {
         int length = 8 + records.size() + tail.size();
         ByteBuffer out = ByteBuffer.allocate(4 + length).order(ByteOrder.LITTLE_ENDIAN);
-        out.putInt(length).putInt(count).putInt(batch).put(records.toByteArray()).put(tail.toByteArray());
+        out.putInt(length)
+                .putInt(count)
+                .putInt(batch)
+                .put(records.toByteArray())
+                .put(tail.toByteArray());
         return out.array();
     }
 
     private static ByteBuffer open(int code, int who) {
-        return ByteBuffer.allocate(RECORD).order(ByteOrder.LITTLE_ENDIAN).put((byte) code).putShort((short) who);
+        return ByteBuffer.allocate(RECORD)
+                .order(ByteOrder.LITTLE_ENDIAN)
+                .put((byte) code)
+                .putShort((short) who);
     }
 
     private void add(ByteBuffer record) {
--- a/src/main/java/coralcove/edge/EdgeCore.java
+++ b/src/main/java/coralcove/edge/EdgeCore.java
@@ -28,7 +28,6 @@
 import coralcove.sip.transaction.ServerTx;
 import coralcove.sources.Belief;
 import coralcove.sources.Roster;
-import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -38,27 +37,40 @@
 import java.util.function.Consumer;
 
 /**
- * One call router: it tells the module what happens and does what the module decides. Back to back user agent:
- * a session is a leg in and, one after another, legs out, all through the own exchange. It decides nothing.
+ * One call router: it tells the module what happens and does what the module decides. Back to back
+ * user agent: a session is a leg in and, one after another, legs out, all through the own exchange.
+ * It decides nothing.
  */
 public final class EdgeCore extends AgentCore implements RosterDesk.User, Locating {
     private static final String BUSY = "Temporarily Unavailable";
-    /** Bytes: a peer message longer than this is dropped and counted (the module's own bound is 256). */
+
+    /**
+     * Bytes: a peer message longer than this is dropped and counted (the module's own bound is
+     * 256).
+     */
     private static final int LONGEST_NEWS = 512;
+
     /** µs between two looks for what is remembered of moved numbers and of no use any more. */
     private static final long SWEEP = 60_000_000;
 
-    /** A session or a call for the own lines, from its INVITE until nothing more can come for it. */
+    /**
+     * A session or a call for the own lines, from its INVITE until nothing more can come for it.
+     */
     private static final class Held {
         final long id;
         final Call in;
         final long arrived;
         final long limit;
         CallHeaders headers;
+
         /** Null for a call to the own lines, and while the far end is not known yet. */
         Session session;
-        /** The way from the dialled number to the far end; null where the caller names the far end. */
+
+        /**
+         * The way from the dialled number to the far end; null where the caller names the far end.
+         */
         Search search;
+
         boolean holdsTable;
         Leg leg;
         Timers.Timer later;
@@ -75,7 +87,10 @@
         }
     }
 
-    /** One INVITE out; it keeps its circuits until it is over, also when its session no longer waits for it. */
+    /**
+     * One INVITE out; it keeps its circuits until it is over, also when its session no longer waits
+     * for it.
+     */
     private static final class Leg {
         final Held held;
         final int number;
@@ -108,21 +123,31 @@
     private NumberDesk numbers;
     private EdgeLink link;
     private EdgeLink.Out linkOut;
+
     public EdgeCore(EdgeSettings settings, CallRouter router) {
         super(settings.self(), settings.start());
         this.settings = settings;
         this.router = router;
-        roster = new RosterDesk(settings, agent, timers, this, new SplittableRandom(settings.seed()
-                ^ settings.start().hashCode()));
-    }
-
-    /** What was kept before this start, and who keeps what is said from now on; told before the start. */
+        roster =
+                new RosterDesk(
+                        settings,
+                        agent,
+                        timers,
+                        this,
+                        new SplittableRandom(settings.seed() ^ settings.start().hashCode()));
+    }
+
+    /**
+     * What was kept before this start, and who keeps what is said from now on; told before the
+     * start.
+     */
     public int resume(long now, List<Roster.Said> kept, Consumer<List<Roster.Said>> keep) {
         return roster.resume(now, kept, keep);
     }
 
     @Override
-    public void locate(long now, LocatorSettings of, Questions questions, Consumer<LocatorResult> results) {
+    public void locate(
+            long now, LocatorSettings of, Questions questions, Consumer<LocatorResult> results) {
         roster.locate(now, of, questions, results);
     }
 
@@ -202,7 +227,7 @@
         if (waiting.until() > 0 && waiting.until() != wakeAt) {
             timers.cancel(wake);
             wakeAt = waiting.until();
-            wake = timers.set(wakeAt, (at, o) -> { });
+            wake = timers.set(wakeAt, (at, o) -> {});
         }
     }
 
@@ -215,13 +240,27 @@
             headers = CallHeaders.of(call.invite(), settings.module().services().size());
         } catch (IllegalArgumentException e) {
             agent.count("bad-invite");
-            agent.reject(now, call, 400, "Bad Request", out, "Warning", "399 coralcove \"" + quoted(e) + "\"");
+            agent.reject(
+                    now,
+                    call,
+                    400,
+                    "Bad Request",
+                    out,
+                    "Warning",
+                    "399 coralcove \"" + quoted(e) + "\"");
             return;
         }
         boolean dialled = headers.farEnd() < 0;
         if (dialled && numbers == null) {
             agent.count("bad-invite");
-            agent.reject(now, call, 400, "Bad Request", out, "Warning", "399 coralcove \"X-Far-End is missing\"");
+            agent.reject(
+                    now,
+                    call,
+                    400,
+                    "Bad Request",
+                    out,
+                    "Warning",
+                    "399 coralcove \"X-Far-End is missing\"");
             return;
         }
         if (!dialled && !reachable(headers.farEnd())) {
@@ -230,14 +269,21 @@
             return;
         }
         if (bySession.containsKey(call.sessionId())) {
-            // The same session again while it is in hand: it went round in a circle (RFC 3261 16.3).
+            // The same session again while it is in hand: it went round in a circle (RFC 3261
+            // 16.3).
             agent.count("482");
             agent.reject(now, call, 482, "Loop Detected", out);
             return;
         }
         if (stopping || unanswered >= settings.mostOpen()) {
             agent.count(stopping ? "stopping" : "too-many-open");
-            agent.reject(now, call, 503, "Service Unavailable", out, "Retry-After",
+            agent.reject(
+                    now,
+                    call,
+                    503,
+                    "Service Unavailable",
+                    out,
+                    "Retry-After",
                     Outcomes.retryAfter(settings.module().longestComeBack()));
             return;
         }
@@ -260,7 +306,13 @@
             circuits(now, headers.origin());
         }
         if (dialled) {
-            held.search = new Search(numbers.tables.enter(), held.id, headers.number(), headers.service(), limit);
+            held.search =
+                    new Search(
+                            numbers.tables.enter(),
+                            held.id,
+                            headers.number(),
+                            headers.service(),
+                            limit);
             held.holdsTable = true;
             follow(now, held, held.search.next(now, numbers.porting), out);
         } else {
@@ -282,13 +334,28 @@
         CallHeaders headers = held.headers;
         boolean mine = headers.farEnd() == settings.number();
         boolean trunk = headers.origin() >= 0;
-        out.log(mine ? "arrived" : trunk ? "transit" : "session", held.in.sessionId(), "far end " + headers.farEnd());
+        out.log(
+                mine ? "arrived" : trunk ? "transit" : "session",
+                held.in.sessionId(),
+                "far end " + headers.farEnd());
         if (mine) {
             deliver(now, held, held.limit, out);
             return;
         }
-        held.session = new Session(held.id, headers.service(), 0, headers.farEnd(), headers.width(), -1, trunk,
-                digits(headers.number()), headers.redial(), headers.cut(), held.arrived, held.limit);
+        held.session =
+                new Session(
+                        held.id,
+                        headers.service(),
+                        0,
+                        headers.farEnd(),
+                        headers.width(),
+                        -1,
+                        trunk,
+                        digits(headers.number()),
+                        headers.redial(),
+                        headers.cut(),
+                        held.arrived,
+                        held.limit);
         carryOut(now, held, router.route(now, held.session), out);
     }
 
@@ -322,7 +389,10 @@
         String id = held.in.sessionId();
         String table = "table " + held.search.version();
         if (step instanceof Search.Route route) {
-            out.log("far-end", id, table + " number " + route.number() + " far end " + route.farEnd());
+            out.log(
+                    "far-end",
+                    id,
+                    table + " number " + route.number() + " far end " + route.farEnd());
             held.headers = held.headers.to(route.farEnd());
             if (reachable(route.farEnd())) {
                 begin(now, held, out);
@@ -336,7 +406,14 @@
             if (no.number().isEmpty()) {
                 answer(now, held, no.status(), no.reason(), out);
             } else {
-                answer(now, held, no.status(), no.reason(), out, "Contact", "<tel:" + no.number() + ">");
+                answer(
+                        now,
+                        held,
+                        no.status(),
+                        no.reason(),
+                        out,
+                        "Contact",
+                        "<tel:" + no.number() + ">");
             }
         } else if (step instanceof Search.Wait wait) {
             out.log("portability", id, table + (wait.ask() ? " asks" : " waits"));
@@ -355,7 +432,8 @@
     }
 
     /** The portability server's answer, or that there is none; {@code life} in µs. */
-    public void ported(long now, long number, Porting.Outcome outcome, long routing, long life, Out out) {
+    public void ported(
+            long now, long number, Porting.Outcome outcome, long routing, long life, Out out) {
         for (long id : numbers.porting.ended(now, number, outcome, routing, life)) {
             Held held = open.get(id);
             if (held != null) {
@@ -374,10 +452,15 @@
             out.log("table-refused", "", e.getMessage());
             return;
         }
-        out.log("table", "", "version " + table.version() + ", " + numbers.tables.count() + " kept");
+        out.log(
+                "table",
+                "",
+                "version " + table.version() + ", " + numbers.tables.count() + " kept");
         if (!gone.isEmpty()) {
             for (Held held : List.copyOf(open.values())) {
-                if (held.holdsTable && !held.search.over() && gone.contains(held.search.version())) {
+                if (held.holdsTable
+                        && !held.search.over()
+                        && gone.contains(held.search.version())) {
                     timers.cancel(held.later);
                     held.search.gone(numbers.porting);
                     held.search.restart(numbers.tables.enter());
@@ -409,8 +492,15 @@
 
     private void noCircuit(long now, Call call, CallHeaders headers, Out out) {
         agent.count("no-circuit");
-        agent.reject(now, call, 503, "No Circuit", out, "Reason",
-                Outcomes.reason(Outcomes.NO_CIRCUIT, "no circuit"), "X-Circuits",
+        agent.reject(
+                now,
+                call,
+                503,
+                "No Circuit",
+                out,
+                "Reason",
+                Outcomes.reason(Outcomes.NO_CIRCUIT, "no circuit"),
+                "X-Circuits",
                 Integer.toString(trunks.busy(headers.origin())));
     }
 
@@ -420,17 +510,22 @@
         held.leg = leg;
         SipMessage invite = outgoing(held, limit - now);
         leg.call = agent.invite(now, invite, settings.exchange(), leg, out);
-        leg.limit = timers.set(limit, (at, o) -> {
-            agent.cancel(at, leg.call, o);
-            answer(at, held, 408, "Request Timeout", o);
-        });
+        leg.limit =
+                timers.set(
+                        limit,
+                        (at, o) -> {
+                            agent.cancel(at, leg.call, o);
+                            answer(at, held, 408, "Request Timeout", o);
+                        });
     }
 
     private SipMessage outgoing(Held held, long left) {
-        SipMessage invite = agent.request("INVITE", SipUri.text(held.headers.number(), settings.exchange()));
+        SipMessage invite =
+                agent.request("INVITE", SipUri.text(held.headers.number(), settings.exchange()));
         invite.set("Max-Forwards", Long.toString(held.in.invite().number("Max-Forwards", 70) - 1));
         CallHeaders.pass(held.in.invite(), invite);
-        return CallHeaders.write(invite, held.headers, held.headers.origin(), left, held.in.sessionId());
+        return CallHeaders.write(
+                invite, held.headers, held.headers.origin(), left, held.in.sessionId());
     }
 
     private void carryOut(long now, Held held, Answer answer, Out out) {
@@ -438,15 +533,18 @@
             case SEND -> send(now, held, answer, out);
             case LATER -> {
                 out.log("later", held.in.sessionId(), "in " + (answer.time() - now) / 1000 + " ms");
-                held.later = timers.set(answer.time(), (at, o) -> {
-                    if (!held.answered) {
-                        carryOut(at, held, router.route(at, held.session), o);
-                    }
-                });
+                held.later =
+                        timers.set(
+                                answer.time(),
+                                (at, o) -> {
+                                    if (!held.answered) {
+                                        carryOut(at, held, router.route(at, held.session), o);
+                                    }
+                                });
             }
             case REFUSE -> refuse(now, held, answer.time(), out);
             case FAIL -> answer(now, held, 500, "Terminated", out);
-            case NOTHING -> { }
+            case NOTHING -> {}
         }
     }
 
@@ -471,12 +569,17 @@
         invite.add("Route", "<" + SipUri.text(Integer.toString(number), place.edge()) + ";lr>");
         out.log("invite", held.in.sessionId(), "to " + answer.exchange() + " number " + number);
         leg.call = agent.invite(now, invite, settings.exchange(), leg, out);
-        leg.limit = timers.set(now + answer.time(), (at, o) -> {
-            agent.cancel(at, leg.call, o);
-            // What it held may stay taken for the release wait, and no longer.
-            timers.set(at + settings.module().releaseWait(), (later, p) -> release(later, leg));
-            settle(at, leg, Ending.TIMED_OUT, Cause.NONE, 0, o);
-        });
+        leg.limit =
+                timers.set(
+                        now + answer.time(),
+                        (at, o) -> {
+                            agent.cancel(at, leg.call, o);
+                            // What it held may stay taken for the release wait, and no longer.
+                            timers.set(
+                                    at + settings.module().releaseWait(),
+                                    (later, p) -> release(later, leg));
+                            settle(at, leg, Ending.TIMED_OUT, Cause.NONE, 0, o);
+                        });
     }
 
     private void settle(long now, Leg leg, Ending ending, Cause cause, long namedWait, Out out) {
@@ -488,8 +591,19 @@
         held.leg = null;
         held.last = cause;
         out.log("ended-invite", held.in.sessionId(), ending + " " + cause);
-        carryOut(now, held, router.after(now, held.id, ending, cause, leg.exchange, now - leg.sentAt, namedWait,
-                held.answered), out);
+        carryOut(
+                now,
+                held,
+                router.after(
+                        now,
+                        held.id,
+                        ending,
+                        cause,
+                        leg.exchange,
+                        now - leg.sentAt,
+                        namedWait,
+                        held.answered),
+                out);
     }
 
     private void release(long now, Leg leg) {
@@ -503,9 +617,16 @@
     private void refuse(long now, Held held, long comeBack, Out out) {
         if (held.headers.origin() >= 0) {
             boolean beyond = held.last == Cause.PROCESSOR_FULL;
-            answer(now, held, 503, "Turned Back", out, "Reason", beyond
-                    ? Outcomes.reason(Outcomes.FULL_BEYOND, "full beyond")
-                    : Outcomes.reason(Outcomes.TURNED_BACK, "turned back"));
+            answer(
+                    now,
+                    held,
+                    503,
+                    "Turned Back",
+                    out,
+                    "Reason",
+                    beyond
+                            ? Outcomes.reason(Outcomes.FULL_BEYOND, "full beyond")
+                            : Outcomes.reason(Outcomes.TURNED_BACK, "turned back"));
         } else if (comeBack > 0) {
             answer(now, held, 480, BUSY, out, "Retry-After", Outcomes.retryAfter(comeBack));
         } else {
@@ -558,7 +679,15 @@
         out.log("stands", held.in.sessionId(), (now - leg.sentAt) / 1000 + " ms");
         agent.answer(now, held.in, response, out);
         if (held.session != null) {
-            router.after(now, held.id, Ending.STANDS, Cause.NONE, leg.exchange, now - leg.sentAt, 0, true);
+            router.after(
+                    now,
+                    held.id,
+                    Ending.STANDS,
+                    Cause.NONE,
+                    leg.exchange,
+                    now - leg.sentAt,
+                    0,
+                    true);
         }
     }
 
@@ -620,17 +749,33 @@
         release(now, leg);
         over(now, held);
         if (held.session != null) {
-            router.after(now, held.id, cut ? Ending.RESET : Ending.OVER, Cause.NONE, leg.exchange,
-                    now - leg.sentAt, 0, true);
-        }
-    }
-
-    /** A change of a standing call crosses to its other leg; a change already under way there is glare. */
+            router.after(
+                    now,
+                    held.id,
+                    cut ? Ending.RESET : Ending.OVER,
+                    Cause.NONE,
+                    leg.exchange,
+                    now - leg.sentAt,
+                    0,
+                    true);
+        }
+    }
+
+    /**
+     * A change of a standing call crosses to its other leg; a change already under way there is
+     * glare.
+     */
     @Override
     public void changing(long now, Call call, SipMessage invite, Out out) {
         Call other = otherLeg(call);
-        boolean sent = other != null && agent.change(now, other, invite.header("Content-Type", "application/sdp"),
-                invite.body(), out);
+        boolean sent =
+                other != null
+                        && agent.change(
+                                now,
+                                other,
+                                invite.header("Content-Type", "application/sdp"),
+                                invite.body(),
+                                out);
         if (!sent) {
             agent.answerChange(now, call, 491, "Request Pending", "", new byte[0], out);
         }
@@ -640,8 +785,14 @@
     public void changed(long now, Call call, SipMessage response, Out out) {
         Call other = otherLeg(call);
         if (other != null) {
-            agent.answerChange(now, other, response.status(), response.reason(),
-                    response.header("Content-Type", "application/sdp"), response.body(), out);
+            agent.answerChange(
+                    now,
+                    other,
+                    response.status(),
+                    response.reason(),
+                    response.header("Content-Type", "application/sdp"),
+                    response.body(),
+                    out);
         }
     }
 
@@ -674,18 +825,21 @@
     private void probe(long now, long id, Out out) {
         RosterDesk.Place place = roster.place(id);
         if (place != null) {
-            SipMessage request = agent.request("OPTIONS", SipUri.text("", place.edge())).add("X-Probe", "yes");
+            SipMessage request =
+                    agent.request("OPTIONS", SipUri.text("", place.edge())).add("X-Probe", "yes");
             agent.send(now, request, place.edge(), new Object[] {id, now}, out);
         }
     }
 
     private void tell(byte[] body, Out out) {
         for (Belief each : roster.beliefs()) {
-            if (each.exchange().number() != settings.number() && each.exchange().phase() == Phase.READY) {
+            if (each.exchange().number() != settings.number()
+                    && each.exchange().phase() == Phase.READY) {
                 Hop edge = roster.edge(each);
                 SipMessage message = agent.request("MESSAGE", SipUri.text("", edge));
                 message.add("X-Number", Integer.toString(settings.number()));
-                agent.sendOnce(message.body("application/octet-stream", body), edge.over(false), out);
+                agent.sendOnce(
+                        message.body("application/octet-stream", body), edge.over(false), out);
             }
         }
     }
@@ -728,7 +882,11 @@
             }
             agent.respond(now, asked, reply, out);
         } else if (tx.owner() instanceof Object[] probe) {
-            router.report(now, (Long) probe[0], good, now - (Long) probe[1],
+            router.report(
+                    now,
+                    (Long) probe[0],
+                    good,
+                    now - (Long) probe[1],
                     good ? columns(response.header("X-Load", "")) : new float[0]);
         }
     }
--- a/src/main/java/coralcove/edge/EdgeFile.java
+++ b/src/main/java/coralcove/edge/EdgeFile.java
@@ -15,12 +15,20 @@
 
 /**
  * Reads a call router's settings file (docs/operating.md lists its keys); {@code numbers} and
- * {@code planner}, where a planner connects, are null without their tables; {@code store}, where it keeps what it
- * has learnt, and {@code plans}, where the edge keeps the plan in force, and {@code roster}, where it keeps what directories said,
- * without their keys; {@code dns} without its table.
+ * {@code planner}, where a planner connects, are null without their tables; {@code store}, where it
+ * keeps what it has learnt, and {@code plans}, where the edge keeps the plan in force, and {@code
+ * roster}, where it keeps what directories said, without their keys; {@code dns} without its table.
  */
-public record EdgeFile(EdgeSettings settings, String policy, NumbersFile numbers, Hop planner, Path store,
-        Path plans, boolean ahead, Path roster, LocatorSettings dns) {
+public record EdgeFile(
+        EdgeSettings settings,
+        String policy,
+        NumbersFile numbers,
+        Hop planner,
+        Path store,
+        Path plans,
+        boolean ahead,
+        Path roster,
+        LocatorSettings dns) {
     public static EdgeFile of(Toml toml) throws BadConfig {
         Toml.Table edge = toml.table("edge");
         int number = edge.whole("number", 0, 65_535);
@@ -31,8 +39,15 @@
         long shortest = Long.MAX_VALUE;
         for (ServiceTable each : ServiceTable.read(toml, false)) {
             shortest = Math.min(shortest, each.limit());
-            services.add(new Settings.Service(each.target(), each.value(), each.lateValue(), each.width(), each.hold(),
-                    true, List.of()));
+            services.add(
+                    new Settings.Service(
+                            each.target(),
+                            each.value(),
+                            each.lateValue(),
+                            each.width(),
+                            each.hold(),
+                            true,
+                            List.of()));
         }
         Toml.Table limits = toml.table("limits");
         long comeBack = limits.millis("come_back_ms", 0, 60_000, 2000);
@@ -48,20 +63,51 @@
         Toml.Table rules = toml.table("rules");
         long release = rules.millis("release_ms", 0, 60_000);
         if (release >= shortest) {
-            throw rules.bad("release_ms", "is longer than the shortest limit_ms: no second INVITE could be sent");
+            throw rules.bad(
+                    "release_ms",
+                    "is longer than the shortest limit_ms: no second INVITE could be sent");
         }
-        Settings module = new Settings(routers, number, false, services, invites, marked, comeBack > 0, comeBack, peers,
-                true, release, rules.number("fall_multiple", 1, 100), rules.millis("fall_ms", 1, 60_000),
-                rules.number("cold_from", 0.01, 1), rules.seconds("warm_s", 0.01, 600));
-        EdgeSettings settings = new EdgeSettings(number, Hops.read(edge, "listen"), Hops.read(edge, "exchange"),
-                Hops.readAll(edge, "directory"), module, margin, mostOpen, seed, Starts.tag());
-        if (settings.self().port() == settings.exchange().port() && settings.self().host().equals(
-                settings.exchange().host())) {
+        Settings module =
+                new Settings(
+                        routers,
+                        number,
+                        false,
+                        services,
+                        invites,
+                        marked,
+                        comeBack > 0,
+                        comeBack,
+                        peers,
+                        true,
+                        release,
+                        rules.number("fall_multiple", 1, 100),
+                        rules.millis("fall_ms", 1, 60_000),
+                        rules.number("cold_from", 0.01, 1),
+                        rules.seconds("warm_s", 0.01, 600));
+        EdgeSettings settings =
+                new EdgeSettings(
+                        number,
+                        Hops.read(edge, "listen"),
+                        Hops.read(edge, "exchange"),
+                        Hops.readAll(edge, "directory"),
+                        module,
+                        margin,
+                        mostOpen,
+                        seed,
+                        Starts.tag());
+        if (settings.self().port() == settings.exchange().port()
+                && settings.self().host().equals(settings.exchange().host())) {
             throw edge.bad("exchange", "is the router's own address");
         }
         NumbersFile numbers = toml.has("numbers") ? NumbersFile.of(toml.table("numbers")) : null;
-        LocatorSettings dns = toml.has("dns") ? LocatorSettings.of(toml.table("dns"), number, routers,
-                new SplittableRandom(settings.start().hashCode())) : null;
+        LocatorSettings dns =
+                toml.has("dns")
+                        ? LocatorSettings.of(
+                                toml.table("dns"),
+                                number,
+                                routers,
+                                new SplittableRandom(settings.start().hashCode()))
+                        : null;
         Hop planner = null;
         String store = "";
         String plans = "";
@@ -76,11 +122,21 @@
                 throw table.bad("plans", "is the planner's own store");
             }
             if (!planner.tcp() || !policy.equals("choice")) {
-                throw table.bad("listen", planner.tcp() ? "only policy choice has a planner" : "is not tcp:");
+                throw table.bad(
+                        "listen",
+                        planner.tcp() ? "only policy choice has a planner" : "is not tcp:");
             }
         }
         toml.nothingElse();
-        return new EdgeFile(settings, policy, numbers, planner, store.isEmpty() ? null : Path.of(store),
-                plans.isEmpty() ? null : Path.of(plans), ahead, roster.isEmpty() ? null : Path.of(roster), dns);
+        return new EdgeFile(
+                settings,
+                policy,
+                numbers,
+                planner,
+                store.isEmpty() ? null : Path.of(store),
+                plans.isEmpty() ? null : Path.of(plans),
+                ahead,
+                roster.isEmpty() ? null : Path.of(roster),
+                dns);
     }
 }
--- a/src/main/java/coralcove/edge/NumberDesk.java
+++ b/src/main/java/coralcove/edge/NumberDesk.java
@@ -5,8 +5,9 @@
 import coralcove.numbers.Tables;
 
 /**
- * What one router needs to make far ends of dialled numbers: its tables, what it knows of moved numbers, and the way to
- * ask the portability server. The answer to a question comes by {@link EdgeCore#ported}.
+ * What one router needs to make far ends of dialled numbers: its tables, what it knows of moved
+ * numbers, and the way to ask the portability server. The answer to a question comes by {@link
+ * EdgeCore#ported}.
  */
 public final class NumberDesk {
     /** Sends a question; each ends by {@link EdgeCore#ported} once, on the router's own thread. */
--- a/src/main/java/coralcove/edge/NumbersFile.java
+++ b/src/main/java/coralcove/edge/NumbersFile.java
@@ -8,8 +8,16 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A router's settings of number analysis (docs/numbers.md lists the keys); {@code changes} may be null. */
-public record NumbersFile(Path table, Path changes, int mostTables, Porting.Settings porting, String suffix,
+/**
+ * A router's settings of number analysis (docs/numbers.md lists the keys); {@code changes} may be
+ * null.
+ */
+public record NumbersFile(
+        Path table,
+        Path changes,
+        int mostTables,
+        Porting.Settings porting,
+        String suffix,
         Resolver.Settings resolver) {
     /** Ports of the resolver to one server: with the id 20 bits that a forger must guess. */
     private static final int SOCKETS = 16;
@@ -18,10 +26,18 @@
         Porting.Settings porting = porting(table);
         String changes = table.text("changes", "");
         List<Resolver.Server> servers = servers(table);
-        return new NumbersFile(Path.of(table.text("table")), changes.isEmpty() ? null : Path.of(changes),
-                table.whole("most_tables", 1, 100, 4), porting, table.text("suffix", "e164.arpa"),
-                new Resolver.Settings(servers, table.millis("try_ms", 1, 10_000, 120), table.whole("tries", 1, 10, 2),
-                        SOCKETS, porting.asked()));
+        return new NumbersFile(
+                Path.of(table.text("table")),
+                changes.isEmpty() ? null : Path.of(changes),
+                table.whole("most_tables", 1, 100, 4),
+                porting,
+                table.text("suffix", "e164.arpa"),
+                new Resolver.Settings(
+                        servers,
+                        table.millis("try_ms", 1, 10_000, 120),
+                        table.whole("tries", 1, 10, 2),
+                        SOCKETS,
+                        porting.asked()));
     }
 
     /** HOST:PORT, several with commas between. */
@@ -30,19 +46,26 @@
         for (String each : table.text("servers").split(",")) {
             String text = each.strip();
             int colon = text.lastIndexOf(':');
-            if (colon < 1 || !text.substring(colon + 1).matches("[1-9]\\d{0,4}")
+            if (colon < 1
+                    || !text.substring(colon + 1).matches("[1-9]\\d{0,4}")
                     || Integer.parseInt(text.substring(colon + 1)) > 65_535) {
                 throw table.bad("servers", "'" + text + "' is no HOST:PORT");
             }
-            servers.add(new Resolver.Server(text.substring(0, colon), Integer.parseInt(text.substring(colon + 1))));
+            servers.add(
+                    new Resolver.Server(
+                            text.substring(0, colon), Integer.parseInt(text.substring(colon + 1))));
         }
         return servers;
     }
 
     /** What a router and a day have in common. */
     public static Porting.Settings porting(Toml.Table table) throws BadConfig {
-        return new Porting.Settings(table.millis("budget_ms", 1, 60_000, 300), table.number("budget_share", 0.01, 1, 0.2),
-                table.seconds("stale_s", 0, 604_800, 3600), table.whole("remembered", 1, 10_000_000, 200_000),
-                table.whole("remembered_unknown", 1, 10_000_000, 50_000), table.whole("questions", 1, 50_000, 1000));
+        return new Porting.Settings(
+                table.millis("budget_ms", 1, 60_000, 300),
+                table.number("budget_share", 0.01, 1, 0.2),
+                table.seconds("stale_s", 0, 604_800, 3600),
+                table.whole("remembered", 1, 10_000_000, 200_000),
+                table.whole("remembered_unknown", 1, 10_000_000, 50_000),
+                table.whole("questions", 1, 50_000, 1000));
     }
 }
--- a/src/main/java/coralcove/edge/RosterDesk.java
+++ b/src/main/java/coralcove/edge/RosterDesk.java
@@ -25,14 +25,20 @@
 import java.util.random.RandomGenerator;
 
 /**
- * A router's subscriptions at its directories and at its own exchange: what they say is handed to the {@link Roster}, and
- * what that believes to the module. It decides nothing; when a directory is asked anew the module says.
+ * A router's subscriptions at its directories and at its own exchange: what they say is handed to
+ * the {@link Roster}, and what that believes to the module. It decides nothing; when a directory is
+ * asked anew the module says.
  */
 final class RosterDesk implements Subscriber.User, Locator.Out {
     static final String EXCHANGES = "exchanges";
     static final String GROUPS = "trunk-groups";
-    /** Seconds a subscription lasts: a directory that has restarted is found out within half of that. */
+
+    /**
+     * Seconds a subscription lasts: a directory that has restarted is found out within half of
+     * that.
+     */
     private static final int LIFE = 12;
+
     /** µs until the own exchange is asked again for its groups, which it alone can tell. */
     private static final long GROUPS_AGAIN = 1_000_000;
 
@@ -59,16 +65,20 @@
     private final Roster roster;
     private final Map<Integer, Subscription> asked = new HashMap<>();
     private final Map<String, Hop> hops = new HashMap<>();
+
     /** The numbers in the roster, also for the checks of tables on other threads. */
     private volatile Set<Integer> farEnds = Set.of();
+
     /** Null where nothing is kept. */
     private Consumer<List<Roster.Said>> keep;
+
     private Timers.Timer step;
     private Locator locator;
     private Timers.Timer look;
     private final List<String> said = new ArrayList<>();
 
-    RosterDesk(EdgeSettings settings, Agent agent, Timers timers, User user, RandomGenerator chance) {
+    RosterDesk(
+            EdgeSettings settings, Agent agent, Timers timers, User user, RandomGenerator chance) {
         this.settings = settings;
         this.agent = agent;
         this.timers = timers;
@@ -85,7 +95,10 @@
         return roster;
     }
 
-    /** Takes what was kept before this start, and hands what is to be kept to {@code to}; before the start. */
+    /**
+     * Takes what was kept before this start, and hands what is to be kept to {@code to}; before the
+     * start.
+     */
     int resume(long now, List<Roster.Said> kept, Consumer<List<Roster.Said>> to) {
         keep = to;
         return roster.kept(now, kept);
@@ -97,7 +110,14 @@
     }
 
     private void askGroups(long now, Out out) {
-        subscriber.subscribe(now, settings.exchange(), GROUPS, LIFE, -1, Integer.toString(settings.number()), out);
+        subscriber.subscribe(
+                now,
+                settings.exchange(),
+                GROUPS,
+                LIFE,
+                -1,
+                Integer.toString(settings.number()),
+                out);
     }
 
     /** Asks each directory that is not asked already. */
@@ -106,8 +126,16 @@
             Subscription it = asked.get(i);
             if (it == null || !it.stands()) {
                 roster.begun(i);
-                asked.put(i, subscriber.subscribe(now, settings.directories().get(i), EXCHANGES, LIFE, i,
-                        Integer.toString(settings.number()), out));
+                asked.put(
+                        i,
+                        subscriber.subscribe(
+                                now,
+                                settings.directories().get(i),
+                                EXCHANGES,
+                                LIFE,
+                                i,
+                                Integer.toString(settings.number()),
+                                out));
             }
         }
     }
@@ -115,7 +143,9 @@
     @Override
     public Subscriber.News notified(long now, Subscription it, SipMessage notify, Out out) {
         if (it.event().equals(GROUPS)) {
-            return user.groups(now, notify.text().lines().toList()) ? Subscriber.News.WHOLE : Subscriber.News.BAD;
+            return user.groups(now, notify.text().lines().toList())
+                    ? Subscriber.News.WHOLE
+                    : Subscriber.News.BAD;
         }
         int source = (Integer) it.owner();
         Listing listing;
@@ -127,12 +157,24 @@
         }
         Roster.Refusal refusal = roster.listed(now, source, listing);
         if (refusal != Roster.Refusal.NONE) {
-            agent.count("list-" + refusal.name().toLowerCase(java.util.Locale.ROOT).replace('_', '-'));
+            agent.count(
+                    "list-" + refusal.name().toLowerCase(java.util.Locale.ROOT).replace('_', '-'));
             out.log("list-refused", "", it.to() + ": " + refusal);
             return Subscriber.News.BAD;
         }
-        out.log("list", "", it.to() + " epoch " + listing.epoch() + " version " + listing.version() + " "
-                + listing.kind() + " " + listing.lines().size() + " lines");
+        out.log(
+                "list",
+                "",
+                it.to()
+                        + " epoch "
+                        + listing.epoch()
+                        + " version "
+                        + listing.version()
+                        + " "
+                        + listing.kind()
+                        + " "
+                        + listing.lines().size()
+                        + " lines");
         boolean gap = askAgain(now, source, out);
         tell(now, out);
         return gap ? Subscriber.News.GAP : Subscriber.News.WHOLE;
@@ -170,9 +212,22 @@
     }
 
     /** Takes DNS for a further source from now on. */
-    void locate(long now, LocatorSettings of, Questions questions, Consumer<LocatorResult> results) {
-        locator = new Locator(of.numbers(), of::name, of.transport(), of.chance(), (name, type) -> questions.ask(name, type,
-                result -> results.accept(new LocatorResult(name, type, result))), this);
+    void locate(
+            long now, LocatorSettings of, Questions questions, Consumer<LocatorResult> results) {
+        locator =
+                new Locator(
+                        of.numbers(),
+                        of::name,
+                        of.transport(),
+                        of.chance(),
+                        (name, type) ->
+                                questions.ask(
+                                        name,
+                                        type,
+                                        result ->
+                                                results.accept(
+                                                        new LocatorResult(name, type, result))),
+                        this);
         locator.start(now);
         look = timers.set(now, this::look);
     }
@@ -199,9 +254,22 @@
 
     @Override
     public void located(long now, int number, List<String> addresses, boolean stale) {
-        // An INVITE for another that DNS sends here would come round to this router; IPv6 is spoken over TCP only.
-        roster.located(now, number, addresses.stream().filter(each -> !each.substring(4).equals(settings.self().host() + ":"
-                + settings.self().port()) && !each.startsWith("udp:[")).toList(), stale);
+        // An INVITE for another that DNS sends here would come round to this router; IPv6 is spoken
+        // over TCP only.
+        roster.located(
+                now,
+                number,
+                addresses.stream()
+                        .filter(
+                                each ->
+                                        !each.substring(4)
+                                                        .equals(
+                                                                settings.self().host()
+                                                                        + ":"
+                                                                        + settings.self().port())
+                                                && !each.startsWith("udp:["))
+                        .toList(),
+                stale);
     }
 
     @Override
@@ -209,7 +277,10 @@
         said.add(event + " " + detail);
     }
 
-    /** Tells the module what has changed in what is believed, and comes back when age alone will change it. */
+    /**
+     * Tells the module what has changed in what is believed, and comes back when age alone will
+     * change it.
+     */
     private void tell(long now, Out out) {
         List<Exchange> news = roster.news(now);
         timers.cancel(step);
--- a/src/main/java/coralcove/edge/SourcesCore.java
+++ b/src/main/java/coralcove/edge/SourcesCore.java
@@ -13,13 +13,22 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 
-/** Asks all sources of a router as the router does, and routes nothing: for who wants to know what is believed and why. */
+/**
+ * Asks all sources of a router as the router does, and routes nothing: for who wants to know what
+ * is believed and why.
+ */
 public final class SourcesCore extends CallFreeCore implements RosterDesk.User, Locating {
     private final RosterDesk desk;
 
     public SourcesCore(EdgeSettings settings) {
         super(settings.self(), settings.start());
-        desk = new RosterDesk(settings, agent, timers, this, new SplittableRandom(settings.start().hashCode()));
+        desk =
+                new RosterDesk(
+                        settings,
+                        agent,
+                        timers,
+                        this,
+                        new SplittableRandom(settings.start().hashCode()));
     }
 
     @Override
@@ -28,7 +37,8 @@
     }
 
     @Override
-    public void locate(long now, LocatorSettings of, Questions questions, Consumer<LocatorResult> results) {
+    public void locate(
+            long now, LocatorSettings of, Questions questions, Consumer<LocatorResult> results) {
         desk.locate(now, of, questions, results);
     }
 
--- a/src/main/java/coralcove/edge/Trunks.java
+++ b/src/main/java/coralcove/edge/Trunks.java
@@ -3,8 +3,9 @@
 import java.util.TreeMap;
 
 /**
- * The circuits of the own groups, counted at this end from the INVITEs sent and received over each. The far end's
- * busy-reply tells of a wrong count: what it has busy beyond ours stays booked for {@link #DOUBT}.
+ * The circuits of the own groups, counted at this end from the INVITEs sent and received over each.
+ * The far end's busy-reply tells of a wrong count: what it has busy beyond ours stays booked for
+ * {@link #DOUBT}.
  */
 public final class Trunks {
     /** µs: how long a far end's higher count holds against ours: about a post-dial target. */
@@ -36,7 +37,10 @@
         return groups.keySet();
     }
 
-    /** Free circuits, never below 0: a group that lost circuits may carry more than it has for a moment. */
+    /**
+     * Free circuits, never below 0: a group that lost circuits may carry more than it has for a
+     * moment.
+     */
     public int free(long now, int number) {
         Group group = group(number);
         int doubt = now < group.doubtUntil ? group.doubt : 0;
--- a/src/main/java/coralcove/exchange/ExchangeCore.java
+++ b/src/main/java/coralcove/exchange/ExchangeCore.java
@@ -25,13 +25,16 @@
 import java.util.random.RandomGenerator;
 
 /**
- * A stand-in exchange: a processor that all its signalling passes, its lines, its callers. It carries its call
- * router's INVITEs on to the next router, answers for its own lines, and has the faults a day asks for.
+ * A stand-in exchange: a processor that all its signalling passes, its lines, its callers. It
+ * carries its call router's INVITEs on to the next router, answers for its own lines, and has the
+ * faults a day asks for.
  */
 public final class ExchangeCore extends AgentCore {
     /** µs between two REGISTERs to the directory. */
     private static final long REGISTER_EVERY = 1_000_000;
+
     private static final Object REGISTERED = "registered";
+
     /** Load columns are smoothed over this many µs. */
     private static final double UTIL_SPAN = 1_000_000;
 
@@ -80,11 +83,15 @@
     private final ArrayDeque<Long> coldSetUps = new ArrayDeque<>();
     private final Notifier groupNews;
     private long groupVersion;
+
     /** Directories that have not answered a REGISTER of this start yet. */
     private final Set<Hop> unknown = new LinkedHashSet<>();
+
     private Timers.Timer nextRegister;
+
     /** What it says of itself, its number of this start, and the signs of life in it. */
     private String phase = "ready";
+
     private long start;
     private long beat;
     private double loseAnswers;
@@ -137,10 +144,26 @@
         }
         beat++;
         for (Hop directory : settings.directories()) {
-            String age = settings.since() == 0 ? "-" : Long.toString(Math.max(0, now - settings.since()));
+            String age =
+                    settings.since() == 0
+                            ? "-"
+                            : Long.toString(Math.max(0, now - settings.since()));
             SipMessage register = agent.request("REGISTER", SipUri.text("", directory));
-            register.add("X-Exchange", settings.id() + " " + settings.number() + " " + phase + " " + start + " " + beat
-                    + " " + age + " " + settings.edge());
+            register.add(
+                    "X-Exchange",
+                    settings.id()
+                            + " "
+                            + settings.number()
+                            + " "
+                            + phase
+                            + " "
+                            + start
+                            + " "
+                            + beat
+                            + " "
+                            + age
+                            + " "
+                            + settings.edge());
             if (unknown.remove(directory)) {
                 agent.send(now, register, directory, REGISTERED, out);
             } else {
@@ -153,7 +176,10 @@
         }
     }
 
-    /** A directory knows a later number of a start: this one's clock went back, and it takes a number past that. */
+    /**
+     * A directory knows a later number of a start: this one's clock went back, and it takes a
+     * number past that.
+     */
     private void registered(ClientTx tx, SipMessage response) {
         if (response == null) {
             unknown.add(tx.to());
@@ -209,7 +235,10 @@
         up.clear();
     }
 
-    /** Sets a group's circuits; calls that it carries out of here are cut with {@code share} when it shrinks. */
+    /**
+     * Sets a group's circuits; calls that it carries out of here are cut with {@code share} when it
+     * shrinks.
+     */
     public void group(long now, int number, int circuits, double share, Out out) {
         groups.put(number, circuits);
         for (Relay relay : List.copyOf(relays)) {
@@ -255,27 +284,41 @@
         long wait = processor.queued(now);
         if (wait > work.queueLimit()) {
             long named = work.tellsWait() ? wait - work.queueLimit() / 2 : 0;
-            processor.work(now, work.refuse(), (at, o) -> {
-                int cause = own ? Outcomes.PROCESSOR_FULL : Outcomes.OWN_EXCHANGE;
-                agent.reject(at, call, 503, "Processor Full", o, "Reason", Outcomes.reason(cause, "processor full"),
-                        "Retry-After", Outcomes.retryAfter(named));
-            });
+            processor.work(
+                    now,
+                    work.refuse(),
+                    (at, o) -> {
+                        int cause = own ? Outcomes.PROCESSOR_FULL : Outcomes.OWN_EXCHANGE;
+                        agent.reject(
+                                at,
+                                call,
+                                503,
+                                "Processor Full",
+                                o,
+                                "Reason",
+                                Outcomes.reason(cause, "processor full"),
+                                "Retry-After",
+                                Outcomes.retryAfter(named));
+                    });
             return;
         }
         long repeats = 0;
         for (long gap = work.resend(); gap > 0 && gap < wait; gap *= 2) {
             repeats++;
         }
-        processor.work(now, work.setUp() + repeats * work.repeat(), (at, o) -> {
-            // A set-up that was given up while it waited is dropped.
-            if (call.trying()) {
-                if (own) {
-                    ring(at, call, headers, o);
-                } else {
-                    carryOn(at, call, headers, at - now, o);
-                }
-            }
-        });
+        processor.work(
+                now,
+                work.setUp() + repeats * work.repeat(),
+                (at, o) -> {
+                    // A set-up that was given up while it waited is dropped.
+                    if (call.trying()) {
+                        if (own) {
+                            ring(at, call, headers, o);
+                        } else {
+                            carryOn(at, call, headers, at - now, o);
+                        }
+                    }
+                });
     }
 
     /** Rule 4: set-ups from all routers within a window, against what a cold processor can do. */
@@ -299,7 +342,13 @@
         long number = Long.parseLong(headers.number().isEmpty() ? "0" : headers.number());
         boolean hot = number > 0 && number < 100;
         if (hot && busyLines.getOrDefault(number, 0) >= settings.hotLines()) {
-            agent.reject(now, call, 486, "Busy Here", out, "Reason",
+            agent.reject(
+                    now,
+                    call,
+                    486,
+                    "Busy Here",
+                    out,
+                    "Reason",
                     Outcomes.reason(Outcomes.LINES_BUSY, "lines busy"));
             return;
         }
@@ -313,7 +362,8 @@
             out.log("answer-lost", call.sessionId(), "");
             return;
         }
-        processor.work(now, settings.work().answer(), (at, o) -> agent.answer(at, call, call.invite(), o));
+        processor.work(
+                now, settings.work().answer(), (at, o) -> agent.answer(at, call, call.invite(), o));
     }
 
     private void freeLine(Line line) {
@@ -332,8 +382,16 @@
         SipMessage invite = agent.request("INVITE", SipUri.text(headers.number(), route.hop()));
         invite.set("Max-Forwards", Long.toString(call.invite().number("Max-Forwards", 70) - 1));
         CallHeaders.pass(call.invite(), invite);
-        CallHeaders.write(invite, headers, settings.number(), Math.max(0, headers.left() - waited), call.sessionId());
-        Relay relay = new Relay(call, route.user().matches("\\d{1,5}") ? Integer.parseInt(route.user()) : -1);
+        CallHeaders.write(
+                invite,
+                headers,
+                settings.number(),
+                Math.max(0, headers.left() - waited),
+                call.sessionId());
+        Relay relay =
+                new Relay(
+                        call,
+                        route.user().matches("\\d{1,5}") ? Integer.parseInt(route.user()) : -1);
         call.owner(relay);
         relays.add(relay);
         relay.out = agent.invite(now, invite, route.hop(), relay, out);
@@ -351,13 +409,16 @@
             return;
         }
         Relay relay = (Relay) call.owner();
-        processor.work(now, settings.work().answer(), (at, o) -> {
-            if (relay.in.trying()) {
-                agent.answer(at, relay.in, response, o);
-            } else if (!relay.in.stands()) {
-                agent.bye(at, relay.out, null, o);
-            }
-        });
+        processor.work(
+                now,
+                settings.work().answer(),
+                (at, o) -> {
+                    if (relay.in.trying()) {
+                        agent.answer(at, relay.in, response, o);
+                    } else if (!relay.in.stands()) {
+                        agent.bye(at, relay.out, null, o);
+                    }
+                });
     }
 
     @Override
@@ -407,11 +468,19 @@
     @Override
     public void changing(long now, Call call, SipMessage invite, Out out) {
         if (!(call.owner() instanceof Relay relay)) {
-            agent.answerChange(now, call, 200, "OK", invite.header("Content-Type", "application/sdp"), invite.body(), out);
+            agent.answerChange(
+                    now,
+                    call,
+                    200,
+                    "OK",
+                    invite.header("Content-Type", "application/sdp"),
+                    invite.body(),
+                    out);
             return;
         }
         Call other = call == relay.in ? relay.out : relay.in;
-        if (!agent.change(now, other, invite.header("Content-Type", "application/sdp"), invite.body(), out)) {
+        if (!agent.change(
+                now, other, invite.header("Content-Type", "application/sdp"), invite.body(), out)) {
             agent.answerChange(now, call, 491, "Request Pending", "", new byte[0], out);
         }
     }
@@ -419,8 +488,14 @@
     @Override
     public void changed(long now, Call call, SipMessage response, Out out) {
         if (call.owner() instanceof Relay relay) {
-            agent.answerChange(now, call == relay.in ? relay.out : relay.in, response.status(), response.reason(),
-                    response.header("Content-Type", "application/sdp"), response.body(), out);
+            agent.answerChange(
+                    now,
+                    call == relay.in ? relay.out : relay.in,
+                    response.status(),
+                    response.reason(),
+                    response.header("Content-Type", "application/sdp"),
+                    response.body(),
+                    out);
         }
     }
 
@@ -429,12 +504,17 @@
     private void nextArrival() {
         Arrival next = arrivals.poll();
         if (next != null) {
-            timers.set(next.at(), (at, out) -> {
-                nextArrival();
-                if (!fallen) {
-                    dial(at, new Caller(next, settings.services().get(next.service())), out);
-                }
-            });
+            timers.set(
+                    next.at(),
+                    (at, out) -> {
+                        nextArrival();
+                        if (!fallen) {
+                            dial(
+                                    at,
+                                    new Caller(next, settings.services().get(next.service())),
+                                    out);
+                        }
+                    });
         }
     }
 
@@ -449,14 +529,20 @@
             return;
         }
         caller.patience = timers.set(now + limit, (at, o) -> giveUp(at, caller, o));
-        processor.work(now, settings.work().look(), (at, o) -> {
-            if (at < caller.tryAt + limit) {
-                ask(at, caller, limit - (at - caller.tryAt), o);
-            }
-        });
-    }
-
-    /** How long this try may take: a share of the service's limit, and what is left since the first try. */
+        processor.work(
+                now,
+                settings.work().look(),
+                (at, o) -> {
+                    if (at < caller.tryAt + limit) {
+                        ask(at, caller, limit - (at - caller.tryAt), o);
+                    }
+                });
+    }
+
+    /**
+     * How long this try may take: a share of the service's limit, and what is left since the first
+     * try.
+     */
     private long limit(Caller caller, long now) {
         long share = (long) (settings.callers().tryShare() * caller.service.limit());
         return Math.min(share, caller.arrival.at() + caller.service.limit() - now);
@@ -469,8 +555,17 @@
         String number = dials ? arrival.dialled() : Long.toString(arrival.number());
         SipMessage invite = agent.request("INVITE", SipUri.text(number, settings.edge()));
         boolean redial = settings.callers().marksRedials() && caller.tries > 1;
-        CallHeaders headers = new CallHeaders(arrival.service(), caller.service.value(), caller.service.width(),
-                redial, false, dials ? -1 : arrival.farEnd(), -1, left, number);
+        CallHeaders headers =
+                new CallHeaders(
+                        arrival.service(),
+                        caller.service.value(),
+                        caller.service.width(),
+                        redial,
+                        false,
+                        dials ? -1 : arrival.farEnd(),
+                        -1,
+                        left,
+                        number);
         CallHeaders.write(invite, headers, -1, left, sessionId());
         caller.call = agent.invite(now, invite, settings.edge(), caller, out);
     }
@@ -505,18 +600,26 @@
         stats.stands(caller.arrival);
         stats.finalAnswers++;
         long took = now - caller.arrival.at();
-        stats.setUp.recordValue(Math.min(now - caller.tryAt, stats.setUp.getHighestTrackableValue()));
-        caller.earned = caller.service.value() * (took <= caller.service.target() ? 1 : caller.service.lateValue());
+        stats.setUp.recordValue(
+                Math.min(now - caller.tryAt, stats.setUp.getHighestTrackableValue()));
+        caller.earned =
+                caller.service.value()
+                        * (took <= caller.service.target() ? 1 : caller.service.lateValue());
         stats.served(caller.arrival, caller.earned);
         if (caller.earned < caller.service.value()) {
             stats.lost(Stats.LATE, caller.service.value() - caller.earned);
         }
-        timers.set(now + caller.arrival.hold(), (at, o) -> {
-            if (call.stands()) {
-                up.remove(caller);
-                processor.work(at, settings.work().release(), (then, p) -> agent.bye(then, call, null, p));
-            }
-        });
+        timers.set(
+                now + caller.arrival.hold(),
+                (at, o) -> {
+                    if (call.stands()) {
+                        up.remove(caller);
+                        processor.work(
+                                at,
+                                settings.work().release(),
+                                (then, p) -> agent.bye(then, call, null, p));
+                    }
+                });
     }
 
     private void cutOff(Caller caller) {
@@ -541,7 +644,8 @@
             return;
         }
         stats.finalAnswers++;
-        boolean busy = response.status() == 480 || response.status() == 486 || response.status() == 503;
+        boolean busy =
+                response.status() == 480 || response.status() == 486 || response.status() == 503;
         if (busy) {
             stats.busyReplied++;
         } else {
@@ -550,7 +654,9 @@
         redial(now, caller, Outcomes.retryAfter(response), busy ? "busy-replied" : "terminated");
     }
 
-    /** Calls again if the caller's habits and time allow; {@code why} is what became of this try. */
+    /**
+     * Calls again if the caller's habits and time allow; {@code why} is what became of this try.
+     */
     private void redial(long now, Caller caller, long named, String why) {
         ExchangeSettings.Callers habits = settings.callers();
         if (caller.tries > habits.redials()) {
@@ -572,8 +678,16 @@
     public void request(long now, ServerTx tx, Hop from, Out out) {
         SipMessage request = tx.request();
         switch (request.method()) {
-            case "OPTIONS" -> processor.work(now, settings.work().probe(), (at, o) -> agent.respond(at, tx,
-                    agent.reply(tx, 200, "OK").add("X-Load", load(at)), o));
+            case "OPTIONS" ->
+                    processor.work(
+                            now,
+                            settings.work().probe(),
+                            (at, o) ->
+                                    agent.respond(
+                                            at,
+                                            tx,
+                                            agent.reply(tx, 200, "OK").add("X-Load", load(at)),
+                                            o));
             case "SUBSCRIBE" -> groupNews.subscribe(now, tx, out);
             default -> agent.respond(now, tx, agent.reply(tx, 405, "Method Not Allowed"), out);
         }
@@ -586,7 +700,11 @@
         util += Math.min(1, span / UTIL_SPAN) * (busy - util);
         lastLooked = now;
         lastWorked = processor.worked();
-        return String.format(java.util.Locale.ROOT, "-1,-1,%.3f,%d", util, processor.queued(now) / settings.work().setUp());
+        return String.format(
+                java.util.Locale.ROOT,
+                "-1,-1,%.3f,%d",
+                util,
+                processor.queued(now) / settings.work().setUp());
     }
 
     @Override
--- a/src/main/java/coralcove/exchange/Processor.java
+++ b/src/main/java/coralcove/exchange/Processor.java
@@ -4,8 +4,8 @@
 import coralcove.sip.Timers;
 
 /**
- * A stand-in's processor: one line, first come first served. Work takes longer while it is slow or cold; a stall
- * or a hang holds everything up. Times in µs.
+ * A stand-in's processor: one line, first come first served. Work takes longer while it is slow or
+ * cold; a stall or a hang holds everything up. Times in µs.
  */
 final class Processor {
     private final Timers timers;
--- a/src/main/java/coralcove/experiment/Charts.java
+++ b/src/main/java/coralcove/experiment/Charts.java
@@ -22,9 +22,17 @@
 final class Charts {
     private static final int WIDTH = 900;
     private static final int HEIGHT = 480;
+
     /** Told apart by those who do not tell red from green, and in print by their markers. */
-    private static final Color[] COLOURS = {new Color(0, 92, 175), new Color(213, 94, 0), new Color(0, 135, 102),
-        new Color(170, 70, 140), new Color(90, 90, 90), new Color(196, 150, 0), new Color(70, 150, 210)};
+    private static final Color[] COLOURS = {
+        new Color(0, 92, 175),
+        new Color(213, 94, 0),
+        new Color(0, 135, 102),
+        new Color(170, 70, 140),
+        new Color(90, 90, 90),
+        new Color(196, 150, 0),
+        new Color(70, 150, 210)
+    };
 
     /** One point of a line. */
     record Point(double x, Sample sample) {}
@@ -32,15 +40,27 @@
     private Charts() {}
 
     /** Lines over x, each point with its interval; a picture without points says so. */
-    static byte[] lines(String title, String xTitle, String yTitle, Map<String, List<Point>> lines) throws IOException {
-        XYChart chart = new XYChartBuilder().width(WIDTH).height(HEIGHT).title(title).xAxisTitle(xTitle).yAxisTitle(yTitle)
-                .build();
-        chart.getStyler().setDefaultSeriesRenderStyle(XYSeries.XYSeriesRenderStyle.Line).setSeriesColors(COLOURS);
+    static byte[] lines(String title, String xTitle, String yTitle, Map<String, List<Point>> lines)
+            throws IOException {
+        XYChart chart =
+                new XYChartBuilder()
+                        .width(WIDTH)
+                        .height(HEIGHT)
+                        .title(title)
+                        .xAxisTitle(xTitle)
+                        .yAxisTitle(yTitle)
+                        .build();
+        chart.getStyler()
+                .setDefaultSeriesRenderStyle(XYSeries.XYSeriesRenderStyle.Line)
+                .setSeriesColors(COLOURS);
         look(chart);
         for (Map.Entry<String, List<Point>> each : lines.entrySet()) {
-            List<Point> points = each.getValue().stream().filter(p -> p.sample.count() > 0).toList();
+            List<Point> points =
+                    each.getValue().stream().filter(p -> p.sample.count() > 0).toList();
             if (!points.isEmpty()) {
-                chart.addSeries(each.getKey(), points.stream().mapToDouble(Point::x).toArray(),
+                chart.addSeries(
+                        each.getKey(),
+                        points.stream().mapToDouble(Point::x).toArray(),
                         points.stream().mapToDouble(p -> p.sample.mean()).toArray(),
                         points.stream().mapToDouble(p -> p.sample.halfWidth()).toArray());
             }
@@ -49,29 +69,42 @@
     }
 
     /** Bars of parts on top of one another, one bar an entry. */
-    static byte[] bars(String title, String yTitle, Map<String, Map<String, Double>> bars) throws IOException {
+    static byte[] bars(String title, String yTitle, Map<String, Map<String, Double>> bars)
+            throws IOException {
         TreeSet<String> parts = new TreeSet<>();
         bars.values().forEach(each -> parts.addAll(each.keySet()));
         if (parts.isEmpty()) {
             return nothing(title);
         }
-        CategoryChart chart = new CategoryChartBuilder().width(WIDTH).height(HEIGHT).title(title).yAxisTitle(yTitle).build();
+        CategoryChart chart =
+                new CategoryChartBuilder()
+                        .width(WIDTH)
+                        .height(HEIGHT)
+                        .title(title)
+                        .yAxisTitle(yTitle)
+                        .build();
         chart.getStyler().setStacked(true).setXAxisLabelRotation(30).setSeriesColors(COLOURS);
         look(chart);
         List<String> names = new ArrayList<>(bars.keySet());
         for (String part : parts) {
-            chart.addSeries(part, names, names.stream().map(name -> bars.get(name).getOrDefault(part, 0.0)).toList());
+            chart.addSeries(
+                    part,
+                    names,
+                    names.stream().map(name -> bars.get(name).getOrDefault(part, 0.0)).toList());
         }
         return png(chart);
     }
 
     private static void look(Chart<?, ?> chart) {
-        chart.getStyler().setChartBackgroundColor(Color.WHITE).setPlotBorderVisible(false)
+        chart.getStyler()
+                .setChartBackgroundColor(Color.WHITE)
+                .setPlotBorderVisible(false)
                 .setLegendBorderColor(Color.WHITE);
     }
 
     private static byte[] nothing(String title) throws IOException {
-        XYChart chart = new XYChartBuilder().width(WIDTH).height(HEIGHT).title(title + ": no data").build();
+        XYChart chart =
+                new XYChartBuilder().width(WIDTH).height(HEIGHT).title(title + ": no data").build();
         look(chart);
         return png(chart);
     }
--- a/src/main/java/coralcove/experiment/Outcome.java
+++ b/src/main/java/coralcove/experiment/Outcome.java
@@ -5,8 +5,17 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What one run came to: its result, or why there is none. {@code version} is the program's that ran it. */
-public record Outcome(String id, String version, Map<String, String> levels, long seed, ObjectNode result, String error) {
+/**
+ * What one run came to: its result, or why there is none. {@code version} is the program's that ran
+ * it.
+ */
+public record Outcome(
+        String id,
+        String version,
+        Map<String, String> levels,
+        long seed,
+        ObjectNode result,
+        String error) {
     public boolean failed() {
         return result == null;
     }
@@ -21,7 +30,8 @@
     public Map<String, Double> parts(String key) {
         Map<String, Double> parts = new TreeMap<>();
         if (result != null && result.get(key) instanceof ObjectNode object) {
-            object.properties().forEach(each -> parts.put(each.getKey(), each.getValue().asDouble()));
+            object.properties()
+                    .forEach(each -> parts.put(each.getKey(), each.getValue().asDouble()));
         }
         return parts;
     }
--- a/src/main/java/coralcove/experiment/Plan.java
+++ b/src/main/java/coralcove/experiment/Plan.java
@@ -16,26 +16,39 @@
 import java.util.Set;
 
 /**
- * An experiment's plan: a day, factors of it with their levels, and seeds. Each combination of levels is played on each seed,
- * so that policies meet the same callers. Decides what is run, and in which order; no I/O but reading its files.
+ * An experiment's plan: a day, factors of it with their levels, and seeds. Each combination of
+ * levels is played on each seed, so that policies meet the same callers. Decides what is run, and
+ * in which order; no I/O but reading its files.
  */
 public final class Plan {
     /** Runs at most: a plan of more is a slip of the pen. */
     private static final int MOST_RUNS = 200_000;
+
     private static final int MOST_FACTORS = 8;
     private static final int MOST_LEVELS = 100;
     static final String POLICY = "policy";
     static final String TROUBLES = "troubles";
 
-    /** What is changed, and what to: {@code policy}, {@code troubles} (a name of the plan's sets), or a key of the day. */
+    /**
+     * What is changed, and what to: {@code policy}, {@code troubles} (a name of the plan's sets),
+     * or a key of the day.
+     */
     public record Factor(String key, List<JsonNode> levels) {}
 
-    /** Stops a combination's seeds once each difference from {@code base} is known to {@code halfWidth} of the value offered. */
+    /**
+     * Stops a combination's seeds once each difference from {@code base} is known to {@code
+     * halfWidth} of the value offered.
+     */
     public record Stop(String factor, String base, double halfWidth, int leastSeeds) {}
 
-    /** What must hold: the share of value, that of the worst ten seconds, and whether rules must be kept. */
+    /**
+     * What must hold: the share of value, that of the worst ten seconds, and whether rules must be
+     * kept.
+     */
     public record Goal(double share, double worst, boolean rules) {
-        /** Why it does not hold, or "": any run that failed or broke rules, else the means of all. */
+        /**
+         * Why it does not hold, or "": any run that failed or broke rules, else the means of all.
+         */
         public String missed(List<Outcome> outcomes) {
             for (Outcome each : outcomes) {
                 if (each.failed()) {
@@ -46,7 +59,9 @@
                 }
             }
             String low = under("value served", mean(outcomes, "share"), share);
-            return low.isEmpty() ? under("worst ten seconds", mean(outcomes, "worst_10s"), worst) : low;
+            return low.isEmpty()
+                    ? under("worst ten seconds", mean(outcomes, "worst_10s"), worst)
+                    : low;
         }
 
         private static double mean(List<Outcome> outcomes, String figure) {
@@ -54,11 +69,15 @@
         }
 
         private static String under(String what, double found, double least) {
-            return found < least ? String.format(java.util.Locale.ROOT, "%s %.4f under %.4f", what, found, least) : "";
+            return found < least
+                    ? String.format(java.util.Locale.ROOT, "%s %.4f under %.4f", what, found, least)
+                    : "";
         }
     }
 
-    /** One run: the levels of all factors by key, its seed, its policy, and the day to be played. */
+    /**
+     * One run: the levels of all factors by key, its seed, its policy, and the day to be played.
+     */
     public record Run(Map<String, String> levels, long seed, String policy, ObjectNode day) {
         /** Its name among a plan's runs, and the order in which results are told. */
         public String id() {
@@ -111,7 +130,8 @@
         }
         List<Toml.Table> tables = toml.list("factor");
         if (tables.size() > MOST_FACTORS) {
-            throw tables.get(MOST_FACTORS).bad("key", "is a factor too many: " + MOST_FACTORS + " at most");
+            throw tables.get(MOST_FACTORS)
+                    .bad("key", "is a factor too many: " + MOST_FACTORS + " at most");
         }
         Set<String> keys = new HashSet<>();
         for (Toml.Table each : tables) {
@@ -120,11 +140,15 @@
                 throw each.bad("key", factor.key + " is a factor twice");
             }
             for (String other : keys) {
-                boolean within = other.startsWith(factor.key + ".") || factor.key.startsWith(other + ".");
-                boolean both = other.equals(TROUBLES) && factor.key.startsWith("trouble.")
-                        || factor.key.equals(TROUBLES) && other.startsWith("trouble.");
+                boolean within =
+                        other.startsWith(factor.key + ".") || factor.key.startsWith(other + ".");
+                boolean both =
+                        other.equals(TROUBLES) && factor.key.startsWith("trouble.")
+                                || factor.key.equals(TROUBLES) && other.startsWith("trouble.");
                 if (within || both) {
-                    throw each.bad("key", factor.key + " and " + other + " change the same part of the day");
+                    throw each.bad(
+                            "key",
+                            factor.key + " and " + other + " change the same part of the day");
                 }
             }
             factors.add(factor);
@@ -136,7 +160,8 @@
             runs *= each.levels.size();
         }
         if (runs > MOST_RUNS) {
-            throw main.bad("seeds", "make " + runs + " runs of all levels: " + MOST_RUNS + " at most");
+            throw main.bad(
+                    "seeds", "make " + runs + " runs of all levels: " + MOST_RUNS + " at most");
         }
         toml.nothingElse();
         check(tables);
@@ -145,7 +170,9 @@
     private Factor factor(Toml.Table table) throws BadConfig {
         String key = table.text("key");
         JsonNode list = table.node("levels");
-        if (!(list instanceof ArrayNode levels) || levels.isEmpty() || levels.size() > MOST_LEVELS) {
+        if (!(list instanceof ArrayNode levels)
+                || levels.isEmpty()
+                || levels.size() > MOST_LEVELS) {
             throw table.bad("levels", "is no list of 1 to " + MOST_LEVELS + " levels");
         }
         List<JsonNode> found = new ArrayList<>();
@@ -158,7 +185,8 @@
                 throw table.bad("levels", level + " is there twice");
             }
             if (key.equals(POLICY) && !Policies.NAMES.contains(level.asText())) {
-                throw table.bad("levels", level + " is no policy: " + String.join(", ", Policies.NAMES));
+                throw table.bad(
+                        "levels", level + " is no policy: " + String.join(", ", Policies.NAMES));
             }
             if (key.equals(TROUBLES) && !troubles.containsKey(level.asText())) {
                 throw table.bad("levels", level + " is no set of [troubles]");
@@ -168,8 +196,14 @@
         if (key.equals("day.seed") || key.equals("seed")) {
             throw table.bad("key", "is no factor: seeds are drawn for each combination alike");
         }
-        if (!key.equals(POLICY) && !key.equals(TROUBLES) && !key.matches("[a-z_]+(\\.\\d+)?\\.[a-z0-9_]+")) {
-            throw table.bad("key", key + " is neither policy, troubles nor TABLE.KEY of the day (service.0.share for a list)");
+        if (!key.equals(POLICY)
+                && !key.equals(TROUBLES)
+                && !key.matches("[a-z_]+(\\.\\d+)?\\.[a-z0-9_]+")) {
+            throw table.bad(
+                    "key",
+                    key
+                            + " is neither policy, troubles nor TABLE.KEY of the day"
+                            + " (service.0.share for a list)");
         }
         return new Factor(key, found);
     }
@@ -200,12 +234,16 @@
             return null;
         }
         Toml.Table table = toml.table("goal");
-        return new Goal(table.number("share", 0, 1, 0), table.number("worst_10s", 0, 1, 0), table.flag("rules", true));
+        return new Goal(
+                table.number("share", 0, 1, 0),
+                table.number("worst_10s", 0, 1, 0),
+                table.flag("rules", true));
     }
 
     /** Levels that make no day together are told now, not after an hour of runs. */
     private void check(List<Toml.Table> tables) throws BadConfig {
-        // Policies play the same day: drawing it once for each of them would make every start longer.
+        // Policies play the same day: drawing it once for each of them would make every start
+        // longer.
         Set<ObjectNode> drawn = new HashSet<>();
         for (Run run : runs(firstSeed, 1)) {
             if (!drawn.add(run.day)) {
@@ -218,13 +256,20 @@
                 // The factor that the reason names, or the first.
                 int at = 0;
                 for (int i = 0; i < factors.size(); i++) {
-                    String last = factors.get(i).key.substring(factors.get(i).key.lastIndexOf('.') + 1);
+                    String last =
+                            factors.get(i).key.substring(factors.get(i).key.lastIndexOf('.') + 1);
                     at = why.contains(last) ? i : at;
                 }
                 if (tables.isEmpty()) {
                     throw toml.table("experiment").bad("day", why);
                 }
-                throw tables.get(at).bad("levels", "make no day with " + run.id().replaceAll(" seed=.*", "") + ": " + why);
+                throw tables.get(at)
+                        .bad(
+                                "levels",
+                                "make no day with "
+                                        + run.id().replaceAll(" seed=.*", "")
+                                        + ": "
+                                        + why);
             }
         }
     }
@@ -273,7 +318,10 @@
         return toml;
     }
 
-    /** All runs of {@code count} seeds from {@code first} on: seed by seed, so that a part of them is a whole experiment. */
+    /**
+     * All runs of {@code count} seeds from {@code first} on: seed by seed, so that a part of them
+     * is a whole experiment.
+     */
     public List<Run> runs(int first, int count) {
         List<Run> runs = new ArrayList<>();
         for (int seed = first; seed < first + count; seed++) {
@@ -339,7 +387,9 @@
         JsonNode table = day.get(path[0]);
         if (path.length == 3) {
             int place = Integer.parseInt(path[1]);
-            if (table instanceof ArrayNode list && place < list.size() && list.get(place) instanceof ObjectNode entry) {
+            if (table instanceof ArrayNode list
+                    && place < list.size()
+                    && list.get(place) instanceof ObjectNode entry) {
                 entry.set(path[2], value);
                 return;
             }
--- a/src/main/java/coralcove/experiment/Program.java
+++ b/src/main/java/coralcove/experiment/Program.java
@@ -14,10 +14,19 @@
 
     private Program() {}
 
-    /** The version and a checksum of what runs: the jar, or all class files of a build that was not packed. */
+    /**
+     * The version and a checksum of what runs: the jar, or all class files of a build that was not
+     * packed.
+     */
     public static String version() {
         try {
-            Path source = Path.of(Program.class.getProtectionDomain().getCodeSource().getLocation().toURI());
+            Path source =
+                    Path.of(
+                            Program.class
+                                    .getProtectionDomain()
+                                    .getCodeSource()
+                                    .getLocation()
+                                    .toURI());
             CRC32C sum = new CRC32C();
             List<Path> files;
             try (Stream<Path> all = Files.walk(source)) {
--- a/src/main/java/coralcove/experiment/ResultStore.java
+++ b/src/main/java/coralcove/experiment/ResultStore.java
@@ -20,8 +20,9 @@
 import org.h2.mvstore.MVStoreException;
 
 /**
- * Results of an experiment on disk, in an H2 MVStore: one entry a run, committed as it ends, so that a kill loses only the runs
- * in hand. Each entry has the program's version and a checksum of the run's input: a run whose plan has changed is not done.
+ * Results of an experiment on disk, in an H2 MVStore: one entry a run, committed as it ends, so
+ * that a kill loses only the runs in hand. Each entry has the program's version and a checksum of
+ * the run's input: a run whose plan has changed is not done.
  */
 public final class ResultStore implements AutoCloseable {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -30,7 +31,10 @@
     private final MVStore store;
     private final MVMap<String, String> runs;
 
-    /** Opens or makes it; a file that is no such store, or is open elsewhere, ends in an IOException. */
+    /**
+     * Opens or makes it; a file that is no such store, or is open elsewhere, ends in an
+     * IOException.
+     */
     public ResultStore(Path path) throws IOException {
         this.path = path;
         try {
@@ -40,14 +44,17 @@
             store = Stores.open(path);
             runs = store.openMap("runs");
         } catch (MVStoreException e) {
-            throw new IOException(path + ": results cannot be opened: " + Stores.reason(e.getMessage()), e);
+            throw new IOException(
+                    path + ": results cannot be opened: " + Stores.reason(e.getMessage()), e);
         }
     }
 
     /** What stands for a run's input. */
     static String digest(Plan.Run run) {
         CRC32C sum = new CRC32C();
-        sum.update((run.policy() + "\n" + run.seed() + "\n" + run.day()).getBytes(StandardCharsets.UTF_8));
+        sum.update(
+                (run.policy() + "\n" + run.seed() + "\n" + run.day())
+                        .getBytes(StandardCharsets.UTF_8));
         return String.format("%08x", sum.getValue());
     }
 
@@ -60,14 +67,18 @@
         return List.copyOf(found);
     }
 
-    /** Whether this run, with this input, has its result; a failed one counts as done unless it is to be tried again. */
+    /**
+     * Whether this run, with this input, has its result; a failed one counts as done unless it is
+     * to be tried again.
+     */
     public boolean done(Plan.Run run, boolean failedToo) {
         String text = runs.get(run.id());
         if (text == null) {
             return false;
         }
         JsonNode entry = parse(text);
-        return entry.path("digest").asText().equals(digest(run)) && (failedToo || entry.has("result"));
+        return entry.path("digest").asText().equals(digest(run))
+                && (failedToo || entry.has("result"));
     }
 
     /** A run's result, or null. */
@@ -111,20 +122,31 @@
 
     private static Outcome outcome(String id, JsonNode entry) {
         Map<String, String> levels = new LinkedHashMap<>();
-        entry.path("levels").properties().forEach(each -> levels.put(each.getKey(), each.getValue().asText()));
-        return new Outcome(id, entry.path("version").asText(), levels, entry.path("seed").asLong(),
-                (ObjectNode) entry.get("result"), entry.path("error").asText());
+        entry.path("levels")
+                .properties()
+                .forEach(each -> levels.put(each.getKey(), each.getValue().asText()));
+        return new Outcome(
+                id,
+                entry.path("version").asText(),
+                levels,
+                entry.path("seed").asLong(),
+                (ObjectNode) entry.get("result"),
+                entry.path("error").asText());
     }
 
     private static JsonNode parse(String text) {
         try {
             return JSON.readTree(text);
         } catch (JacksonException e) {
-            throw new IllegalStateException("an entry of the results is no JSON: " + e.getOriginalMessage(), e);
+            throw new IllegalStateException(
+                    "an entry of the results is no JSON: " + e.getOriginalMessage(), e);
         }
     }
 
-    /** One JSON object a line, by the runs' names: equal runs give equal bytes, whoever ran them and in which order. */
+    /**
+     * One JSON object a line, by the runs' names: equal runs give equal bytes, whoever ran them and
+     * in which order.
+     */
     public void export(Path to) throws IOException {
         StringBuilder out = new StringBuilder();
         for (Map.Entry<String, String> each : runs.entrySet()) {
--- a/src/main/java/coralcove/experiment/Runner.java
+++ b/src/main/java/coralcove/experiment/Runner.java
@@ -8,12 +8,14 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 
 /**
- * Runs a plan over workers, and only what the store does not have. Whether more seeds are needed is decided between blocks of
- * them, from whole blocks only, so that results are the same however many workers there are and however often it was killed.
+ * Runs a plan over workers, and only what the store does not have. Whether more seeds are needed is
+ * decided between blocks of them, from whole blocks only, so that results are the same however many
+ * workers there are and however often it was killed.
  */
 public final class Runner {
     /** Seeds of one block past the least ones. */
     private static final int BLOCK = 4;
+
     /** Runs in a row whose worker could not be started after which it is given up. */
     private static final int MOST_STARTS = 3;
 
@@ -29,7 +31,12 @@
         private static final long serialVersionUID = 1;
 
         Full(long bytes, long most) {
-            super("results fill " + bytes + " bytes of at most " + most + " (most_mb): nothing more is run");
+            super(
+                    "results fill "
+                            + bytes
+                            + " bytes of at most "
+                            + most
+                            + " (most_mb): nothing more is run");
         }
     }
 
@@ -41,7 +48,13 @@
     private final Progress progress;
 
     /** {@code heap} is each worker's in MB. */
-    public Runner(Plan plan, ResultStore store, String version, int workers, int heap, Progress progress) {
+    public Runner(
+            Plan plan,
+            ResultStore store,
+            String version,
+            int workers,
+            int heap,
+            Progress progress) {
         this.plan = plan;
         this.store = store;
         this.version = version;
@@ -50,31 +63,49 @@
         this.progress = progress;
     }
 
-    /** Returns the seeds that were needed; runs that failed before are tried again with {@code retry}. */
+    /**
+     * Returns the seeds that were needed; runs that failed before are tried again with {@code
+     * retry}.
+     */
     public int run(boolean retry) throws IOException {
         Plan.Stop stop = plan.stop();
         int done = 0;
         while (done < plan.seeds()) {
-            int block = Math.min(plan.seeds() - done, stop == null ? plan.seeds() : done == 0 ? stop.leastSeeds() : BLOCK);
-            all(plan.runs(plan.firstSeed() + done, block).stream().filter(run -> !store.done(run, !retry)).toList());
+            int block =
+                    Math.min(
+                            plan.seeds() - done,
+                            stop == null ? plan.seeds() : done == 0 ? stop.leastSeeds() : BLOCK);
+            all(
+                    plan.runs(plan.firstSeed() + done, block).stream()
+                            .filter(run -> !store.done(run, !retry))
+                            .toList());
             done += block;
             if (stop != null && done < plan.seeds() && known(stop, done)) {
-                progress.decided("stopped after " + done + " seeds: each difference from " + stop.base() + " is known to "
-                        + stop.halfWidth());
+                progress.decided(
+                        "stopped after "
+                                + done
+                                + " seeds: each difference from "
+                                + stop.base()
+                                + " is known to "
+                                + stop.halfWidth());
                 return done;
             }
         }
         return done;
     }
 
-    /** Whether each level's paired difference from the base is known well enough, at each combination of the others. */
+    /**
+     * Whether each level's paired difference from the base is known well enough, at each
+     * combination of the others.
+     */
     private boolean known(Plan.Stop stop, int seeds) {
         List<Outcome> outcomes = new ArrayList<>();
         for (Plan.Run each : plan.runs(plan.firstSeed(), seeds)) {
             outcomes.add(store.get(each));
         }
         for (Paired each : Paired.of(outcomes, stop.factor(), stop.base(), "share")) {
-            if (each.differences().length < stop.leastSeeds() || each.halfWidth() > stop.halfWidth()) {
+            if (each.differences().length < stop.leastSeeds()
+                    || each.halfWidth() > stop.halfWidth()) {
                 return false;
             }
         }
@@ -94,21 +125,24 @@
         List<RuntimeException> faults = new ArrayList<>();
         List<Thread> threads = new ArrayList<>();
         for (int i = 0; i < Math.min(workers, todo.size()); i++) {
-            Thread thread = new Thread(() -> {
-                try {
-                    work(next, left, end);
-                } catch (IOException e) {
-                    end.set(true);
-                    synchronized (next) {
-                        troubles.add(e);
-                    }
-                } catch (RuntimeException e) {
-                    end.set(true);
-                    synchronized (next) {
-                        faults.add(e);
-                    }
-                }
-            }, "runs-" + i);
+            Thread thread =
+                    new Thread(
+                            () -> {
+                                try {
+                                    work(next, left, end);
+                                } catch (IOException e) {
+                                    end.set(true);
+                                    synchronized (next) {
+                                        troubles.add(e);
+                                    }
+                                } catch (RuntimeException e) {
+                                    end.set(true);
+                                    synchronized (next) {
+                                        faults.add(e);
+                                    }
+                                }
+                            },
+                            "runs-" + i);
             threads.add(thread);
             thread.start();
         }
--- a/src/main/java/coralcove/experiment/Search.java
+++ b/src/main/java/coralcove/experiment/Search.java
@@ -5,21 +5,29 @@
 import java.util.function.DoubleFunction;
 import java.util.function.Function;
 
-/** Decides what is tried next when the smallest thing is looked for that breaks a goal. No I/O: trials are asked for. */
+/**
+ * Decides what is tried next when the smallest thing is looked for that breaks a goal. No I/O:
+ * trials are asked for.
+ */
 public final class Search {
     /** Trials of one search at most: halving a range 40 times is past any tolerance. */
     private static final int MOST_TRIALS = 40;
 
-    /** The last value at which the goal holds, the first at which it breaks, and why it breaks there. */
+    /**
+     * The last value at which the goal holds, the first at which it breaks, and why it breaks
+     * there.
+     */
     public record Edge(double holds, double breaks, String why, int trials) {}
 
     private Search() {}
 
     /**
-     * Halves the range until the edge is known to {@code tolerance}; {@code missed} tells why the goal breaks at a value, or
-     * "". The goal is taken to hold below some value and to break above it; a range that does not show that is told.
+     * Halves the range until the edge is known to {@code tolerance}; {@code missed} tells why the
+     * goal breaks at a value, or "". The goal is taken to hold below some value and to break above
+     * it; a range that does not show that is told.
      */
-    public static Edge edge(double from, double to, double tolerance, DoubleFunction<String> missed) {
+    public static Edge edge(
+            double from, double to, double tolerance, DoubleFunction<String> missed) {
         String why = missed.apply(from);
         if (!why.isEmpty()) {
             throw new IllegalArgumentException("the goal breaks at " + from + " already: " + why);
@@ -46,8 +54,9 @@
     }
 
     /**
-     * The smallest part of {@code all} that still breaks the goal, in the sense that nothing of it can be left out by itself: delta
-     * debugging (Zeller and Hildebrandt 2002, ddmin). {@code breaks} is asked with parts in their order, never twice the same.
+     * The smallest part of {@code all} that still breaks the goal, in the sense that nothing of it
+     * can be left out by itself: delta debugging (Zeller and Hildebrandt 2002, ddmin). {@code
+     * breaks} is asked with parts in their order, never twice the same.
      */
     public static <T> List<T> smallest(List<T> all, Function<List<T>, Boolean> breaks) {
         List<T> kept = new ArrayList<>(all);
--- a/src/main/java/coralcove/experiment/Worker.java
+++ b/src/main/java/coralcove/experiment/Worker.java
@@ -17,15 +17,21 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A process that plays one run after another: a line of JSON in, a line out. It may be ended at any moment, so that a run
- * that never ends, or fills its memory, costs that run and nothing else.
+ * A process that plays one run after another: a line of JSON in, a line out. It may be ended at any
+ * moment, so that a run that never ends, or fills its memory, costs that run and nothing else.
  */
 final class Worker implements AutoCloseable {
     private static final ObjectMapper JSON = new ObjectMapper();
-    /** What a worker says once it can take runs; a start of the Java machine does not count as part of a run. */
+
+    /**
+     * What a worker says once it can take runs; a start of the Java machine does not count as part
+     * of a run.
+     */
     private static final String READY = "ready";
+
     /** Seconds that a start may take. */
     private static final long START = 60;
+
     /** Stands for the end of a worker's output. */
     private static final String ENDED = "";
 
@@ -45,9 +51,18 @@
 
     /** {@code heap} is the worker's in MB. */
     Worker(int heap) throws IOException, Failed {
-        process = new ProcessBuilder(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                "-Xmx" + heap + "m", "-XX:+UseSerialGC", "-cp", System.getProperty("java.class.path"),
-                "coralcove.experiment.Worker")).redirectError(ProcessBuilder.Redirect.DISCARD).start();
+        process =
+                new ProcessBuilder(
+                                List.of(
+                                        Path.of(System.getProperty("java.home"), "bin", "java")
+                                                .toString(),
+                                        "-Xmx" + heap + "m",
+                                        "-XX:+UseSerialGC",
+                                        "-cp",
+                                        System.getProperty("java.class.path"),
+                                        "coralcove.experiment.Worker"))
+                        .redirectError(ProcessBuilder.Redirect.DISCARD)
+                        .start();
         in = new PrintStream(process.getOutputStream(), true, StandardCharsets.UTF_8);
         Thread reader = new Thread(this::read, "worker-" + process.pid());
         reader.setDaemon(true);
@@ -60,8 +75,9 @@
     }
 
     private void read() {
-        try (BufferedReader lines = new BufferedReader(new InputStreamReader(process.getInputStream(),
-                StandardCharsets.UTF_8))) {
+        try (BufferedReader lines =
+                new BufferedReader(
+                        new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
             for (String line = lines.readLine(); line != null; line = lines.readLine()) {
                 out.add(line);
             }
@@ -113,7 +129,8 @@
 
     @Override
     public void close() {
-        // A process that is told to end lives on for a moment: the next run would be sent to it and fail.
+        // A process that is told to end lives on for a moment: the next run would be sent to it and
+        // fail.
         closed = true;
         process.destroyForcibly();
     }
@@ -127,13 +144,19 @@
     static void serve(InputStream from, OutputStream to) throws IOException {
         PrintStream answers = new PrintStream(to, true, StandardCharsets.UTF_8);
         answers.println(READY);
-        BufferedReader lines = new BufferedReader(new InputStreamReader(from, StandardCharsets.UTF_8));
+        BufferedReader lines =
+                new BufferedReader(new InputStreamReader(from, StandardCharsets.UTF_8));
         for (String line = lines.readLine(); line != null; line = lines.readLine()) {
             ObjectNode answer = JSON.createObjectNode();
             try {
                 JsonNode task = JSON.readTree(line);
-                answer.set("result", OneRun.play((ObjectNode) task.get("day"), task.get("seed").asLong(),
-                        task.get("policy").asText(), task.get("bound").asBoolean()));
+                answer.set(
+                        "result",
+                        OneRun.play(
+                                (ObjectNode) task.get("day"),
+                                task.get("seed").asLong(),
+                                task.get("policy").asText(),
+                                task.get("bound").asBoolean()));
             } catch (BadConfig | IOException | RuntimeException | OutOfMemoryError e) {
                 answer.put("error", e.getClass().getSimpleName() + ": " + e.getMessage());
             }
--- a/src/main/java/coralcove/inhand/InHand.java
+++ b/src/main/java/coralcove/inhand/InHand.java
@@ -10,8 +10,9 @@
 import java.util.Map;
 
 /**
- * The sessions that one router has in hand, between its module and a protocol: asks the module, and has carried out what
- * it decides. The simulator's wire and the platform's protocol both go through here. It decides nothing.
+ * The sessions that one router has in hand, between its module and a protocol: asks the module, and
+ * has carried out what it decides. The simulator's wire and the platform's protocol both go through
+ * here. It decides nothing.
  */
 public final class InHand {
     private final CallRouter router;
@@ -42,13 +43,21 @@
     }
 
     /** An INVITE ended; with {@code over} its session did too, and nothing is owed for it. */
-    public void ended(long now, long id, Ending ending, Cause cause, long exchange, long took, long namedWait,
+    public void ended(
+            long now,
+            long id,
+            Ending ending,
+            Cause cause,
+            long exchange,
+            long took,
+            long namedWait,
             boolean over) {
         if (over) {
             sessions.remove(id);
         }
         Session session = sessions.get(id);
-        Answer answer = router.after(now, id, ending, cause, exchange, took, namedWait, session == null);
+        Answer answer =
+                router.after(now, id, ending, cause, exchange, took, namedWait, session == null);
         if (session != null) {
             carryOut(session, answer);
         }
@@ -86,7 +95,7 @@
                 sessions.remove(session.id());
                 wire.fail(session);
             }
-            case NOTHING -> { }
+            case NOTHING -> {}
         }
     }
 }
--- a/src/main/java/coralcove/judge/Judge.java
+++ b/src/main/java/coralcove/judge/Judge.java
@@ -1,8 +1,8 @@
 package coralcove.judge;
 
+import coralcove.network.Network;
 import coralcove.protocol.CallHeaders;
 import coralcove.protocol.Outcomes;
-import coralcove.network.Network;
 import coralcove.sip.BadMessage;
 import coralcove.sip.Hop;
 import coralcove.sip.SipMessage;
@@ -19,8 +19,9 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Judges the five rules from captured traffic alone: each message that a call router read or wrote, with its time.
- * Call routers are the nodes named {@code edge-N}; {@link #killed} and the end of the capture close what is open.
+ * Judges the five rules from captured traffic alone: each message that a call router read or wrote,
+ * with its time. Call routers are the nodes named {@code edge-N}; {@link #killed} and the end of
+ * the capture close what is open.
  */
 public final class Judge implements Network.Tap, Witness {
     /** Services a header may name; the judge holds no settings of the routers. */
@@ -41,8 +42,13 @@
         String answer = "";
         long answeredAt;
         final List<Sent> sent = new ArrayList<>();
-        /** What was dialled, and the far end of the first INVITE sent for it; null where the far end was told. */
+
+        /**
+         * What was dialled, and the far end of the first INVITE sent for it; null where the far end
+         * was told.
+         */
         String dialled;
+
         String farEnd;
 
         Seen(String node, String sessionId, long at, long left, boolean lines) {
@@ -87,6 +93,7 @@
         boolean off;
         boolean ready;
         long notReadyAt;
+
         /** µs from then to the last INVITE sent to it, -1 for none. */
         long lastSent = -1;
 
@@ -113,11 +120,15 @@
         }
     }
 
-    /** A subscription that a router has asked for: only a NOTIFY within it tells the router anything. */
+    /**
+     * A subscription that a router has asked for: only a NOTIFY within it tells the router
+     * anything.
+     */
     private static final class Asked {
         final Hop peer;
         String tag = "";
         long sequence = -1;
+
         /** What this directory's lists have said to the router, of whom: start and sign of life. */
         final Map<Long, long[]> named;
 
@@ -157,8 +168,8 @@
     }
 
     /**
-     * Judges a sixth rule, {@code one_table}: all INVITEs of a session that was dialled go to one far end, which one
-     * table gives that was in service when it came.
+     * Judges a sixth rule, {@code one_table}: all INVITEs of a session that was dialled go to one
+     * far end, which one table gives that was in service when it came.
      */
     public void numbers(FarEnds known) {
         farEnds = known;
@@ -169,11 +180,25 @@
         return verdicts;
     }
 
-    /** µs from a router's being told that a machine drains or is gone to the last INVITE it sent there, 0 for none. */
+    /**
+     * µs from a router's being told that a machine drains or is gone to the last INVITE it sent
+     * there, 0 for none.
+     */
     public Histogram lastSent() {
         Histogram all = new Histogram(LONGEST_SENT, 3);
-        lists.values().forEach(list -> list.values().stream().filter(told -> !told.ready)
-                .forEach(told -> all.recordValue(Math.min(LONGEST_SENT, Math.max(0, told.lastSent)))));
+        lists.values()
+                .forEach(
+                        list ->
+                                list.values().stream()
+                                        .filter(told -> !told.ready)
+                                        .forEach(
+                                                told ->
+                                                        all.recordValue(
+                                                                Math.min(
+                                                                        LONGEST_SENT,
+                                                                        Math.max(
+                                                                                0,
+                                                                                told.lastSent)))));
         return all;
     }
 
@@ -235,10 +260,16 @@
             }
             case "CANCEL" -> cancelled(now, node, out, message);
             case "SUBSCRIBE" -> {
-                if (out && message.isRequest() && message.toTag().isEmpty()
+                if (out
+                        && message.isRequest()
+                        && message.toTag().isEmpty()
                         && message.header("Event", "").equals("exchanges")) {
-                    asked.putIfAbsent(node + "|" + message.callId() + "|" + message.fromTag(), new Asked(peer,
-                            named.computeIfAbsent(node + "|" + peer, n -> new HashMap<>())));
+                    asked.putIfAbsent(
+                            node + "|" + message.callId() + "|" + message.fromTag(),
+                            new Asked(
+                                    peer,
+                                    named.computeIfAbsent(
+                                            node + "|" + peer, n -> new HashMap<>())));
                 }
             }
             case "NOTIFY" -> {
@@ -246,11 +277,14 @@
                     notified(now, node, peer, message);
                 }
             }
-            default -> { }
+            default -> {}
         }
     }
 
-    /** INVITEs that a broken stream carried are over; one whose stream was refused was never written. */
+    /**
+     * INVITEs that a broken stream carried are over; one whose stream was refused was never
+     * written.
+     */
     @Override
     public void broken(long now, String node, Hop peer, boolean refused) {
         for (Sent sent : open.getOrDefault(node + peer, Set.of())) {
@@ -302,8 +336,13 @@
             seen.answeredAt = now;
         }
         if (seen.finals > 1) {
-            verdicts.get("final_answer").check(false, now, node, seen.sessionId, "a further final answer "
-                    + response.status());
+            verdicts.get("final_answer")
+                    .check(
+                            false,
+                            now,
+                            node,
+                            seen.sessionId,
+                            "a further final answer " + response.status());
         }
     }
 
@@ -315,10 +354,16 @@
         Sent known = sentByCall.get(key(node, invite));
         Verdict one = verdicts.get("one_invite");
         if (known != null) {
-            // A repeat of the same INVITE, once it is over, would put it out again beside the next. One that crosses its
+            // A repeat of the same INVITE, once it is over, would put it out again beside the next.
+            // One that crosses its
             // answer between socket and router does not, as long as the next has not been sent.
-            boolean crossed = known.endedAt < known.until && seen.sent.get(seen.sent.size() - 1) == known;
-            one.check(now <= known.over() + (crossed ? rules.answerGrace() : 0), now, node, seen.sessionId,
+            boolean crossed =
+                    known.endedAt < known.until && seen.sent.get(seen.sent.size() - 1) == known;
+            one.check(
+                    now <= known.over() + (crossed ? rules.answerGrace() : 0),
+                    now,
+                    node,
+                    seen.sessionId,
                     "an INVITE that is over is sent again");
             return;
         }
@@ -326,8 +371,16 @@
             String farEnd = invite.header("X-Far-End", "-1");
             boolean first = seen.farEnd == null;
             seen.farEnd = first ? farEnd : seen.farEnd;
-            verdicts.get("one_table").check(first ? farEnds.of(seen.at, seen.dialled).contains(Integer.parseInt(farEnd))
-                    : seen.farEnd.equals(farEnd), now, node, seen.sessionId, seen.dialled + " sent to far end " + farEnd);
+            verdicts.get("one_table")
+                    .check(
+                            first
+                                    ? farEnds.of(seen.at, seen.dialled)
+                                            .contains(Integer.parseInt(farEnd))
+                                    : seen.farEnd.equals(farEnd),
+                            now,
+                            node,
+                            seen.sessionId,
+                            seen.dialled + " sent to far end " + farEnd);
         }
         long left = Long.parseLong(invite.header("X-Time-Left", "0").strip());
         Sent sent = new Sent(now, left);
@@ -336,14 +389,20 @@
             open.computeIfAbsent(node + peer, p -> new LinkedHashSet<>()).add(sent);
         }
         if (seen.finals > 0 || seen.cancelled) {
-            verdicts.get("final_answer").check(false, now, node, seen.sessionId, "an INVITE after the final answer");
+            verdicts.get("final_answer")
+                    .check(false, now, node, seen.sessionId, "an INVITE after the final answer");
         }
         if (!seen.sent.isEmpty()) {
             Sent last = seen.sent.get(seen.sent.size() - 1);
             one.check(now >= last.over(), now, node, seen.sessionId, "two INVITEs out");
             if (now >= last.over() && last.mustWait()) {
-                verdicts.get("release").check(now >= last.over() + rules.releaseWait(), now, node, seen.sessionId,
-                        "sent again " + (now - last.over()) + " us after the end");
+                verdicts.get("release")
+                        .check(
+                                now >= last.over() + rules.releaseWait(),
+                                now,
+                                node,
+                                seen.sessionId,
+                                "sent again " + (now - last.over()) + " us after the end");
             }
         } else {
             one.check(true, now, node, seen.sessionId, "");
@@ -377,8 +436,13 @@
                 }
             }
         }
-        verdicts.get("drain").check(!listed || ready || now <= last + rules.drainGrace(), now, node, seen.sessionId,
-                "to " + number + " " + (now - last) + " us after it was told");
+        verdicts.get("drain")
+                .check(
+                        !listed || ready || now <= last + rules.drainGrace(),
+                        now,
+                        node,
+                        seen.sessionId,
+                        "to " + number + " " + (now - last) + " us after it was told");
     }
 
     private void settled(long now, String node, SipMessage response) {
@@ -386,7 +450,8 @@
         if (sent != null && sent.endedAt == Long.MAX_VALUE) {
             sent.endedAt = now;
             int cause = Outcomes.cause(response);
-            sent.waits = response.status() == 408 || response.status() == 487 || cause == Outcomes.CUT;
+            sent.waits =
+                    response.status() == 408 || response.status() == 487 || cause == Outcomes.CUT;
         }
     }
 
@@ -410,7 +475,9 @@
 
     private void notified(long now, String node, Hop peer, SipMessage notify) {
         Asked in = asked.get(node + "|" + notify.callId() + "|" + notify.toTag());
-        if (in == null || !in.peer.host().equals(peer.host()) || !peer.tcp() && peer.port() != in.peer.port()
+        if (in == null
+                || !in.peer.host().equals(peer.host())
+                || !peer.tcp() && peer.port() != in.peer.port()
                 || !in.tag.isEmpty() && !in.tag.equals(notify.fromTag())) {
             // Anyone can send one; this is no word of a directory.
             return;
@@ -434,40 +501,68 @@
             Told told = list.computeIfAbsent(id, n -> new Told());
             told.number = Integer.parseInt(parts[1]);
             told.address = parts[6];
-            told.said(now, start, beat, parts[2].equals("silent"), parts[2].equals("draining") || parts[2].equals("left"));
+            told.said(
+                    now,
+                    start,
+                    beat,
+                    parts[2].equals("silent"),
+                    parts[2].equals("draining") || parts[2].equals("left"));
         }
         if (inOrder && !lines.isEmpty() && lines.get(0).endsWith(" whole")) {
-            in.named.forEach((id, last) -> {
-                if (!here.contains(id)) {
-                    list.get(id).said(now, last[0], last[1], true, false);
-                }
-            });
+            in.named.forEach(
+                    (id, last) -> {
+                        if (!here.contains(id)) {
+                            list.get(id).said(now, last[0], last[1], true, false);
+                        }
+                    });
         }
     }
 
-    /** Rule 4, by a budget for every window: what reached a cold exchange against what it could do then. */
+    /**
+     * Rule 4, by a budget for every window: what reached a cold exchange against what it could do
+     * then.
+     */
     private void arrived(long now, String node, int number, int origin, SipMessage invite) {
         long since = starts.getOrDefault(number, 0L);
         long age = now - since;
-        if (since <= 0 || age < 0 || age >= rules.warmUp() || setUps.putIfAbsent(key(node, invite), true) != null) {
+        if (since <= 0
+                || age < 0
+                || age >= rules.warmUp()
+                || setUps.putIfAbsent(key(node, invite), true) != null) {
             return;
         }
         ArrayDeque<Arrived> window = cold.computeIfAbsent(number, n -> new ArrayDeque<>());
-        boolean told = lists.getOrDefault("edge-" + origin, Map.of()).values().stream()
-                .anyMatch(t -> t.number == number && t.start == since && t.startAt <= now);
+        boolean told =
+                lists.getOrDefault("edge-" + origin, Map.of()).values().stream()
+                        .anyMatch(t -> t.number == number && t.start == since && t.startAt <= now);
         window.add(new Arrived(now, told));
         while (window.peek().at <= now - rules.fallWindow()) {
             window.poll();
         }
         double capacity = rules.coldFrom() + (1 - rules.coldFrom()) * age / rules.warmUp();
-        double budget = rules.fallMultiple() * capacity * rules.setUpsPerSecond() * rules.fallWindow() / 1e6;
+        double budget =
+                rules.fallMultiple()
+                        * capacity
+                        * rules.setUpsPerSecond()
+                        * rules.fallWindow()
+                        / 1e6;
         long knowing = window.stream().filter(Arrived::told).count();
         boolean kept = window.size() <= budget || knowing * 3 < window.size() * 2L;
-        verdicts.get("cold").check(kept, now, node, invite.header("Session-ID", ""), window.size()
-                + " set-ups to a cold exchange that can bear " + (long) budget);
+        verdicts.get("cold")
+                .check(
+                        kept,
+                        now,
+                        node,
+                        invite.header("Session-ID", ""),
+                        window.size()
+                                + " set-ups to a cold exchange that can bear "
+                                + (long) budget);
     }
 
-    /** Closes the capture: every session whose time has run out by then must have had its answer in time. */
+    /**
+     * Closes the capture: every session whose time has run out by then must have had its answer in
+     * time.
+     */
     public void end(long now) {
         Verdict verdict = verdicts.get("final_answer");
         for (Seen seen : byCall.values()) {
@@ -476,9 +571,14 @@
                 continue;
             }
             boolean kept = seen.finals > 0 && seen.answeredAt <= limit;
-            verdict.check(kept, seen.finals == 0 ? now : seen.answeredAt, seen.node, seen.sessionId, seen.finals == 0
-                    ? "no final answer"
-                    : "answered " + (seen.answeredAt - limit) + " us too late");
+            verdict.check(
+                    kept,
+                    seen.finals == 0 ? now : seen.answeredAt,
+                    seen.node,
+                    seen.sessionId,
+                    seen.finals == 0
+                            ? "no final answer"
+                            : "answered " + (seen.answeredAt - limit) + " us too late");
         }
     }
 }
--- a/src/main/java/coralcove/judge/Verdict.java
+++ b/src/main/java/coralcove/judge/Verdict.java
@@ -3,7 +3,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What the judge found of one rule: how often it was put to the test, how often broken, and the first breaches. */
+/**
+ * What the judge found of one rule: how often it was put to the test, how often broken, and the
+ * first breaches.
+ */
 public final class Verdict {
     /** Breaches kept in words. */
     private static final int KEPT = 20;
--- a/src/main/java/coralcove/mina/Mina.java
+++ b/src/main/java/coralcove/mina/Mina.java
@@ -17,6 +17,7 @@
 
     /** A port in use, or another reason not to bind, told with the address. */
     public static IOException cannotListen(String host, int port, Exception cause) {
-        return new IOException("cannot listen on " + host + ":" + port + ": " + cause.getMessage(), cause);
+        return new IOException(
+                "cannot listen on " + host + ":" + port + ": " + cause.getMessage(), cause);
     }
 }
--- a/src/main/java/coralcove/network/Cuts.java
+++ b/src/main/java/coralcove/network/Cuts.java
@@ -3,7 +3,10 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** Pairs of nodes between which nothing passes, by name, so that a node that is started again stays cut off. */
+/**
+ * Pairs of nodes between which nothing passes, by name, so that a node that is started again stays
+ * cut off.
+ */
 final class Cuts {
     private final Set<String> pairs = ConcurrentHashMap.newKeySet();
 
--- a/src/main/java/coralcove/network/Inbox.java
+++ b/src/main/java/coralcove/network/Inbox.java
@@ -6,15 +6,20 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What one node has read and not looked at yet, in the order that {@link Gate} decides. Filled by MINA's threads, emptied
- * by the node's own. What an input is, is seen from its first bytes; it is parsed when its turn comes.
+ * What one node has read and not looked at yet, in the order that {@link Gate} decides. Filled by
+ * MINA's threads, emptied by the node's own. What an input is, is seen from its first bytes; it is
+ * parsed when its turn comes.
  */
 final class Inbox {
     /** One thing to look at: bytes that were read, or an act of the node itself. */
     record Input(Hop from, byte[] bytes, Network.Act act, Gate.Kind kind, long at) {}
 
-    /** Inputs and bytes waiting: 20,000 set-ups are four seconds' worth at 5,000 a second, and none waits that long. */
-    private static final Gate.Bounds BOUNDS = new Gate.Bounds(100_000, 50_000, 10_000, 20_000, 64L << 20);
+    /**
+     * Inputs and bytes waiting: 20,000 set-ups are four seconds' worth at 5,000 a second, and none
+     * waits that long.
+     */
+    private static final Gate.Bounds BOUNDS =
+            new Gate.Bounds(100_000, 50_000, 10_000, 20_000, 64L << 20);
 
     private final Gate gate = new Gate(BOUNDS);
     private final ArrayDeque<Input> answers = new ArrayDeque<>();
@@ -36,7 +41,8 @@
 
     synchronized void read(Hop from, byte[] message, long now) {
         Gate.Kind kind = kind(message);
-        // A CANCEL must not overtake the INVITE that it is for, which may be among the set-ups that wait.
+        // A CANCEL must not overtake the INVITE that it is for, which may be among the set-ups that
+        // wait.
         boolean behind = kind == Gate.Kind.RELEASE && message[0] == 'C' && !setUps.isEmpty();
         add(new Input(from, message, null, behind ? Gate.Kind.SET_UP : kind, now));
     }
@@ -79,7 +85,10 @@
         return input;
     }
 
-    /** The next answer that waits, null where none does: what was read before a timer ran out counts before it. */
+    /**
+     * The next answer that waits, null where none does: what was read before a timer ran out counts
+     * before it.
+     */
     synchronized Input answer() {
         Input input = answers.poll();
         bytes -= input == null || input.bytes == null ? 0 : input.bytes.length;
--- a/src/main/java/coralcove/network/LadderQueue.java
+++ b/src/main/java/coralcove/network/LadderQueue.java
@@ -6,19 +6,29 @@
 import java.util.List;
 
 /**
- * Events in order of time, then of their coming: a ladder queue (Tang, Goh and Thng, "Ladder queue: an O(1) priority
- * queue structure for large-scale discrete event simulation", 2005). What is far off lies unsorted; as time comes
- * nearer it is spread over buckets, a full bucket over narrower ones, and only a bucket's few events are ever sorted. Adding and
- * taking cost the same however many there are; QueueBench holds it against java.util.PriorityQueue. One thread owns it.
+ * Events in order of time, then of their coming: a ladder queue (Tang, Goh and Thng, "Ladder queue:
+ * an O(1) priority queue structure for large-scale discrete event simulation", 2005). What is far
+ * off lies unsorted; as time comes nearer it is spread over buckets, a full bucket over narrower
+ * ones, and only a bucket's few events are ever sorted. Adding and taking cost the same however
+ * many there are; QueueBench holds it against java.util.PriorityQueue. One thread owns it.
  */
 public final class LadderQueue<T> {
     /** Events that are sorted at once; more of them in one bucket are spread over narrower ones. */
     private static final int SORTED = 48;
+
     /** Events in the sorted part from which it is spread: inserting moves half of them. */
     private static final int MOST_SORTED = 4 * SORTED;
-    /** Rungs at most: each is narrower by the count of its events, so that a few reach single microseconds. */
+
+    /**
+     * Rungs at most: each is narrower by the count of its events, so that a few reach single
+     * microseconds.
+     */
     private static final int MOST_RUNGS = 10;
-    /** Buckets of one rung at most; more events share a bucket and are spread again when it comes up. */
+
+    /**
+     * Buckets of one rung at most; more events share a bucket and are spread again when it comes
+     * up.
+     */
     private static final int MOST_BUCKETS = 1 << 16;
 
     private static final class Node<T> {
@@ -28,7 +38,9 @@
         Node<T> next;
     }
 
-    /** Buckets of equal width from {@code start} on; those before {@code index} have been passed. */
+    /**
+     * Buckets of equal width from {@code start} on; those before {@code index} have been passed.
+     */
     private static final class Rung<T> {
         final long start;
         final long width;
@@ -56,16 +68,20 @@
         }
     }
 
-    private static final Comparator<Node<?>> BY_TIME = (a, b) -> a.at != b.at ? Long.compare(a.at, b.at)
-            : Long.compare(a.order, b.order);
+    private static final Comparator<Node<?>> BY_TIME =
+            (a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order);
 
     private final List<Rung<T>> rungs = new ArrayList<>();
+
     /** Sorted; from {@code first} on not yet taken. */
     private Node<T>[] bottom = nodes(2 * MOST_SORTED);
+
     private int first;
     private int last;
+
     /** Unsorted, from {@code topFrom} on. */
     private Node<T> top;
+
     private int topCount;
     private long topLeast;
     private long topMost;
@@ -125,8 +141,11 @@
     }
 
     private void insert(Node<T> node) {
-        if (last - first >= MOST_SORTED && bottom[first].at < bottom[last - 1].at && rungs.size() < MOST_RUNGS) {
-            // Many events of the near future: the sorted part goes on as a rung of its own below all others.
+        if (last - first >= MOST_SORTED
+                && bottom[first].at < bottom[last - 1].at
+                && rungs.size() < MOST_RUNGS) {
+            // Many events of the near future: the sorted part goes on as a rung of its own below
+            // all others.
             Rung<T> rung = rung(bottom[first].at, bottom[last - 1].at, last - first);
             for (int i = first; i < last; i++) {
                 rung.add(bottom[i]);
--- a/src/main/java/coralcove/network/LiveNetwork.java
+++ b/src/main/java/coralcove/network/LiveNetwork.java
@@ -12,24 +12,31 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.util.Map;
-import java.util.SplittableRandom;
 import java.util.PriorityQueue;
+import java.util.SplittableRandom;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
 import java.util.random.RandomGenerator;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Cores on real sockets: one thread a node owns its core; MINA's threads hand it what they read. */
+/**
+ * Cores on real sockets: one thread a node owns its core; MINA's threads hand it what they read.
+ */
 public final class LiveNetwork implements Network, AutoCloseable {
     /** µs: the longest nap of a node's thread without a timer. */
     private static final long LONGEST_NAP = 100_000;
+
     /** Inputs taken between two looks at the timers. */
     private static final int BATCH = 64;
-    /** Answers taken before the timers at most, so that a flood of them puts no timer off for long. */
+
+    /**
+     * Answers taken before the timers at most, so that a flood of them puts no timer off for long.
+     */
     private static final int ANSWERS = 5000;
 
-    private static final long STARTED = System.currentTimeMillis() * 1000 - System.nanoTime() / 1000;
+    private static final long STARTED =
+            System.currentTimeMillis() * 1000 - System.nanoTime() / 1000;
 
     private record Later(long at, long order, Runnable act) {}
 
@@ -78,7 +85,10 @@
             }
         }
 
-        /** An INVITE whose answer lay in the inbox was sent again when its timer was looked at first. */
+        /**
+         * An INVITE whose answer lay in the inbox was sent again when its timer was looked at
+         * first.
+         */
         private void settle() {
             for (int i = 0; i < ANSWERS && alive; i++) {
                 Inbox.Input answer = inbox.answer();
@@ -98,7 +108,8 @@
             try {
                 SipMessage message = SipParser.parse(input.bytes(), 0, input.bytes().length);
                 boolean setUp = message.method().equals("INVITE") && message.toTag().isEmpty();
-                if (setUp && inbox.look(now, input, core.repeat(message)) == Gate.Verdict.TURN_AWAY) {
+                if (setUp
+                        && inbox.look(now, input, core.repeat(message)) == Gate.Verdict.TURN_AWAY) {
                     core.turnAway(now, input.from(), message, inbox.comeBack(), this);
                 } else {
                     core.receive(now, input.from(), message, this);
@@ -166,7 +177,10 @@
         @Override
         public void log(String event, String session, String detail) {
             if (log.isInfoEnabled()) {
-                log.atInfo().addKeyValue("session", session).addKeyValue("detail", detail).log(event);
+                log.atInfo()
+                        .addKeyValue("session", session)
+                        .addKeyValue("detail", detail)
+                        .log(event);
             }
         }
 
@@ -183,8 +197,12 @@
     private final Map<String, Node> nodes = new ConcurrentHashMap<>();
     private final Map<Integer, String> names = new ConcurrentHashMap<>();
     private final Cuts cuts = new Cuts();
-    private final PriorityQueue<Later> later = new PriorityQueue<>((a, b) -> a.at != b.at
-            ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
+    private final PriorityQueue<Later> later =
+            new PriorityQueue<>(
+                    (a, b) ->
+                            a.at != b.at
+                                    ? Long.compare(a.at, b.at)
+                                    : Long.compare(a.order, b.order));
     private long order;
 
     /** {@code tap} hears on many threads, and may be null. */
@@ -192,7 +210,10 @@
         this(tap, Weather.FAIR, 1);
     }
 
-    /** The same with datagrams lost and doubled, and streams cut, as {@code weather} has it; its delays are not used. */
+    /**
+     * The same with datagrams lost and doubled, and streams cut, as {@code weather} has it; its
+     * delays are not used.
+     */
     public LiveNetwork(Tap tap, Weather weather, long seed) {
         this.tap = tap;
         this.weather = weather;
--- a/src/main/java/coralcove/network/Network.java
+++ b/src/main/java/coralcove/network/Network.java
@@ -5,7 +5,10 @@
 import coralcove.sip.Out;
 import coralcove.sip.SipMessage;
 
-/** Where cores run: sockets and a clock, or a seeded network in virtual time. Both run the same classes. */
+/**
+ * Where cores run: sockets and a clock, or a seeded network in virtual time. Both run the same
+ * classes.
+ */
 public interface Network {
     /** What a day does to a core at a moment, on the core's own thread. */
     interface Act {
@@ -25,7 +28,9 @@
         void broken(long now, String node, Hop peer, boolean refused);
     }
 
-    /** Starts a core as the node {@code name}, reached over UDP and TCP at {@code self}'s address. */
+    /**
+     * Starts a core as the node {@code name}, reached over UDP and TCP at {@code self}'s address.
+     */
     void add(String name, Hop self, Core core, boolean tapped);
 
     /** Ends a node as a kill does: nothing more of it is sent, and what comes for it is lost. */
--- a/src/main/java/coralcove/network/VirtualDns.java
+++ b/src/main/java/coralcove/network/VirtualDns.java
@@ -13,7 +13,11 @@
     private final Resolver resolver;
     private long armed = Long.MAX_VALUE;
 
-    public VirtualDns(Network network, DnsStandIn server, Resolver.Settings settings, RandomGenerator chance) {
+    public VirtualDns(
+            Network network,
+            DnsStandIn server,
+            Resolver.Settings settings,
+            RandomGenerator chance) {
         this.network = network;
         this.server = server;
         resolver = new Resolver(settings, chance);
@@ -29,32 +33,50 @@
         long due = resolver.due();
         if (due < armed) {
             armed = due;
-            network.at(due, () -> {
-                armed = Long.MAX_VALUE;
-                resolver.tick(network.now(), this);
-                arm();
-            });
+            network.at(
+                    due,
+                    () -> {
+                        armed = Long.MAX_VALUE;
+                        resolver.tick(network.now(), this);
+                        arm();
+                    });
         }
     }
 
     @Override
     public void datagram(int socket, Resolver.Server to, byte[] bytes) {
-        server.ask(bytes, false).forEach(packet -> network.at(network.now() + packet.delay(), () -> {
-            resolver.datagram(network.now(), socket, to, packet.bytes(), this);
-            arm();
-        }));
+        server.ask(bytes, false)
+                .forEach(
+                        packet ->
+                                network.at(
+                                        network.now() + packet.delay(),
+                                        () -> {
+                                            resolver.datagram(
+                                                    network.now(),
+                                                    socket,
+                                                    to,
+                                                    packet.bytes(),
+                                                    this);
+                                            arm();
+                                        }));
     }
 
     @Override
     public void stream(long key, Resolver.Server to, byte[] bytes) {
-        server.ask(bytes, true).forEach(packet -> network.at(network.now() + packet.delay(), () -> {
-            resolver.stream(network.now(), key, packet.bytes(), this);
-            arm();
-        }));
+        server.ask(bytes, true)
+                .forEach(
+                        packet ->
+                                network.at(
+                                        network.now() + packet.delay(),
+                                        () -> {
+                                            resolver.stream(
+                                                    network.now(), key, packet.bytes(), this);
+                                            arm();
+                                        }));
     }
 
     @Override
-    public void close(long key) { }
+    public void close(long key) {}
 
     @Override
     @SuppressWarnings("unchecked")
--- a/src/main/java/coralcove/network/VirtualNetwork.java
+++ b/src/main/java/coralcove/network/VirtualNetwork.java
@@ -13,20 +13,35 @@
 import java.util.random.RandomGenerator;
 
 /**
- * A seeded network in virtual time: datagrams are delayed, lost, doubled and put out of order; streams keep their
- * order and break. Messages cross it as bytes, so that the whole path is run, or by a shortcut as they are, with the
- * same actions at the same moments. Equal seeds give equal runs.
+ * A seeded network in virtual time: datagrams are delayed, lost, doubled and put out of order;
+ * streams keep their order and break. Messages cross it as bytes, so that the whole path is run, or
+ * by a shortcut as they are, with the same actions at the same moments. Equal seeds give equal
+ * runs.
  */
 public final class VirtualNetwork implements Network {
-    /** How the network treats messages: delays in µs one way, shares of datagrams, breaks per stream message. */
-    public record Weather(long near, long same, long cross, double jitter, double loss, double doubled, double late,
+    /**
+     * How the network treats messages: delays in µs one way, shares of datagrams, breaks per stream
+     * message.
+     */
+    public record Weather(
+            long near,
+            long same,
+            long cross,
+            double jitter,
+            double loss,
+            double doubled,
+            double late,
             double reset) {
         public static final Weather FAIR = new Weather(100, 1000, 3000, 0.1, 0, 0, 0, 0);
     }
 
     /** µs: how much later a datagram is that is put out of order, at most. */
     private static final long LATE_MOST = 50_000;
-    /** Messages in flight at most: past this datagrams are lost, as queues in a real network overflow. */
+
+    /**
+     * Messages in flight at most: past this datagrams are lost, as queues in a real network
+     * overflow.
+     */
     private static final int MOST = 2_000_000;
 
     private final class Node implements Out {
@@ -50,7 +65,8 @@
 
         @Override
         public void send(Hop to, SipMessage message) {
-            Parcel parcel = text ? new Parcel(message.bytes(), null) : new Parcel(null, message.copy());
+            Parcel parcel =
+                    text ? new Parcel(message.bytes(), null) : new Parcel(null, message.copy());
             if (tapped && tap != null) {
                 tell(name, true, to, parcel);
             }
@@ -87,13 +103,25 @@
     private long now;
     private long carried;
 
-    /** {@code zones} are the districts of nodes by name; {@code tap} and {@code log} may be null. */
-    public VirtualNetwork(long start, long seed, Weather weather, Map<String, Integer> zones, Tap tap, Log log) {
+    /**
+     * {@code zones} are the districts of nodes by name; {@code tap} and {@code log} may be null.
+     */
+    public VirtualNetwork(
+            long start, long seed, Weather weather, Map<String, Integer> zones, Tap tap, Log log) {
         this(start, seed, weather, zones, tap, log, true);
     }
 
-    /** Without {@code text} messages are neither written nor read: what cannot be read never comes up. */
-    public VirtualNetwork(long start, long seed, Weather weather, Map<String, Integer> zones, Tap tap, Log log,
+    /**
+     * Without {@code text} messages are neither written nor read: what cannot be read never comes
+     * up.
+     */
+    public VirtualNetwork(
+            long start,
+            long seed,
+            Weather weather,
+            Map<String, Integer> zones,
+            Tap tap,
+            Log log,
             boolean text) {
         this.text = text;
         now = start;
@@ -165,7 +193,8 @@
         if (node.alive && due < node.wake) {
             long wanted = Math.max(now, due);
             node.wake = wanted;
-            // The moment is kept as it is now: one read when it comes would let stale wakes multiply.
+            // The moment is kept as it is now: one read when it comes would let stale wakes
+            // multiply.
             at(wanted, () -> wake(node, wanted));
         }
     }
@@ -208,7 +237,11 @@
         }
         deliver(from, to, parcel, now + delay);
         if (chance.nextDouble() < weather.doubled) {
-            deliver(from, to, text ? parcel : new Parcel(null, parcel.message.copy()), now + delay + chance.nextLong(LATE_MOST));
+            deliver(
+                    from,
+                    to,
+                    text ? parcel : new Parcel(null, parcel.message.copy()),
+                    now + delay + chance.nextLong(LATE_MOST));
         }
     }
 
@@ -219,43 +252,54 @@
         long at = Math.max(now + delay, lastInStream.getOrDefault(pair, 0L));
         lastInStream.put(pair, at);
         if (broken) {
-            at(now + 2 * delay, () -> {
-                if (from.alive) {
-                    if (from.tapped && tap != null) {
-                        tap.broken(now, from.name, to, refused);
-                    }
-                    from.core.broken(now, to, refused, from);
-                    arm(from);
-                }
-            });
+            at(
+                    now + 2 * delay,
+                    () -> {
+                        if (from.alive) {
+                            if (from.tapped && tap != null) {
+                                tap.broken(now, from.name, to, refused);
+                            }
+                            from.core.broken(now, to, refused, from);
+                            arm(from);
+                        }
+                    });
         } else {
             deliver(from, to, parcel, at);
         }
     }
 
     private long delay(Node from, Node to) {
-        long base = to == null || from.site.equals(to.site) ? weather.near
-                : from.zone == to.zone ? weather.same : weather.cross;
+        long base =
+                to == null || from.site.equals(to.site)
+                        ? weather.near
+                        : from.zone == to.zone ? weather.same : weather.cross;
         return Math.max(1, (long) (base * (1 + weather.jitter * (2 * chance.nextDouble() - 1))));
     }
 
     private void deliver(Node from, Hop to, Parcel parcel, long at) {
         Hop source = from.self.over(to.tcp());
-        at(at, () -> {
-            Node target = byPort.get(to.port());
-            if (target == null) {
-                return;
-            }
-            if (target.tapped && tap != null) {
-                tell(target.name, false, source, parcel);
-            }
-            try {
-                target.core.receive(now, source, text
-                        ? SipParser.parse(parcel.bytes, 0, parcel.bytes.length) : parcel.message, target);
-            } catch (BadMessage e) {
-                target.core.malformed(now, source, e, target);
-            }
-            arm(target);
-        });
+        at(
+                at,
+                () -> {
+                    Node target = byPort.get(to.port());
+                    if (target == null) {
+                        return;
+                    }
+                    if (target.tapped && tap != null) {
+                        tell(target.name, false, source, parcel);
+                    }
+                    try {
+                        target.core.receive(
+                                now,
+                                source,
+                                text
+                                        ? SipParser.parse(parcel.bytes, 0, parcel.bytes.length)
+                                        : parcel.message,
+                                target);
+                    } catch (BadMessage e) {
+                        target.core.malformed(now, source, e, target);
+                    }
+                    arm(target);
+                });
     }
 }
--- a/src/main/java/coralcove/numbers/Destination.java
+++ b/src/main/java/coralcove/numbers/Destination.java
@@ -16,7 +16,10 @@
     /** Its owner has another number now: 410 with the new one (RFC 3261 21.4.11). */
     record Changed(String to) implements Destination {}
 
-    /** Some of its numbers have moved: the portability server knows; {@code donor} had them all once. */
+    /**
+     * Some of its numbers have moved: the portability server knows; {@code donor} had them all
+     * once.
+     */
     record Ported(int donor) implements Destination {}
 
     /** By the first calendar that is open; {@code otherwise} is null where nothing is said. */
@@ -28,8 +31,11 @@
     /** As a table's file has it. */
     default String text() {
         if (this instanceof FarEnd far) {
-            return "to " + far.number + (far.services.isEmpty() ? "" : " services "
-                    + far.services.toString().replaceAll("[\\[\\] ]", ""));
+            return "to "
+                    + far.number
+                    + (far.services.isEmpty()
+                            ? ""
+                            : " services " + far.services.toString().replaceAll("[\\[\\] ]", ""));
         }
         if (this instanceof Changed changed) {
             return "changed " + changed.to;
@@ -39,8 +45,15 @@
         }
         if (this instanceof ByHours hours) {
             StringBuilder all = new StringBuilder("hours ");
-            hours.choices.forEach(each -> all.append(each.calendar).append(' ').append(each.to.text()).append("; "));
-            return hours.otherwise == null ? all.substring(0, all.length() - 2) : all + "else " + hours.otherwise.text();
+            hours.choices.forEach(
+                    each ->
+                            all.append(each.calendar)
+                                    .append(' ')
+                                    .append(each.to.text())
+                                    .append("; "));
+            return hours.otherwise == null
+                    ? all.substring(0, all.length() - 2)
+                    : all + "else " + hours.otherwise.text();
         }
         return this instanceof Blocked ? "blocked" : "unallocated";
     }
--- a/src/main/java/coralcove/numbers/Digits.java
+++ b/src/main/java/coralcove/numbers/Digits.java
@@ -1,12 +1,14 @@
 package coralcove.numbers;
 
 /**
- * A number or a prefix of one as a long: four bits a digit from the top, digit + 1 each, so that 0 is no digit and
- * plain order is the order of prefixes, each before what it begins. At most 15 digits (E.164).
+ * A number or a prefix of one as a long: four bits a digit from the top, digit + 1 each, so that 0
+ * is no digit and plain order is the order of prefixes, each before what it begins. At most 15
+ * digits (E.164).
  */
 public final class Digits {
     /** Digits of the longest number (ITU-T E.164 section 6.1). */
     public static final int MOST = 15;
+
     /** Bits of the long in use: 15 digits of four. */
     private static final int BITS = 60;
 
@@ -58,7 +60,10 @@
     /** How many digits two keys begin with in common. */
     static int common(long a, long b) {
         long differ = a ^ b;
-        return differ == 0 ? Math.min(length(a), length(b))
-                : Math.min((Long.numberOfLeadingZeros(differ) - (64 - BITS)) / 4, Math.min(length(a), length(b)));
+        return differ == 0
+                ? Math.min(length(a), length(b))
+                : Math.min(
+                        (Long.numberOfLeadingZeros(differ) - (64 - BITS)) / 4,
+                        Math.min(length(a), length(b)));
     }
 }
--- a/src/main/java/coralcove/numbers/Hours.java
+++ b/src/main/java/coralcove/numbers/Hours.java
@@ -11,15 +11,20 @@
 import java.util.Set;
 
 /**
- * When something is open: clauses of days and times in a time zone. A span past midnight belongs to the day it begins.
- * Where the clock is put forward, a time that does not exist counts as the moment of the change; where it is put back, a
- * span begins at the first and ends at the second passing of its time, so that nobody finds a firm closed too early.
+ * When something is open: clauses of days and times in a time zone. A span past midnight belongs to
+ * the day it begins. Where the clock is put forward, a time that does not exist counts as the
+ * moment of the change; where it is put back, a span begins at the first and ends at the second
+ * passing of its time, so that nobody finds a firm closed too early.
  */
 public record Hours(ZoneId zone, Set<LocalDate> holidays, List<Clause> clauses) {
-    /** Days on which a clause holds: weekdays as bits from Monday, dates, and whether holidays are among them. */
+    /**
+     * Days on which a clause holds: weekdays as bits from Monday, dates, and whether holidays are
+     * among them.
+     */
     public record Days(int weekdays, List<Range> dates, boolean holidays) {
         boolean has(LocalDate day, Set<LocalDate> all) {
-            return (weekdays >> day.getDayOfWeek().getValue() - 1 & 1) != 0 || holidays && all.contains(day)
+            return (weekdays >> day.getDayOfWeek().getValue() - 1 & 1) != 0
+                    || holidays && all.contains(day)
                     || dates.stream().anyMatch(r -> !day.isBefore(r.first) && !day.isAfter(r.last));
         }
     }
@@ -27,19 +32,28 @@
     /** Dates from the first to the last, both included. */
     public record Range(LocalDate first, LocalDate last) {}
 
-    /** Minutes of a day: from, and to, which is at most 24:00 and on the next day where it is not above from. */
+    /**
+     * Minutes of a day: from, and to, which is at most 24:00 and on the next day where it is not
+     * above from.
+     */
     public record Span(int from, int to) {}
 
-    /** On {@code days}, all if null, but not on {@code except}, none if null, in {@code spans}, all day if empty. */
+    /**
+     * On {@code days}, all if null, but not on {@code except}, none if null, in {@code spans}, all
+     * day if empty.
+     */
     public record Clause(Days days, List<Span> spans, Days except) {
         boolean has(LocalDate day, Set<LocalDate> holidays) {
-            return (days == null || days.has(day, holidays)) && (except == null || !except.has(day, holidays));
+            return (days == null || days.has(day, holidays))
+                    && (except == null || !except.has(day, holidays));
         }
     }
 
     /** Days looked ahead for the next change; hours that do not change in them count as fixed. */
     private static final int AHEAD = 800;
+
     private static final int DAY = 24 * 60;
+
     /** What {@link #change} gives where nothing changes. */
     public static final long NEVER = Long.MAX_VALUE;
 
@@ -56,7 +70,10 @@
         return false;
     }
 
-    /** The first moment after {@code now} at which {@link #open} changes: nothing has to be asked before. */
+    /**
+     * The first moment after {@code now} at which {@link #open} changes: nothing has to be asked
+     * before.
+     */
     public long change(long now) {
         boolean open = open(now);
         LocalDate day = day(now).minusDays(1);
@@ -80,7 +97,9 @@
         return NEVER;
     }
 
-    /** A span of the next day may begin before this day's, where the clock is put back at midnight. */
+    /**
+     * A span of the next day may begin before this day's, where the clock is put back at midnight.
+     */
     private long earliest(LocalDate day, long at) {
         long first = at;
         for (long[] span : spans(day.plusDays(1))) {
@@ -105,7 +124,11 @@
                 continue;
             }
             if (clause.spans.isEmpty()) {
-                spans.add(new long[] {moment(day.atStartOfDay(), false), moment(day.plusDays(1).atStartOfDay(), true)});
+                spans.add(
+                        new long[] {
+                            moment(day.atStartOfDay(), false),
+                            moment(day.plusDays(1).atStartOfDay(), true)
+                        });
             }
             for (Span span : clause.spans) {
                 int to = span.to > span.from ? span.to : span.to + DAY;
@@ -126,8 +149,10 @@
 
     private long moment(LocalDateTime local, boolean end) {
         List<ZoneOffset> offsets = zone.getRules().getValidOffsets(local);
-        Instant at = offsets.isEmpty() ? zone.getRules().getTransition(local).getInstant()
-                : local.toInstant(offsets.get(end ? offsets.size() - 1 : 0));
+        Instant at =
+                offsets.isEmpty()
+                        ? zone.getRules().getTransition(local).getInstant()
+                        : local.toInstant(offsets.get(end ? offsets.size() - 1 : 0));
         return Math.multiplyExact(at.getEpochSecond(), 1_000_000L);
     }
 }
--- a/src/main/java/coralcove/numbers/HoursCheck.java
+++ b/src/main/java/coralcove/numbers/HoursCheck.java
@@ -6,12 +6,17 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** Looks ahead for times at which two calendars of one destination are open, or none and nothing else is said. */
+/**
+ * Looks ahead for times at which two calendars of one destination are open, or none and nothing
+ * else is said.
+ */
 public final class HoursCheck {
     /** µs looked ahead: a year and a day, so that each holiday and clock change comes once. */
     private static final long AHEAD = 367L * 86_400_000_000L;
+
     /** Findings told of one destination at most; the first ones show what is wrong. */
     private static final int MOST = 3;
+
     /** Changes looked at of one destination: some hundred a calendar and year are usual. */
     private static final int MOST_CHANGES = 20_000;
 
@@ -42,10 +47,21 @@
                 }
                 next = Math.min(next, calendar.change(at));
             }
-            String what = open.size() > 1 ? "overlap of " + String.join(" and ", open) + ", the first counts"
-                    : open.isEmpty() && hours.otherwise() == null ? "gap: no calendar is open and nothing else is said" : "";
+            String what =
+                    open.size() > 1
+                            ? "overlap of " + String.join(" and ", open) + ", the first counts"
+                            : open.isEmpty() && hours.otherwise() == null
+                                    ? "gap: no calendar is open and nothing else is said"
+                                    : "";
             if (!what.isEmpty() && found.add(what)) {
-                told.add("from " + Instant.ofEpochSecond(at / 1_000_000) + ": " + what + " (" + hours.text() + ")");
+                told.add(
+                        "from "
+                                + Instant.ofEpochSecond(at / 1_000_000)
+                                + ": "
+                                + what
+                                + " ("
+                                + hours.text()
+                                + ")");
             }
             if (next == Hours.NEVER) {
                 break;
--- a/src/main/java/coralcove/numbers/NumberTable.java
+++ b/src/main/java/coralcove/numbers/NumberTable.java
@@ -5,18 +5,23 @@
 import java.util.Map;
 
 /**
- * One version of all that is known of numbers; it never changes. The rules make a number of what was dialled, the trie
- * finds the longest prefix, calendars open and close. Tables made by {@link #edited} share what did not change.
+ * One version of all that is known of numbers; it never changes. The rules make a number of what
+ * was dialled, the trie finds the longest prefix, calendars open and close. Tables made by {@link
+ * #edited} share what did not change.
  */
 public final class NumberTable {
     /**
-     * What is dialled becomes a number by the first rule that fits: it begins with {@code begins}, or has {@code least}
-     * to {@code most} digits where that is null; what it begins with is replaced by {@code put}.
+     * What is dialled becomes a number by the first rule that fits: it begins with {@code begins},
+     * or has {@code least} to {@code most} digits where that is null; what it begins with is
+     * replaced by {@code put}.
      */
     public record Rule(String begins, int least, int most, String put) {
         boolean fits(String dialled) {
-            return begins != null ? dialled.startsWith(begins)
-                    : dialled.length() >= least && dialled.length() <= most && !dialled.startsWith("+");
+            return begins != null
+                    ? dialled.startsWith(begins)
+                    : dialled.length() >= least
+                            && dialled.length() <= most
+                            && !dialled.startsWith("+");
         }
 
         String apply(String dialled) {
@@ -32,19 +37,29 @@
     /** One edit: a prefix and where it goes now, null where it goes away. */
     public record Change(long prefix, Destination to) {}
 
-    /** What can be dialled: digits, a plus at the start, and visual separators (RFC 3966 section 5.1.1). */
+    /**
+     * What can be dialled: digits, a plus at the start, and visual separators (RFC 3966 section
+     * 5.1.1).
+     */
     private static final String SEPARATORS = "-.() ";
 
     private final long version;
     private final List<Rule> rules;
     private final Map<String, Hours> calendars;
     private final PrefixTrie trie;
+
     /** Place i is of value i; places past {@link #known} belong to newer tables. */
     private final Destination[] destinations;
+
     private final int known;
 
-    public NumberTable(long version, List<Rule> rules, Map<String, Hours> calendars, PrefixTrie trie,
-            Destination[] destinations, int known) {
+    public NumberTable(
+            long version,
+            List<Rule> rules,
+            Map<String, Hours> calendars,
+            PrefixTrie trie,
+            Destination[] destinations,
+            int known) {
         this.version = version;
         this.rules = rules;
         this.calendars = calendars;
@@ -94,7 +109,10 @@
         return null;
     }
 
-    /** The number meant by what was dialled; an {@link IllegalArgumentException} says why it can be none. */
+    /**
+     * The number meant by what was dialled; an {@link IllegalArgumentException} says why it can be
+     * none.
+     */
     public long number(String dialled) {
         String plain = plain(dialled);
         Rule rule = ruleOf(plain);
@@ -116,13 +134,18 @@
         return plain.toString();
     }
 
-    /** The next table: these edits and nothing else. What was not there before is no error to take away. */
+    /**
+     * The next table: these edits and nothing else. What was not there before is no error to take
+     * away.
+     */
     public NumberTable edited(long newVersion, List<Change> changes) {
         if (newVersion <= version) {
-            throw new IllegalArgumentException("version " + newVersion + " is not after " + version);
+            throw new IllegalArgumentException(
+                    "version " + newVersion + " is not after " + version);
         }
         PrefixTrie next = trie;
-        // Copied, not written behind: some thousand references at most unless each prefix goes its own way.
+        // Copied, not written behind: some thousand references at most unless each prefix goes its
+        // own way.
         Destination[] all = Arrays.copyOf(destinations, known + changes.size());
         int used = known;
         for (Change change : changes) {
@@ -133,6 +156,12 @@
                 next = next.with(change.prefix, used++);
             }
         }
-        return new NumberTable(newVersion, rules, calendars, next.worthPacking() ? next.packed() : next, all, used);
+        return new NumberTable(
+                newVersion,
+                rules,
+                calendars,
+                next.worthPacking() ? next.packed() : next,
+                all,
+                used);
     }
 }
--- a/src/main/java/coralcove/numbers/Porting.java
+++ b/src/main/java/coralcove/numbers/Porting.java
@@ -9,16 +9,19 @@
 import java.util.Set;
 
 /**
- * What a session does about a number that may have moved: go by what is known, wait for the portability server, or go
- * to the donor exchange. It remembers answers, keeps one question out a number, and stops asking a server that fails or
- * is slow, so that no session loses its final answer to it. No clock, wire or chance of its own.
+ * What a session does about a number that may have moved: go by what is known, wait for the
+ * portability server, or go to the donor exchange. It remembers answers, keeps one question out a
+ * number, and stops asking a server that fails or is slow, so that no session loses its final
+ * answer to it. No clock, wire or chance of its own.
  */
 public final class Porting {
     /**
-     * Times in µs. {@code budget} is the longest wait, and {@code share} the part of what the caller has left that it
-     * may take; {@code staleFor} is how long past its lifetime an answer serves when no newer one comes.
+     * Times in µs. {@code budget} is the longest wait, and {@code share} the part of what the
+     * caller has left that it may take; {@code staleFor} is how long past its lifetime an answer
+     * serves when no newer one comes.
      */
-    public record Settings(long budget, double share, long staleFor, int known, int unknown, int asked) {}
+    public record Settings(
+            long budget, double share, long staleFor, int known, int unknown, int asked) {}
 
     /** What is to be done now. */
     public sealed interface Answer permits Goes, Wait, Donor {}
@@ -26,29 +29,56 @@
     /** Go by this: the routing number, or 0 for a number that has not moved. */
     public record Goes(long routing, boolean stale) implements Answer {}
 
-    /** Wait for the answer, at most until then; {@code ask} tells that the question must be sent now. */
+    /**
+     * Wait for the answer, at most until then; {@code ask} tells that the question must be sent
+     * now.
+     */
     public record Wait(long until, boolean ask) implements Answer {}
 
     /** Go to the donor exchange, for this reason. */
     public record Donor(String reason) implements Answer {}
 
     /** How a question ended; times to live in µs. */
-    public enum Outcome { MOVED, NOT_MOVED, FAILED }
+    public enum Outcome {
+        MOVED,
+        NOT_MOVED,
+        FAILED
+    }
 
-    /** Failed or slow questions in a row that close the way to the server: chance losses rarely come so. */
+    /**
+     * Failed or slow questions in a row that close the way to the server: chance losses rarely come
+     * so.
+     */
     private static final int FAILURES = 5;
+
     /** µs: an answer later than this is of no use to a session, and counts as a failure. */
     private static final long SLOW = 400_000;
+
     /** µs: the first pause after closing, and the longest; a restart takes some seconds. */
     private static final long PAUSE_FIRST = 500_000;
+
     private static final long PAUSE_LONGEST = 4_000_000;
-    /** µs: the wait for news of a number whose last answer is past its lifetime: a good server takes less. */
+
+    /**
+     * µs: the wait for news of a number whose last answer is past its lifetime: a good server takes
+     * less.
+     */
     private static final long STALE_WAIT = 60_000;
-    /** µs: bounds of a lifetime: below, each session would ask; above, a move would not be seen for days. */
+
+    /**
+     * µs: bounds of a lifetime: below, each session would ask; above, a move would not be seen for
+     * days.
+     */
     private static final long LIFE_LEAST = 1_000_000;
+
     private static final long LIFE_MOST = 86_400_000_000L;
-    /** µs: how long a number that the server does not know is remembered at most (RFC 2308 section 5). */
+
+    /**
+     * µs: how long a number that the server does not know is remembered at most (RFC 2308 section
+     * 5).
+     */
     private static final long UNKNOWN_MOST = 600_000_000;
+
     /** µs: less than this is not worth waiting: a set-up needs what is left. */
     private static final long LEAST_WAIT = 5_000;
 
@@ -68,8 +98,13 @@
 
     private final Settings settings;
     private final Map<Long, Known> moved;
-    /** Apart, so that calls to numbers that do not exist cannot push out what is known of those that do. */
+
+    /**
+     * Apart, so that calls to numbers that do not exist cannot push out what is known of those that
+     * do.
+     */
     private final Map<Long, Known> still;
+
     private final Map<Long, Question> out = new LinkedHashMap<>();
     private int failures;
     private long closedUntil;
@@ -112,7 +147,10 @@
         }
         long wait = Math.min(stale ? STALE_WAIT : settings.budget, (long) (left * settings.share));
         // Many wait for one question: who comes late waits no longer than the first would.
-        long until = question == null ? now + wait : Math.min(now + wait, question.since + settings.budget);
+        long until =
+                question == null
+                        ? now + wait
+                        : Math.min(now + wait, question.since + settings.budget);
         if (until - now < LEAST_WAIT) {
             return without(known, stale, "no time");
         }
@@ -128,7 +166,10 @@
         return new Wait(until, ask);
     }
 
-    /** The wait of a session is over, by an answer or without one: it goes by what is known and waits no more. */
+    /**
+     * The wait of a session is over, by an answer or without one: it goes by what is known and
+     * waits no more.
+     */
     public Answer resume(long now, long number, long session) {
         Question question = out.get(number);
         if (question != null) {
@@ -138,7 +179,8 @@
         if (known != null && now < known.until) {
             return new Goes(known.routing, false);
         }
-        return without(known, known != null && now < known.until + settings.staleFor, "no answer in time");
+        return without(
+                known, known != null && now < known.until + settings.staleFor, "no answer in time");
     }
 
     /** A session that waited is over. */
@@ -153,11 +195,14 @@
     public List<Long> ended(long now, long number, Outcome outcome, long routing, long life) {
         Question question = out.remove(number);
         if (outcome != Outcome.FAILED) {
-            long lives = Math.max(LIFE_LEAST, Math.min(outcome == Outcome.MOVED ? LIFE_MOST : UNKNOWN_MOST, life));
+            long lives =
+                    Math.max(
+                            LIFE_LEAST,
+                            Math.min(outcome == Outcome.MOVED ? LIFE_MOST : UNKNOWN_MOST, life));
             moved.remove(number);
             still.remove(number);
-            (outcome == Outcome.MOVED ? moved : still).put(number,
-                    new Known(outcome == Outcome.MOVED ? routing : 0, now + lives));
+            (outcome == Outcome.MOVED ? moved : still)
+                    .put(number, new Known(outcome == Outcome.MOVED ? routing : 0, now + lives));
         }
         if (question == null) {
             return List.of();
@@ -194,7 +239,10 @@
         return new Donor(reason);
     }
 
-    /** Forgets answers that are of no use any more; asked now and then, as its time grows with what is known. */
+    /**
+     * Forgets answers that are of no use any more; asked now and then, as its time grows with what
+     * is known.
+     */
     public void sweep(long now) {
         for (Map<Long, Known> each : List.of(moved, still)) {
             for (Iterator<Known> it = each.values().iterator(); it.hasNext(); ) {
--- a/src/main/java/coralcove/numbers/PrefixTrie.java
+++ b/src/main/java/coralcove/numbers/PrefixTrie.java
@@ -3,10 +3,11 @@
 import java.util.Arrays;
 
 /**
- * Prefixes of numbers and a value above 0 for each; the longest that begins a number wins. A trie with compressed
- * paths in one int array, four ints a node, the children of a node side by side. It never changes: an edit gives a new
- * trie that shares all nodes but those on the way to the change, which it writes behind the others. Readers of older
- * tries are not disturbed; edits come from one thread at a time.
+ * Prefixes of numbers and a value above 0 for each; the longest that begins a number wins. A trie
+ * with compressed paths in one int array, four ints a node, the children of a node side by side. It
+ * never changes: an edit gives a new trie that shares all nodes but those on the way to the change,
+ * which it writes behind the others. Readers of older tries are not disturbed; edits come from one
+ * thread at a time.
  */
 public final class PrefixTrie {
     /** What edits write to: the tries of one line share it, and only the newest may write on. */
@@ -20,18 +21,30 @@
         }
     }
 
-    /** Ints of a node: its first child, which children and how many skipped digits, those digits, its value. */
+    /**
+     * Ints of a node: its first child, which children and how many skipped digits, those digits,
+     * its value.
+     */
     private static final int NODE = 4;
+
     private static final int SKIPPED = 11;
     private static final int CHILDREN = (1 << SKIPPED) - 1;
+
     /** Digits that one node skips at most: 28 bits of an int. */
     private static final int MOST_SKIPPED = 7;
+
     /** The part of a store kept free for edits when it is made, and the least, in ints. */
     private static final int SPARE = 8;
+
     private static final int LEAST_SPARE = 1 << 12;
+
     /** Ints of a store at most: 2 GiB, some 60 million prefixes. */
     private static final int MOST_CELLS = 1 << 29;
-    /** Share of the store's ints that no longer belong to the newest trie from which it is worth packing. */
+
+    /**
+     * Share of the store's ints that no longer belong to the newest trie from which it is worth
+     * packing.
+     */
     private static final double WASTE = 0.3;
 
     private final Store store;
@@ -39,6 +52,7 @@
     private final int root;
     private final int end;
     private final int size;
+
     /** Ints written for older tries only, so far as known. */
     private final int waste;
 
@@ -56,16 +70,19 @@
     }
 
     /**
-     * Of the first {@code count} keys ({@link Digits}), which rise strictly, and their values. The empty prefix is
-     * allowed; a key twice or out of order, or a value below 1, is an {@link IllegalArgumentException}.
+     * Of the first {@code count} keys ({@link Digits}), which rise strictly, and their values. The
+     * empty prefix is allowed; a key twice or out of order, or a value below 1, is an {@link
+     * IllegalArgumentException}.
      */
     public static PrefixTrie of(long[] keys, int[] values, int count) {
         for (int i = 0; i < count; i++) {
             if (i > 0 && keys[i] <= keys[i - 1]) {
-                throw new IllegalArgumentException("prefix " + Digits.text(keys[i]) + " is out of order or there twice");
+                throw new IllegalArgumentException(
+                        "prefix " + Digits.text(keys[i]) + " is out of order or there twice");
             }
             if (values[i] < 1) {
-                throw new IllegalArgumentException("prefix " + Digits.text(keys[i]) + " has value " + values[i]);
+                throw new IllegalArgumentException(
+                        "prefix " + Digits.text(keys[i]) + " has value " + values[i]);
             }
         }
         Builder builder = new Builder(keys, values, count);
@@ -96,10 +113,11 @@
         long[] keys = new long[size];
         int[] values = new int[size];
         int[] count = {0};
-        each((key, value) -> {
-            keys[count[0]] = key;
-            values[count[0]++] = value;
-        });
+        each(
+                (key, value) -> {
+                    keys[count[0]] = key;
+                    values[count[0]++] = value;
+                });
         return of(keys, values, size);
     }
 
@@ -108,7 +126,10 @@
         return (int) longest(number);
     }
 
-    /** The longest prefix's length in the upper, its value in the lower 32 bits; 0 if none begins the number. */
+    /**
+     * The longest prefix's length in the upper, its value in the lower 32 bits; 0 if none begins
+     * the number.
+     */
     public long longest(long number) {
         int[] all = cells;
         int node = root;
@@ -167,7 +188,11 @@
         int child = cells[node];
         for (int digit = 1; digit <= 10; digit++) {
             if ((meta & 1 << digit) != 0) {
-                each(child, here | (long) digit << 4 * (Digits.MOST - depth - 1), depth + 1, visitor);
+                each(
+                        child,
+                        here | (long) digit << 4 * (Digits.MOST - depth - 1),
+                        depth + 1,
+                        visitor);
                 child += NODE;
             }
         }
@@ -189,7 +214,8 @@
     }
 
     private PrefixTrie edited(long prefix, int value) {
-        // Another edit of this trie has written behind it: that line keeps the store, this one gets its own.
+        // Another edit of this trie has written behind it: that line keeps the store, this one gets
+        // its own.
         Store own = store.used == end ? store : new Store(Arrays.copyOf(cells, spare(end)), end);
         Edit edit = new Edit(own);
         int before = get(prefix);
@@ -213,7 +239,8 @@
             int[] now = Arrays.copyOfRange(store.cells, node, node + NODE);
             int skip = now[1] >>> SKIPPED;
             int same = 0;
-            while (same < skip && at + same < length
+            while (same < skip
+                    && at + same < length
                     && Digits.at(key, at + same) == (now[2] >>> 4 * (skip - same - 1) & 15)) {
                 same++;
             }
@@ -229,8 +256,10 @@
             int count = Integer.bitCount(now[1] & CHILDREN);
             int place = Integer.bitCount(now[1] & (1 << digit) - 1);
             boolean there = (now[1] & 1 << digit) != 0;
-            int[] child = there ? put(now[0] + NODE * place, depth + 1, key, length, value)
-                    : leaf(key, depth + 1, length, value);
+            int[] child =
+                    there
+                            ? put(now[0] + NODE * place, depth + 1, key, length, value)
+                            : leaf(key, depth + 1, length, value);
             int[] block = new int[NODE * (count + (there ? 0 : 1) - (child == null ? 1 : 0))];
             System.arraycopy(store.cells, now[0], block, 0, NODE * place);
             int to = NODE * place;
@@ -247,11 +276,14 @@
         }
 
         /** A node whose skipped digits part from the key's after {@code same} of them. */
-        private int[] split(int[] now, int skip, int same, int at, long key, int length, int value) {
+        private int[] split(
+                int[] now, int skip, int same, int at, long key, int length, int value) {
             int[] top = new int[NODE];
             int digit = now[2] >>> 4 * (skip - same - 1) & 15;
             int rest = skip - same - 1;
-            int[] lower = {now[0], now[1] & CHILDREN | rest << SKIPPED, now[2] & (1 << 4 * rest) - 1, now[3]};
+            int[] lower = {
+                now[0], now[1] & CHILDREN | rest << SKIPPED, now[2] & (1 << 4 * rest) - 1, now[3]
+            };
             top[2] = now[2] >>> 4 * (skip - same);
             top[1] = same << SKIPPED | 1 << digit;
             if (at + same == length) {
@@ -272,14 +304,23 @@
         private int[] leaf(long key, int at, int length, int value) {
             int rest = length - at;
             if (rest <= MOST_SKIPPED) {
-                return new int[] {0, rest << SKIPPED, rest == 0 ? 0 : Digits.part(key, at, rest), value};
+                return new int[] {
+                    0, rest << SKIPPED, rest == 0 ? 0 : Digits.part(key, at, rest), value
+                };
             }
             int child = write(leaf(key, at + MOST_SKIPPED + 1, length, value));
-            return new int[] {child, MOST_SKIPPED << SKIPPED | 1 << Digits.at(key, at + MOST_SKIPPED),
-                Digits.part(key, at, MOST_SKIPPED), 0};
+            return new int[] {
+                child,
+                MOST_SKIPPED << SKIPPED | 1 << Digits.at(key, at + MOST_SKIPPED),
+                Digits.part(key, at, MOST_SKIPPED),
+                0
+            };
         }
 
-        /** A node without a value goes if it has no child, and is one with its child if it has one only. */
+        /**
+         * A node without a value goes if it has no child, and is one with its child if it has one
+         * only.
+         */
         private int[] tidy(int[] now) {
             int children = now[1] & CHILDREN;
             if (now[3] != 0 || Integer.bitCount(children) > 1) {
@@ -295,15 +336,19 @@
             }
             int digit = Integer.numberOfTrailingZeros(children);
             left += NODE;
-            return new int[] {store.cells[now[0]],
+            return new int[] {
+                store.cells[now[0]],
                 store.cells[now[0] + 1] & CHILDREN | skip + 1 + below << SKIPPED,
-                (now[2] << 4 | digit) << 4 * below | store.cells[now[0] + 2], store.cells[now[0] + 3]};
+                (now[2] << 4 | digit) << 4 * below | store.cells[now[0] + 2],
+                store.cells[now[0] + 3]
+            };
         }
 
         int write(int[] block) {
             if (store.used + block.length > store.cells.length) {
                 if (store.used + block.length > MOST_CELLS) {
-                    throw new IllegalStateException("a table of more than " + MOST_CELLS / NODE + " nodes");
+                    throw new IllegalStateException(
+                            "a table of more than " + MOST_CELLS / NODE + " nodes");
                 }
                 // Older tries keep the array they know.
                 store.cells = Arrays.copyOf(store.cells, spare(store.used + block.length));
@@ -314,7 +359,10 @@
         }
     }
 
-    /** Builds from sorted keys: the children of a node are given their places before they are filled. */
+    /**
+     * Builds from sorted keys: the children of a node are given their places before they are
+     * filled.
+     */
     private static final class Builder {
         private final long[] keys;
         private final int[] values;
--- a/src/main/java/coralcove/numbers/Search.java
+++ b/src/main/java/coralcove/numbers/Search.java
@@ -7,24 +7,34 @@
 import java.util.function.Supplier;
 
 /**
- * One session's way from what was dialled to a far end, by the one table it began with. Asked for the next step; a step
- * that waits is taken again when the answer came or the wait is over. What it found once stays: a retry goes to the
- * same far end, though hours or tables have changed meanwhile.
+ * One session's way from what was dialled to a far end, by the one table it began with. Asked for
+ * the next step; a step that waits is taken again when the answer came or the wait is over. What it
+ * found once stays: a retry goes to the same far end, though hours or tables have changed
+ * meanwhile.
  */
 public final class Search {
     /** What is to be done. */
     public sealed interface Step permits Route, Refused, Wait {}
 
-    /** The far end of the number that counts in the end; {@code until} is when hours may change the answer. */
+    /**
+     * The far end of the number that counts in the end; {@code until} is when hours may change the
+     * answer.
+     */
     public record Route(int farEnd, String number, long until) implements Step {}
 
     /** The final answer: status and reason, and the new number of a 410, "" with others. */
     public record Refused(int status, String reason, String number) implements Step {}
 
-    /** Wait until then at most, for this number; {@code ask} tells that the question must be sent now. */
+    /**
+     * Wait until then at most, for this number; {@code ask} tells that the question must be sent
+     * now.
+     */
     public record Wait(long until, long number, boolean ask) implements Step {}
 
-    /** Questions to the portability server a session, at most: a number ported twice is real, more is a loop. */
+    /**
+     * Questions to the portability server a session, at most: a number ported twice is real, more
+     * is a loop.
+     */
     private static final int MOST_QUESTIONS = 3;
 
     private final long session;
@@ -33,13 +43,23 @@
     private final long limit;
     private NumberTable table;
     private long number;
-    /** The donor of the number that was dialled, to which a circle leads back, and of the last number found. */
+
+    /**
+     * The donor of the number that was dialled, to which a circle leads back, and of the last
+     * number found.
+     */
     private int donor = -1;
+
     private int holder = -1;
     private long asked;
     private final Set<Long> seen = new HashSet<>();
-    /** Put into words only when they are asked for: sessions are searched for, and hardly ever explained. */
+
+    /**
+     * Put into words only when they are asked for: sessions are searched for, and hardly ever
+     * explained.
+     */
     private final List<Supplier<String>> steps = new ArrayList<>();
+
     private Step found;
 
     /** {@code limit} is the moment by which the caller must have its answer, in µs. */
@@ -65,7 +85,9 @@
         return found != null;
     }
 
-    /** The table it began with was let go before it had an answer: it begins again with this one. */
+    /**
+     * The table it began with was let go before it had an answer: it begins again with this one.
+     */
     public void restart(NumberTable now) {
         table = now;
         number = 0;
@@ -85,11 +107,17 @@
             try {
                 number = table.number(dialled);
             } catch (IllegalArgumentException e) {
-                return refuse(484, "Address Incomplete", "dialled " + dialled + " " + e.getMessage());
+                return refuse(
+                        484, "Address Incomplete", "dialled " + dialled + " " + e.getMessage());
             }
             long meant = number;
-            steps.add(() -> "dialled " + dialled + (by.rule(dialled) == null ? "" : ", rule " + by.rule(dialled))
-                    + ": number " + Digits.text(meant));
+            steps.add(
+                    () ->
+                            "dialled "
+                                    + dialled
+                                    + (by.rule(dialled) == null ? "" : ", rule " + by.rule(dialled))
+                                    + ": number "
+                                    + Digits.text(meant));
         }
         return asked != 0 ? questioned(now, porting) : looked(now, porting);
     }
@@ -141,7 +169,8 @@
             holder = ported.donor();
             if (!seen.add(number) || seen.size() > MOST_QUESTIONS) {
                 holder = donor;
-                return donor(seen.size() > MOST_QUESTIONS ? "ported too often" : "ported in a circle");
+                return donor(
+                        seen.size() > MOST_QUESTIONS ? "ported too often" : "ported in a circle");
             }
             asked = number;
             return questioned(now, porting);
@@ -186,7 +215,11 @@
             return donor("has not moved");
         }
         number = goes.routing();
-        steps.add(() -> "ported: routing number " + Digits.text(goes.routing()) + (goes.stale() ? ", past its lifetime" : ""));
+        steps.add(
+                () ->
+                        "ported: routing number "
+                                + Digits.text(goes.routing())
+                                + (goes.stale() ? ", past its lifetime" : ""));
         return looked(now, porting);
     }
 
--- a/src/main/java/coralcove/numbers/Tables.java
+++ b/src/main/java/coralcove/numbers/Tables.java
@@ -7,9 +7,10 @@
 import java.util.Map;
 
 /**
- * Which table is in service, and which old ones are still needed: a session keeps the table it began with until it
- * ends. At most a stated number is kept; past it the oldest goes, and its sessions that have no far end yet begin again
- * with the table in service, while those that have one keep it. One thread owns it.
+ * Which table is in service, and which old ones are still needed: a session keeps the table it
+ * began with until it ends. At most a stated number is kept; past it the oldest goes, and its
+ * sessions that have no far end yet begin again with the table in service, while those that have
+ * one keep it. One thread owns it.
  */
 public final class Tables {
     private static final class Kept {
@@ -69,13 +70,18 @@
     }
 
     /**
-     * Puts a table in service; the versions given back are let go although sessions hold them. A version that is not
-     * after the one in service is an {@link IllegalArgumentException}, and nothing changes.
+     * Puts a table in service; the versions given back are let go although sessions hold them. A
+     * version that is not after the one in service is an {@link IllegalArgumentException}, and
+     * nothing changes.
      */
     public List<Long> replace(NumberTable table) {
         if (table.version() <= current.table.version()) {
-            throw new IllegalArgumentException("version " + table.version() + " is not after "
-                    + current.table.version() + ", which is in service");
+            throw new IllegalArgumentException(
+                    "version "
+                            + table.version()
+                            + " is not after "
+                            + current.table.version()
+                            + ", which is in service");
         }
         if (current.sessions == 0) {
             kept.remove(current.table.version());
@@ -83,7 +89,8 @@
         current = new Kept(table);
         kept.put(table.version(), current);
         List<Long> gone = new ArrayList<>();
-        for (Iterator<Long> oldest = kept.keySet().iterator(); kept.size() > most && oldest.hasNext(); ) {
+        for (Iterator<Long> oldest = kept.keySet().iterator();
+                kept.size() > most && oldest.hasNext(); ) {
             gone.add(oldest.next());
             oldest.remove();
         }
--- a/src/main/java/coralcove/numbers/file/HoursReader.java
+++ b/src/main/java/coralcove/numbers/file/HoursReader.java
@@ -43,13 +43,19 @@
 
     public static Hours read(String text, ZoneId zone, Set<LocalDate> holidays) throws Bad {
         List<Bad> found = new ArrayList<>();
-        BaseErrorListener listener = new BaseErrorListener() {
-            @Override
-            public void syntaxError(Recognizer<?, ?> recognizer, Object symbol, int line, int column, String message,
-                    RecognitionException cause) {
-                found.add(new Bad(column + 1, message));
-            }
-        };
+        BaseErrorListener listener =
+                new BaseErrorListener() {
+                    @Override
+                    public void syntaxError(
+                            Recognizer<?, ?> recognizer,
+                            Object symbol,
+                            int line,
+                            int column,
+                            String message,
+                            RecognitionException cause) {
+                        found.add(new Bad(column + 1, message));
+                    }
+                };
         HoursTextLexer lexer = new HoursTextLexer(CharStreams.fromString(text));
         lexer.removeErrorListeners();
         lexer.addErrorListener(listener);
@@ -62,8 +68,11 @@
         }
         List<Hours.Clause> clauses = new ArrayList<>();
         for (HoursTextParser.ClauseContext each : hours.clause()) {
-            clauses.add(new Hours.Clause(each.days() == null ? null : days(each.days()), spans(each.times()),
-                    each.except() == null ? null : days(each.except().days())));
+            clauses.add(
+                    new Hours.Clause(
+                            each.days() == null ? null : days(each.days()),
+                            spans(each.times()),
+                            each.except() == null ? null : days(each.except().days())));
         }
         return new Hours(zone, holidays, clauses);
     }
@@ -76,7 +85,8 @@
             holidays |= day.HOLIDAYS() != null;
             if (!day.WEEKDAY().isEmpty()) {
                 int first = WEEK.indexOf(day.WEEKDAY(0).getText());
-                int last = day.WEEKDAY().size() > 1 ? WEEK.indexOf(day.WEEKDAY(1).getText()) : first;
+                int last =
+                        day.WEEKDAY().size() > 1 ? WEEK.indexOf(day.WEEKDAY(1).getText()) : first;
                 // sa-mo goes round the end of the week.
                 for (int i = first; ; i = (i + 1) % 7) {
                     weekdays |= 1 << i;
@@ -104,7 +114,9 @@
                 int from = minutes(time.CLOCK(0).getSymbol(), 23 * 60 + 59);
                 int to = minutes(time.CLOCK(1).getSymbol(), 24 * 60);
                 if (from == to) {
-                    throw bad(time.CLOCK(1).getSymbol(), "is where it begins; for the whole day leave the times out");
+                    throw bad(
+                            time.CLOCK(1).getSymbol(),
+                            "is where it begins; for the whole day leave the times out");
                 }
                 spans.add(new Hours.Span(from, to));
             }
@@ -122,7 +134,8 @@
 
     private static int minutes(Token token, int most) throws Bad {
         String text = token.getText();
-        int minutes = 60 * Integer.parseInt(text.substring(0, 2)) + Integer.parseInt(text.substring(3));
+        int minutes =
+                60 * Integer.parseInt(text.substring(0, 2)) + Integer.parseInt(text.substring(3));
         if (text.charAt(3) > '5' || minutes > most) {
             throw bad(token, "is no time of day");
         }
