--- a/src/main/java/coralcove/numbers/file/TableReader.java
+++ b/src/main/java/coralcove/numbers/file/TableReader.java
@@ -23,8 +23,9 @@
 import java.util.function.IntPredicate;
 
 /**
- * Reads a table of numbers, or the changes to one, from a text file of one statement a line; docs/numbers.md has them
- * all. The last line counts the prefixes or changes, so that a file cut short is seen. A bad file names its line.
+ * Reads a table of numbers, or the changes to one, from a text file of one statement a line;
+ * docs/numbers.md has them all. The last line counts the prefixes or changes, so that a file cut
+ * short is seen. A bad file names its line.
  */
 public final class TableReader {
     /** A file that is no table; the message begins with file and line. */
@@ -41,8 +42,10 @@
 
     /** Characters of a line at most. */
     private static final int LONGEST_LINE = 1000;
+
     /** Prefixes at most, as many as the trie's array can hold with room for edits. */
     private static final int MOST_PREFIXES = 20_000_000;
+
     private static final int MOST_FAR_END = 65_535;
     private static final int MOST_SERVICE = 63;
 
@@ -66,18 +69,21 @@
         }
     }
 
-    public static NumberTable table(String file, BufferedReader in, IntPredicate known) throws IOException, Bad {
+    public static NumberTable table(String file, BufferedReader in, IntPredicate known)
+            throws IOException, Bad {
         return new TableReader(file, known).table(in);
     }
 
     /** Changes to be made to {@code base}. */
-    public static Changes changes(Path path, NumberTable base, IntPredicate known) throws IOException, Bad {
+    public static Changes changes(Path path, NumberTable base, IntPredicate known)
+            throws IOException, Bad {
         try (BufferedReader in = Files.newBufferedReader(path)) {
             return changes(path.getFileName().toString(), in, base, known);
         }
     }
 
-    public static Changes changes(String file, BufferedReader in, NumberTable base, IntPredicate known)
+    public static Changes changes(
+            String file, BufferedReader in, NumberTable base, IntPredicate known)
             throws IOException, Bad {
         TableReader reader = new TableReader(file, known);
         reader.calendars.putAll(base.calendars());
@@ -116,15 +122,24 @@
             String[] words = words(text);
             if (words[0].equals("end")) {
                 if (words.length != 2 || whole(words[1], 0, MOST_PREFIXES) != count) {
-                    throw bad("counts " + text.substring(3).strip() + " prefixes where there are " + count);
+                    throw bad(
+                            "counts "
+                                    + text.substring(3).strip()
+                                    + " prefixes where there are "
+                                    + count);
                 }
                 break;
             }
             head(words, text, rules);
         }
         nothingBehind(in);
-        return new NumberTable(version, List.copyOf(rules), Map.copyOf(calendars), sorted(keys, found, lines, count),
-                destinations(), values.size() + 1);
+        return new NumberTable(
+                version,
+                List.copyOf(rules),
+                Map.copyOf(calendars),
+                sorted(keys, found, lines, count),
+                destinations(),
+                values.size() + 1);
     }
 
     private void head(String[] words, String text, List<NumberTable.Rule> rules) throws Bad {
@@ -151,12 +166,15 @@
         if (calendars.containsKey(words[1])) {
             throw bad("calendar " + words[1] + " is there twice");
         }
-        int at = text.indexOf(words[2], text.indexOf(words[1], 8) + words[1].length()) + words[2].length();
+        int at =
+                text.indexOf(words[2], text.indexOf(words[1], 8) + words[1].length())
+                        + words[2].length();
         while (text.charAt(at) == ' ') {
             at++;
         }
         try {
-            calendars.put(words[1], HoursReader.read(text.substring(at), ZoneId.of(words[2]), holidays));
+            calendars.put(
+                    words[1], HoursReader.read(text.substring(at), ZoneId.of(words[2]), holidays));
         } catch (HoursReader.Bad e) {
             throw bad("column " + (at + e.column()) + ": " + e.reason());
         } catch (DateTimeException e) {
@@ -196,7 +214,11 @@
             String[] words = words(text);
             if (words[0].equals("end")) {
                 if (words.length != 2 || whole(words[1], 0, MOST_PREFIXES) != list.size()) {
-                    throw bad("counts " + text.substring(3).strip() + " changes where there are " + list.size());
+                    throw bad(
+                            "counts "
+                                    + text.substring(3).strip()
+                                    + " changes where there are "
+                                    + list.size());
                 }
                 nothingBehind(in);
                 return new Changes(after, version, list);
@@ -208,11 +230,15 @@
             if (!seen.add(key)) {
                 throw bad("prefix " + words[1] + " is there twice");
             }
-            String rest = text.substring(text.indexOf(words[1], words[0].length()) + words[1].length()).strip();
+            String rest =
+                    text.substring(text.indexOf(words[1], words[0].length()) + words[1].length())
+                            .strip();
             if (words[0].equals("drop") && !rest.isEmpty()) {
                 throw bad("drop takes nothing behind the prefix");
             }
-            list.add(new NumberTable.Change(key, words[0].equals("drop") ? null : destination(rest, true)));
+            list.add(
+                    new NumberTable.Change(
+                            key, words[0].equals("drop") ? null : destination(rest, true)));
         }
     }
 
@@ -280,7 +306,8 @@
         Destination to = read.get(text);
         if (to == null) {
             to = destination(text, true);
-            // Texts that come again are read once; those of changed numbers each come once and would fill the map.
+            // Texts that come again are read once; those of changed numbers each come once and
+            // would fill the map.
             if (!(to instanceof Destination.Changed)) {
                 read.put(text, to);
             }
@@ -316,7 +343,9 @@
                 if (words.length != 1) {
                     throw bad("nothing stands behind " + words[0]);
                 }
-                return words[0].equals("blocked") ? new Destination.Blocked() : new Destination.Unallocated();
+                return words[0].equals("blocked")
+                        ? new Destination.Blocked()
+                        : new Destination.Unallocated();
             }
             case "changed" -> {
                 if (words.length != 2 || !words[1].matches("\\+?\\d{1,15}")) {
@@ -390,8 +419,11 @@
             values[i] = found[order[i]];
             if (i > 0 && rising[i] == rising[i - 1]) {
                 line = Math.max(lines[order[i]], lines[order[i - 1]]);
-                throw bad("prefix " + (rising[i] == 0 ? "*" : Digits.text(rising[i])) + " is there twice, first in line "
-                        + Math.min(lines[order[i]], lines[order[i - 1]]));
+                throw bad(
+                        "prefix "
+                                + (rising[i] == 0 ? "*" : Digits.text(rising[i]))
+                                + " is there twice, first in line "
+                                + Math.min(lines[order[i]], lines[order[i - 1]]));
             }
         }
         return PrefixTrie.of(rising, values, count);
--- a/src/main/java/coralcove/numbers/file/TableWatch.java
+++ b/src/main/java/coralcove/numbers/file/TableWatch.java
@@ -9,8 +9,9 @@
 import java.util.function.IntPredicate;
 
 /**
- * Looks at a table's file, and at the file of changes if there is one, and makes the next table when one has been
- * written anew. It is asked on a thread that serves no sessions; a bad file is told, and the table before stays.
+ * Looks at a table's file, and at the file of changes if there is one, and makes the next table
+ * when one has been written anew. It is asked on a thread that serves no sessions; a bad file is
+ * told, and the table before stays.
  */
 public final class TableWatch {
     private final Path table;
@@ -46,7 +47,12 @@
                 tableAt = at;
                 NumberTable read = TableReader.table(table, known);
                 if (read.version() <= newest.version()) {
-                    trouble.accept(table + ": version " + read.version() + " is not after " + newest.version());
+                    trouble.accept(
+                            table
+                                    + ": version "
+                                    + read.version()
+                                    + " is not after "
+                                    + newest.version());
                 } else {
                     newest = read;
                 }
@@ -56,8 +62,12 @@
                 changesAt = edited;
                 TableReader.Changes read = TableReader.changes(changes, newest, known);
                 if (read.after() != newest.version()) {
-                    trouble.accept(changes + ": made for version " + read.after() + ", in service is "
-                            + newest.version());
+                    trouble.accept(
+                            changes
+                                    + ": made for version "
+                                    + read.after()
+                                    + ", in service is "
+                                    + newest.version());
                 } else {
                     newest = newest.edited(read.version(), read.list());
                 }
--- a/src/main/java/coralcove/planner/EdgeLink.java
+++ b/src/main/java/coralcove/planner/EdgeLink.java
@@ -8,8 +8,9 @@
 import java.util.function.Consumer;
 
 /**
- * The edge's end of the link, without sockets and clock: it listens, takes one planner, tells it facts and takes its
- * plans. What a planner does or fails to do never reaches the sessions but through {@link PlanKeeper}.
+ * The edge's end of the link, without sockets and clock: it listens, takes one planner, tells it
+ * facts and takes its plans. What a planner does or fails to do never reaches the sessions but
+ * through {@link PlanKeeper}.
  */
 public final class EdgeLink {
     /** What it does. */
@@ -24,16 +25,27 @@
         void log(String event, String detail);
     }
 
-    /** µs between two batches of facts: a refresh comes each 5 s a group, and a plan a second later is as good. */
+    /**
+     * µs between two batches of facts: a refresh comes each 5 s a group, and a plan a second later
+     * is as good.
+     */
     private static final long EVERY = 250_000;
+
     /** µs of silence after which the other end is taken for dead: three of its signs of life. */
     private static final long SILENT = 3_000_000;
+
     /** µs between two signs of life. */
     private static final long ALIVE = 1_000_000;
+
     /** Groups in one batch; more wait for the next, the newest of each group only. */
     private static final int BATCH = 256;
-    /** Bytes waiting from which no more facts are sent: a planner that reads no faster gets newer ones later. */
+
+    /**
+     * Bytes waiting from which no more facts are sent: a planner that reads no faster gets newer
+     * ones later.
+     */
     private static final long BACKLOG = 256 << 10;
+
     /** Connections that have not said who they are, at most: past it a new one is closed. */
     private static final int UNKNOWN = 8;
 
@@ -59,11 +71,16 @@
 
     /** {@code start} tells this start from others. */
     public EdgeLink(Settings settings, PlanKeeper keeper, FactsOut facts, long start) {
-        this(settings, keeper, facts, start, plan -> { });
+        this(settings, keeper, facts, start, plan -> {});
     }
 
     /** {@code taken} hears of each plan that is in force from now on. */
-    public EdgeLink(Settings settings, PlanKeeper keeper, FactsOut facts, long start, Consumer<Plan> taken) {
+    public EdgeLink(
+            Settings settings,
+            PlanKeeper keeper,
+            FactsOut facts,
+            long start,
+            Consumer<Plan> taken) {
         this.taken = taken;
         this.settings = settings;
         this.keeper = keeper;
@@ -75,7 +92,10 @@
         return planner >= 0;
     }
 
-    /** What happened how often: plans taken and refused by reason, planners turned away, bad frames, silences. */
+    /**
+     * What happened how often: plans taken and refused by reason, planners turned away, bad frames,
+     * silences.
+     */
     public Map<String, Long> counts() {
         return counts;
     }
@@ -125,7 +145,10 @@
             drop(connection, "spoke before it said who it is", out);
         } else if (frame instanceof Frame.Planned planned) {
             PlanKeeper.Refusal refusal = keeper.offer(now, planned.plan());
-            count(refusal == PlanKeeper.Refusal.NONE ? "taken" : refusal.name().toLowerCase(java.util.Locale.ROOT));
+            count(
+                    refusal == PlanKeeper.Refusal.NONE
+                            ? "taken"
+                            : refusal.name().toLowerCase(java.util.Locale.ROOT));
             if (refusal == PlanKeeper.Refusal.NONE) {
                 taken.accept(planned.plan());
                 planned.plan().groups().forEach(group -> facts.planned(group.number(), group.at()));
@@ -137,10 +160,16 @@
     }
 
     private void hello(long now, long connection, Frame.Hello hello, Out out) {
-        String reason = !hello.planner() ? "not a planner"
-                : hello.router() != settings.ownNumber() ? "a planner for router " + hello.router()
-                : hello.classes() != 2 * settings.services().size() ? "a planner of " + hello.classes() + " classes"
-                : planner >= 0 && planner != connection ? "another planner is there" : "";
+        String reason =
+                !hello.planner()
+                        ? "not a planner"
+                        : hello.router() != settings.ownNumber()
+                                ? "a planner for router " + hello.router()
+                                : hello.classes() != 2 * settings.services().size()
+                                        ? "a planner of " + hello.classes() + " classes"
+                                        : planner >= 0 && planner != connection
+                                                ? "another planner is there"
+                                                : "";
         if (!reason.isEmpty()) {
             count("turned-away");
             send(connection, new Frame.Refused(reason), out);
@@ -150,15 +179,23 @@
         planner = connection;
         factsAt = now;
         aliveAt = now + ALIVE;
-        // What the last planner heard and did not plan would be missing until the next refresh, or the one after.
+        // What the last planner heard and did not plan would be missing until the next refresh, or
+        // the one after.
         facts.again();
-        out.log("planner-here", "start " + hello.start() + ", plan " + keeper.version() + " in force");
-        send(connection, new Frame.Hello(false, settings.ownNumber(), hello.classes(), start, keeper.version()), out);
+        out.log(
+                "planner-here",
+                "start " + hello.start() + ", plan " + keeper.version() + " in force");
+        send(
+                connection,
+                new Frame.Hello(
+                        false, settings.ownNumber(), hello.classes(), start, keeper.version()),
+                out);
     }
 
     public void tick(long now, Out out) {
         for (long connection : java.util.List.copyOf(peers.keySet())) {
-            // A link that stalls without closing is as good as none, and holds the place of a planner that is well.
+            // A link that stalls without closing is as good as none, and holds the place of a
+            // planner that is well.
             if (now - peers.get(connection).heard >= SILENT) {
                 count("silent");
                 drop(connection, "silent for " + SILENT / 1000 + " ms", out);
--- a/src/main/java/coralcove/planner/FactsOut.java
+++ b/src/main/java/coralcove/planner/FactsOut.java
@@ -8,14 +8,19 @@
 import java.util.Map;
 
 /**
- * Facts on their way to the planner: one a group, the newest wins, so that a planner that does not read costs no
- * memory and reads the newest first thing when it is back. Bounded by groups; past it the one told longest ago goes.
+ * Facts on their way to the planner: one a group, the newest wins, so that a planner that does not
+ * read costs no memory and reads the newest first thing when it is back. Bounded by groups; past it
+ * the one told longest ago goes.
  */
 public final class FactsOut {
     private final int most;
     private final Map<Integer, GroupFacts> waiting = new LinkedHashMap<>();
-    /** Sent, and no plan that rests on them has come: a planner that starts anew gets them again. */
+
+    /**
+     * Sent, and no plan that rests on them has come: a planner that starts anew gets them again.
+     */
     private final Map<Integer, GroupFacts> unplanned = new LinkedHashMap<>();
+
     private long dropped;
     private long replaced;
 
@@ -61,7 +66,10 @@
         }
     }
 
-    /** Another planner: what the last one was told and did not plan waits again, before what is newer. */
+    /**
+     * Another planner: what the last one was told and did not plan waits again, before what is
+     * newer.
+     */
     public void again() {
         Map<Integer, GroupFacts> later = new LinkedHashMap<>(waiting);
         waiting.clear();
@@ -74,7 +82,10 @@
         return waiting.size();
     }
 
-    /** Dropped for room, and thinned out because a newer one of the same group came before they were sent. */
+    /**
+     * Dropped for room, and thinned out because a newer one of the same group came before they were
+     * sent.
+     */
     public long[] counts() {
         return new long[] {dropped, replaced};
     }
--- a/src/main/java/coralcove/planner/Frame.java
+++ b/src/main/java/coralcove/planner/Frame.java
@@ -11,12 +11,16 @@
 import java.util.zip.CRC32C;
 
 /**
- * One message between a router's edge and its planner: four bytes of length, the link's version, a type, four bytes of
- * CRC-32C over what follows, the body. Numbers are big-endian.
+ * One message between a router's edge and its planner: four bytes of length, the link's version, a
+ * type, four bytes of CRC-32C over what follows, the body. Numbers are big-endian.
  */
 public sealed interface Frame {
-    /** Who speaks, for which router, with how many classes, since which start, and the plan in force (0: none). */
-    record Hello(boolean planner, int router, int classes, long start, long version) implements Frame {}
+    /**
+     * Who speaks, for which router, with how many classes, since which start, and the plan in force
+     * (0: none).
+     */
+    record Hello(boolean planner, int router, int classes, long start, long version)
+            implements Frame {}
 
     /** The one who is turned away learns why, and tries again much later. */
     record Refused(String reason) implements Frame {}
@@ -33,8 +37,10 @@
 
     /** Version of this link; another is refused. */
     int VERSION = 1;
+
     /** Bytes of a frame at most: a plan of 1,000 groups with 40 classes fits. */
     int LONGEST = 2 << 20;
+
     int HEAD = 10;
     int MOST_CLASSES = 256;
     int MOST_GROUPS = 65_536;
@@ -59,7 +65,10 @@
         sum.update(type);
         sum.update(body.duplicate());
         ByteBuffer all = ByteBuffer.allocate(HEAD + body.remaining());
-        all.putInt(HEAD - 4 + body.remaining()).put((byte) VERSION).put((byte) type).putInt((int) sum.getValue());
+        all.putInt(HEAD - 4 + body.remaining())
+                .put((byte) VERSION)
+                .put((byte) type)
+                .putInt((int) sum.getValue());
         return all.put(body).array();
     }
 
@@ -75,8 +84,11 @@
 
     private int write(ByteBuffer out) {
         if (this instanceof Hello hello) {
-            out.put((byte) (hello.planner ? 1 : 0)).putInt(hello.router).putShort((short) hello.classes)
-                    .putLong(hello.start).putLong(hello.version);
+            out.put((byte) (hello.planner ? 1 : 0))
+                    .putInt(hello.router)
+                    .putShort((short) hello.classes)
+                    .putLong(hello.start)
+                    .putLong(hello.version);
             return 1;
         }
         if (this instanceof Refused refused) {
@@ -86,7 +98,10 @@
         if (this instanceof Facts facts) {
             out.putInt(facts.groups.size());
             for (GroupFacts each : facts.groups) {
-                out.putLong(each.at()).putInt(each.number()).putInt(each.size()).putShort((short) each.calls().length);
+                out.putLong(each.at())
+                        .putInt(each.number())
+                        .putInt(each.size())
+                        .putShort((short) each.calls().length);
                 for (double calls : each.calls()) {
                     out.putDouble(calls);
                 }
@@ -94,11 +109,18 @@
             return 3;
         }
         if (this instanceof Planned planned) {
-            out.putInt(planned.plan.router()).putLong(planned.plan.version()).putInt(planned.plan.groups().size());
+            out.putInt(planned.plan.router())
+                    .putLong(planned.plan.version())
+                    .putInt(planned.plan.groups().size());
             for (GroupPlan each : planned.plan.groups()) {
-                out.putLong(each.at()).putInt(each.number()).putDouble(each.beta()).putShort((short) each.c0().length);
+                out.putLong(each.at())
+                        .putInt(each.number())
+                        .putDouble(each.beta())
+                        .putShort((short) each.c0().length);
                 for (int i = 0; i < each.c0().length; i++) {
-                    out.putDouble(each.c0()[i]).putDouble(each.c1()[i]).putDouble(each.phantoms()[i])
+                    out.putDouble(each.c0()[i])
+                            .putDouble(each.c1()[i])
+                            .putDouble(each.phantoms()[i])
                             .put((byte) (each.seen()[i] ? 1 : 0));
                 }
             }
@@ -113,8 +135,9 @@
     }
 
     private static void text(ByteBuffer out, String text) {
-        byte[] bytes = text.substring(0, Math.min(MOST_TEXT, text.length()))
-                .getBytes(java.nio.charset.StandardCharsets.UTF_8);
+        byte[] bytes =
+                text.substring(0, Math.min(MOST_TEXT, text.length()))
+                        .getBytes(java.nio.charset.StandardCharsets.UTF_8);
         out.putShort((short) bytes.length).put(bytes);
     }
 
@@ -148,7 +171,9 @@
 
     private static Frame body(int type, ByteBuffer in) throws Bad {
         return switch (type) {
-            case 1 -> new Hello(in.get() != 0, in.getInt(), in.getShort(), in.getLong(), in.getLong());
+            case 1 ->
+                    new Hello(
+                            in.get() != 0, in.getInt(), in.getShort(), in.getLong(), in.getLong());
             case 2 -> new Refused(text(in));
             case 3 -> {
                 int count = count(in, MOST_GROUPS);
@@ -192,7 +217,15 @@
         int number = in.getInt();
         double beta = in.getDouble();
         int n = classes(in);
-        GroupPlan plan = new GroupPlan(at, number, beta, new double[n], new double[n], new boolean[n], new double[n]);
+        GroupPlan plan =
+                new GroupPlan(
+                        at,
+                        number,
+                        beta,
+                        new double[n],
+                        new double[n],
+                        new boolean[n],
+                        new double[n]);
         for (int i = 0; i < n; i++) {
             plan.c0()[i] = in.getDouble();
             plan.c1()[i] = in.getDouble();
--- a/src/main/java/coralcove/planner/Outlook.java
+++ b/src/main/java/coralcove/planner/Outlook.java
@@ -8,29 +8,44 @@
 import java.util.Map;
 
 /**
- * Decides what load a group is planned for, when loads move: facts count the last ten seconds, so that they are five old,
- * and their targets are gone by for five more. What all groups of the router tell together shows a rise or a fall long
- * before one group's few calls do. While nothing sure is seen, facts stay as they are. No I/O, no clock of its own.
+ * Decides what load a group is planned for, when loads move: facts count the last ten seconds, so
+ * that they are five old, and their targets are gone by for five more. What all groups of the
+ * router tell together shows a rise or a fall long before one group's few calls do. While nothing
+ * sure is seen, facts stay as they are. No I/O, no clock of its own.
  */
 public final class Outlook {
     /** µs that facts count over, and so the least distance of two that share no call. */
     static final long SPAN = 10_000_000;
+
     /** µs that is looked ahead: half the count's span, and half of a target's life. */
     static final long AHEAD = 7_500_000;
-    /** Standard deviations of a Poisson count past which a change is no chance: one false alarm in some hundred. */
+
+    /**
+     * Standard deviations of a Poisson count past which a change is no chance: one false alarm in
+     * some hundred.
+     */
     private static final double SURE = 2.6;
-    /** Factors between which a load may be planned up or down: past them the facts themselves must say it. */
+
+    /**
+     * Factors between which a load may be planned up or down: past them the facts themselves must
+     * say it.
+     */
     private static final double LEAST = 0.6;
+
     private static final double MOST = 1.6;
+
     /** µs: facts older than this are not compared. */
     private static final long FORGET = 25_000_000;
+
     /** Facts kept of one group: two spans of refreshes, five seconds each. */
     private static final int KEPT = 5;
 
     private static final class Past {
         final ArrayDeque<GroupFacts> facts = new ArrayDeque<>();
+
         /** Counts of calls, now and a span ago; null before there are two. */
         double[] now;
+
         double[] before;
     }
 
@@ -40,7 +55,10 @@
     private final double[] nowAll;
     private final double[] beforeAll;
 
-    /** {@code holds} are the classes' mean holds in µs; groups past {@code mostGroups} are planned as they are. */
+    /**
+     * {@code holds} are the classes' mean holds in µs; groups past {@code mostGroups} are planned
+     * as they are.
+     */
     public Outlook(long[] holds, int mostGroups) {
         this.holds = holds.clone();
         this.mostGroups = mostGroups;
@@ -77,7 +95,7 @@
         }
         past.now = null;
         past.before = null;
-        for (Iterator<GroupFacts> from = past.facts.descendingIterator(); from.hasNext();) {
+        for (Iterator<GroupFacts> from = past.facts.descendingIterator(); from.hasNext(); ) {
             GroupFacts each = from.next();
             if (facts.at() - each.at() >= SPAN) {
                 past.now = counts(facts);
--- a/src/main/java/coralcove/planner/PlanShelf.java
+++ b/src/main/java/coralcove/planner/PlanShelf.java
@@ -11,8 +11,9 @@
 import java.util.TreeMap;
 
 /**
- * The plans that an edge has taken, one a group, on their way to its store; and which of a store's plans still count
- * when an edge starts again. The newest of a group wins, so that a slow disk costs no memory.
+ * The plans that an edge has taken, one a group, on their way to its store; and which of a store's
+ * plans still count when an edge starts again. The newest of a group wins, so that a slow disk
+ * costs no memory.
  */
 public final class PlanShelf {
     private final Map<Integer, Plan> taken = new LinkedHashMap<>();
@@ -32,14 +33,17 @@
     }
 
     /**
-     * Puts in force what is stored for this router and not stale, by the age of its facts as always; returns the groups.
-     * A moment still to come, as after a clock was set back, says nothing of age, and is left.
+     * Puts in force what is stored for this router and not stale, by the age of its facts as
+     * always; returns the groups. A moment still to come, as after a clock was set back, says
+     * nothing of age, and is left.
      */
     public static int resume(long now, Settings settings, PlanKeeper keeper, List<Plan> stored) {
         TreeMap<Long, List<GroupPlan>> byVersion = new TreeMap<>();
         for (Plan plan : stored) {
             for (GroupPlan each : plan.groups()) {
-                if (plan.router() == settings.ownNumber() && each.at() <= now && now - each.at() < PlanKeeper.STALE_FROM) {
+                if (plan.router() == settings.ownNumber()
+                        && each.at() <= now
+                        && now - each.at() < PlanKeeper.STALE_FROM) {
                     byVersion.computeIfAbsent(plan.version(), v -> new ArrayList<>()).add(each);
                 }
             }
--- a/src/main/java/coralcove/planner/PlannerCore.java
+++ b/src/main/java/coralcove/planner/PlannerCore.java
@@ -11,9 +11,10 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The planner of one router, without sockets and clock: it connects to its edge, hears facts, and sends plans, some
- * groups at a time. It may be ended at any moment: the edge holds the plan, and what it has learnt comes again with the
- * next facts. Its own clock counts only gaps and silences; the age of facts is told by the edge's.
+ * The planner of one router, without sockets and clock: it connects to its edge, hears facts, and
+ * sends plans, some groups at a time. It may be ended at any moment: the edge holds the plan, and
+ * what it has learnt comes again with the next facts. Its own clock counts only gaps and silences;
+ * the age of facts is told by the edge's.
  */
 public final class PlannerCore {
     /** What it does. */
@@ -29,27 +30,40 @@
 
     /** µs between two turns of planning, and groups planned in one: 200 groups take a second. */
     private static final long TURN = 100_000;
+
     private static final int BUDGET = 24;
+
     /** µs: the first gap between two attempts to connect, and the longest. */
     private static final long GAP_FIRST = 100_000;
+
     private static final long GAP_LONGEST = 5_000_000;
+
     /** µs of silence after which the edge is taken for gone, and between two signs of life. */
     private static final long SILENT = 3_000_000;
+
     private static final long ALIVE = 1_000_000;
+
     /** Groups whose facts are kept at most. */
     public static final int MOST_GROUPS = 4096;
 
     private static final long NOT_HEARD = Long.MIN_VALUE;
 
-    private enum State { APART, CONNECTING, GREETING, AGREED }
+    private enum State {
+        APART,
+        CONNECTING,
+        GREETING,
+        AGREED
+    }
 
     private final Settings settings;
     private final Planner planner;
     private final RandomGenerator chance;
     private final long start;
     private final Schedule schedule;
+
     /** Null where loads are planned as they were counted. */
     private final Outlook outlook;
+
     private Frame.Framer framer = new Frame.Framer();
     private State state = State.APART;
     private long nextTry;
@@ -67,7 +81,10 @@
         this(settings, start, chance, false);
     }
 
-    /** With {@code ahead} it plans for the load to come where that is sure, not for the load counted. */
+    /**
+     * With {@code ahead} it plans for the load to come where that is sure, not for the load
+     * counted.
+     */
     public PlannerCore(Settings settings, long start, RandomGenerator chance, boolean ahead) {
         this.settings = settings;
         this.start = start;
@@ -92,7 +109,9 @@
         return new long[] {taken, refused};
     }
 
-    /** Facts from a store: they are planned if they are still young once the edge has told its time. */
+    /**
+     * Facts from a store: they are planned if they are still young once the edge has told its time.
+     */
     public void learn(List<GroupFacts> facts) {
         for (GroupFacts each : facts) {
             if (schedule.told(each)) {
@@ -111,7 +130,14 @@
         state = State.GREETING;
         framer = new Frame.Framer();
         heard = now;
-        out.send(new Frame.Hello(true, settings.ownNumber(), 2 * settings.services().size(), start, version).bytes());
+        out.send(
+                new Frame.Hello(
+                                true,
+                                settings.ownNumber(),
+                                2 * settings.services().size(),
+                                start,
+                                version)
+                        .bytes());
     }
 
     /** The connection has ended or could not be made. */
@@ -148,11 +174,14 @@
         if (frame instanceof Frame.Hello hello) {
             state = State.AGREED;
             gap = GAP_FIRST;
-            // The edge refuses what is not newer: a planner that starts anew goes on where the last one ended.
+            // The edge refuses what is not newer: a planner that starts anew goes on where the last
+            // one ended.
             version = Math.max(version, hello.version());
             aliveAt = now + ALIVE;
             turnAt = now;
-            out.log("edge-here", "start " + hello.start() + ", plan " + hello.version() + " in force");
+            out.log(
+                    "edge-here",
+                    "start " + hello.start() + ", plan " + hello.version() + " in force");
         } else if (frame instanceof Frame.Refused no) {
             gap = GAP_LONGEST;
             out.log("turned-away", no.reason());
@@ -191,7 +220,8 @@
         if (state != State.AGREED) {
             return;
         }
-        // Stored facts say nothing of the edge's time: it has to speak first, or old ones would pass for young.
+        // Stored facts say nothing of the edge's time: it has to speak first, or old ones would
+        // pass for young.
         if (now >= turnAt && !schedule.idle() && newestHeard != NOT_HEARD) {
             turnAt = now + TURN;
             plan(now, out);
@@ -203,7 +233,8 @@
     }
 
     private void plan(long now, Out out) {
-        // The edge's time, as far as it is known: a step of the own clock must not make facts old or young.
+        // The edge's time, as far as it is known: a step of the own clock must not make facts old
+        // or young.
         long edgeNow = newest + (now - newestHeard);
         List<GroupPlan> groups = new ArrayList<>();
         for (GroupFacts facts : schedule.next(edgeNow, BUDGET)) {
--- a/src/main/java/coralcove/planner/Restarts.java
+++ b/src/main/java/coralcove/planner/Restarts.java
@@ -3,13 +3,16 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Decides when a planner that has ended is started again: after gaps that grow with each short life and are drawn anew, so
- * that the planners of many routers do not all start at once. Its edge is never ended with it. No clock of its own.
+ * Decides when a planner that has ended is started again: after gaps that grow with each short life
+ * and are drawn anew, so that the planners of many routers do not all start at once. Its edge is
+ * never ended with it. No clock of its own.
  */
 public final class Restarts {
     /** µs: the first gap and the longest; a minute without a planner is what plans last. */
     private static final long FIRST = 200_000;
+
     private static final long LONGEST = 30_000_000;
+
     /** µs: a planner that ran so long was well; the gaps begin anew. */
     private static final long WELL = 20_000_000;
 
@@ -28,7 +31,10 @@
         count++;
     }
 
-    /** It has ended; the moment at which it is to be started again: after half to one and a half of the gap. */
+    /**
+     * It has ended; the moment at which it is to be started again: after half to one and a half of
+     * the gap.
+     */
     public long ended(long now) {
         if (now - startedAt >= WELL) {
             gap = FIRST;
--- a/src/main/java/coralcove/planner/transport/EdgePort.java
+++ b/src/main/java/coralcove/planner/transport/EdgePort.java
@@ -14,7 +14,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Where an edge's planner connects, on Apache MINA; all that comes is handed to the router's own thread. */
+/**
+ * Where an edge's planner connects, on Apache MINA; all that comes is handed to the router's own
+ * thread.
+ */
 public final class EdgePort implements EdgeLink.Out, AutoCloseable {
     /** Runs an act, given the time, on the thread that owns the link. */
     public interface Thread {
@@ -26,34 +29,36 @@
     private final Map<Long, IoSession> open = new ConcurrentHashMap<>();
 
     /** Listens; a port in use ends in an IOException that names the address. */
-    public EdgePort(String name, String host, int port, EdgeLink link, Thread thread) throws IOException {
+    public EdgePort(String name, String host, int port, EdgeLink link, Thread thread)
+            throws IOException {
         log = LoggerFactory.getLogger(name);
         acceptor.setReuseAddress(true);
         acceptor.getSessionConfig().setTcpNoDelay(true);
-        acceptor.setHandler(new IoHandlerAdapter() {
-            @Override
-            public void sessionOpened(IoSession session) {
-                open.put(session.getId(), session);
-                thread.run(now -> link.opened(now, session.getId(), EdgePort.this));
-            }
+        acceptor.setHandler(
+                new IoHandlerAdapter() {
+                    @Override
+                    public void sessionOpened(IoSession session) {
+                        open.put(session.getId(), session);
+                        thread.run(now -> link.opened(now, session.getId(), EdgePort.this));
+                    }
 
-            @Override
-            public void messageReceived(IoSession session, Object message) {
-                byte[] bytes = Mina.bytes(message);
-                thread.run(now -> link.read(now, session.getId(), bytes, EdgePort.this));
-            }
+                    @Override
+                    public void messageReceived(IoSession session, Object message) {
+                        byte[] bytes = Mina.bytes(message);
+                        thread.run(now -> link.read(now, session.getId(), bytes, EdgePort.this));
+                    }
 
-            @Override
-            public void sessionClosed(IoSession session) {
-                open.remove(session.getId());
-                thread.run(now -> link.closed(now, session.getId(), EdgePort.this));
-            }
+                    @Override
+                    public void sessionClosed(IoSession session) {
+                        open.remove(session.getId());
+                        thread.run(now -> link.closed(now, session.getId(), EdgePort.this));
+                    }
 
-            @Override
-            public void exceptionCaught(IoSession session, Throwable cause) {
-                session.closeNow();
-            }
-        });
+                    @Override
+                    public void exceptionCaught(IoSession session, Throwable cause) {
+                        session.closeNow();
+                    }
+                });
         try {
             acceptor.bind(new InetSocketAddress(host, port));
         } catch (IOException | RuntimeException e) {
--- a/src/main/java/coralcove/planner/transport/PlannerPort.java
+++ b/src/main/java/coralcove/planner/transport/PlannerPort.java
@@ -22,7 +22,11 @@
 public final class PlannerPort implements PlannerCore.Out {
     /** Milliseconds to connect at most. */
     private static final int CONNECT = 2000;
-    /** Milliseconds between two writes to the store: what a kill loses comes again with the next refresh, in 5 s. */
+
+    /**
+     * Milliseconds between two writes to the store: what a kill loses comes again with the next
+     * refresh, in 5 s.
+     */
     private static final int KEEP = 1000;
 
     private final Logger log;
@@ -34,7 +38,12 @@
     private IoSession session;
 
     /** Keeps what it learns in {@code store}, which may be null and is closed at the end. */
-    public PlannerPort(String name, String host, int port, PlannerCore core, EntryStore<Integer, GroupFacts> store) {
+    public PlannerPort(
+            String name,
+            String host,
+            int port,
+            PlannerCore core,
+            EntryStore<Integer, GroupFacts> store) {
         log = LoggerFactory.getLogger(name);
         edge = new InetSocketAddress(host, port);
         this.core = core;
@@ -42,37 +51,48 @@
         thread = Executors.newSingleThreadScheduledExecutor(r -> new Thread(r, name));
         connector.setConnectTimeoutMillis(CONNECT);
         connector.getSessionConfig().setTcpNoDelay(true);
-        connector.setHandler(new IoHandlerAdapter() {
-            @Override
-            public void messageReceived(IoSession from, Object message) {
-                byte[] bytes = Mina.bytes(message);
-                run(now -> {
-                    if (from == session) {
-                        core.read(now, bytes, PlannerPort.this);
+        connector.setHandler(
+                new IoHandlerAdapter() {
+                    @Override
+                    public void messageReceived(IoSession from, Object message) {
+                        byte[] bytes = Mina.bytes(message);
+                        run(
+                                now -> {
+                                    if (from == session) {
+                                        core.read(now, bytes, PlannerPort.this);
+                                    }
+                                });
                     }
-                });
-            }
 
-            @Override
-            public void sessionClosed(IoSession from) {
-                run(now -> {
-                    if (from == session) {
-                        session = null;
-                        core.closed(now, PlannerPort.this);
+                    @Override
+                    public void sessionClosed(IoSession from) {
+                        run(
+                                now -> {
+                                    if (from == session) {
+                                        session = null;
+                                        core.closed(now, PlannerPort.this);
+                                    }
+                                });
                     }
-                });
-            }
 
-            @Override
-            public void exceptionCaught(IoSession from, Throwable cause) {
-                from.closeNow();
-            }
-        });
+                    @Override
+                    public void exceptionCaught(IoSession from, Throwable cause) {
+                        from.closeNow();
+                    }
+                });
         if (store != null) {
             core.learn(store.read());
-            thread.scheduleWithFixedDelay(() -> act(now -> store.write(core.changed())), KEEP, KEEP, TimeUnit.MILLISECONDS);
+            thread.scheduleWithFixedDelay(
+                    () -> act(now -> store.write(core.changed())),
+                    KEEP,
+                    KEEP,
+                    TimeUnit.MILLISECONDS);
         }
-        thread.scheduleAtFixedRate(() -> act(now -> core.tick(now, this)), 0, PlannerCore.every(), TimeUnit.MICROSECONDS);
+        thread.scheduleAtFixedRate(
+                () -> act(now -> core.tick(now, this)),
+                0,
+                PlannerCore.every(),
+                TimeUnit.MICROSECONDS);
     }
 
     private void run(LongConsumer act) {
@@ -93,17 +113,21 @@
 
     @Override
     public void connect() {
-        connector.connect(edge).addListener(future -> {
-            ConnectFuture done = (ConnectFuture) future;
-            run(now -> {
-                if (done.isConnected()) {
-                    session = done.getSession();
-                    core.connected(now, this);
-                } else {
-                    core.closed(now, this);
-                }
-            });
-        });
+        connector
+                .connect(edge)
+                .addListener(
+                        future -> {
+                            ConnectFuture done = (ConnectFuture) future;
+                            run(
+                                    now -> {
+                                        if (done.isConnected()) {
+                                            session = done.getSession();
+                                            core.connected(now, this);
+                                        } else {
+                                            core.closed(now, this);
+                                        }
+                                    });
+                        });
     }
 
     @Override
--- a/src/main/java/coralcove/platform/Actions.java
+++ b/src/main/java/coralcove/platform/Actions.java
@@ -3,7 +3,10 @@
 import coralcove.platform.caller.CallerMessage;
 import coralcove.sip.SipMessage;
 
-/** What the core has done on the sockets, in order. Callers' connections and legs (connections to exchanges) have numbers. */
+/**
+ * What the core has done on the sockets, in order. Callers' connections and legs (connections to
+ * exchanges) have numbers.
+ */
 public interface Actions {
     void toCaller(long caller, CallerMessage message);
 
--- a/src/main/java/coralcove/platform/Exchanges.java
+++ b/src/main/java/coralcove/platform/Exchanges.java
@@ -11,39 +11,59 @@
 import java.util.Map;
 
 /**
- * The exchanges as listed, the legs to each, and whether its calls still stand. It chooses no exchange: that is the
- * module's; it keeps legs open, picks one for a message, and tells which exchange has died.
+ * The exchanges as listed, the legs to each, and whether its calls still stand. It chooses no
+ * exchange: that is the module's; it keeps legs open, picks one for a message, and tells which
+ * exchange has died.
  */
 final class Exchanges {
     /** µs between two tries of an exchange that is not reached, doubling up to the longest. */
     private static final long AGAIN_FIRST = 100_000;
+
     private static final long AGAIN_LONGEST = 800_000;
+
     /**
-     * µs without a message after which one whose calls stand is asked for a sign of life: by a further leg, as a new one brings a
-     * report first, and by a test where that is refused. Each is work for the exchange; two must fit before it counts as mute.
+     * µs without a message after which one whose calls stand is asked for a sign of life: by a
+     * further leg, as a new one brings a report first, and by a test where that is refused. Each is
+     * work for the exchange; two must fit before it counts as mute.
      */
     private static final long QUIET = 3_000_000;
+
     /** µs between two further legs that are tried for that, and between two tests. */
     private static final long ASK_AGAIN = 1_000_000;
+
     /**
-     * µs without a message after which the calls of an exchange are over, whatever its connections do: it hangs, is cut off, or
-     * its process drained and is gone. A call's end has to be told within 8 s of it and may be as old as the last message; the
-     * rest is for the news to be heard. Not sooner: what is cut off for some seconds has its calls when it comes back.
+     * µs without a message after which the calls of an exchange are over, whatever its connections
+     * do: it hangs, is cut off, or its process drained and is gone. A call's end has to be told
+     * within 8 s of it and may be as old as the last message; the rest is for the news to be heard.
+     * Not sooner: what is cut off for some seconds has its calls when it comes back.
      */
     private static final long MUTE = 6_500_000;
+
     /**
-     * The same where it has said nothing since this router started: calls that it is told to stand there may have ended while
-     * nobody could be told, and an exchange that lives reports as soon as a leg is up.
+     * The same where it has said nothing since this router started: calls that it is told to stand
+     * there may have ended while nobody could be told, and an exchange that lives reports as soon
+     * as a leg is up.
      */
     private static final long FIRST_WORD = 3_000_000;
+
     /** µs after an exchange is told gone in which its legs still may say something. */
     private static final long GONE_SAYS = 3_000_000;
-    /** Refused tries in a row, with no leg up, from which an exchange is dead: one can be a process that starts. */
+
+    /**
+     * Refused tries in a row, with no leg up, from which an exchange is dead: one can be a process
+     * that starts.
+     */
     private static final int REFUSALS = 2;
-    /** µs that a message may take to come whole, and that a leg which is of no use any more waits for its INVITEs. */
+
+    /**
+     * µs that a message may take to come whole, and that a leg which is of no use any more waits
+     * for its INVITEs.
+     */
     private static final long STALLED = 400_000;
+
     /** Bytes of one message, as the protocol has it. */
     private static final int MOST_BYTES = 16 << 10;
+
     /** Exchanges remembered at most: the list's own, and those that are gone but have calls. */
     private static final int MOST_EXCHANGES = 5_000;
 
@@ -54,8 +74,12 @@
         final StreamFramer framer = new StreamFramer(MOST_BYTES);
         boolean up;
         long upAt;
-        /** Of no use for new INVITEs: one on it was not answered, or a message on it does not end. */
+
+        /**
+         * Of no use for new INVITEs: one on it was not answered, or a message on it does not end.
+         */
         boolean spent;
+
         long heardAt;
         long partialSince;
         int invites;
@@ -150,7 +174,10 @@
         return legs.get(id);
     }
 
-    /** One that is not listed yet, but that a call is said to stand at; null where there are too many. */
+    /**
+     * One that is not listed yet, but that a call is said to stand at; null where there are too
+     * many.
+     */
     Far expected(long now, String name) {
         if (byName.size() >= MOST_EXCHANGES) {
             return null;
@@ -193,14 +220,19 @@
 
     private Exchange take(long now, Far far, Bulletin.Entry entry, List<Exchange> told) {
         far.number = entry.number() < 0 ? far.number : entry.number();
-        boolean moved = far.address != null && !entry.address().isEmpty() && !far.address.equals(entry.address());
+        boolean moved =
+                far.address != null
+                        && !entry.address().isEmpty()
+                        && !far.address.equals(entry.address());
         far.address = entry.address().isEmpty() ? far.address : entry.address();
         long since = entry.startedMs() * 1000;
         if (since > far.since) {
             far.since = since;
             listener.restarted(now, far);
-            // Those of the process before say nothing more, and a set-up on one would be lost. One that came up since is the new one's.
-            List.copyOf(far.legs).stream().filter(leg -> leg.up && leg.upAt < since)
+            // Those of the process before say nothing more, and a set-up on one would be lost. One
+            // that came up since is the new one's.
+            List.copyOf(far.legs).stream()
+                    .filter(leg -> leg.up && leg.upAt < since)
                     .forEach(leg -> close(now, leg, "restarted"));
         }
         if (moved) {
@@ -218,10 +250,15 @@
         return new Exchange(far.id, far.number, far.phase, far.since);
     }
 
-    /** A new exchange may have the address of one that has gone: what is still said there is not for the old one. */
+    /**
+     * A new exchange may have the address of one that has gone: what is still said there is not for
+     * the old one.
+     */
     private void displace(long now, Far fresh, List<Exchange> told) {
         for (Far far : byName.values()) {
-            if (far != fresh && fresh.address.equals(far.address) && far.since < fresh.since
+            if (far != fresh
+                    && fresh.address.equals(far.address)
+                    && far.since < fresh.since
                     && far.phase != Phase.GONE) {
                 gone(now, far);
                 told.add(new Exchange(far.id, far.number, far.phase, far.since));
@@ -260,7 +297,9 @@
         }
     }
 
-    /** The leg for an INVITE: up, of use, and with the fewest INVITEs out; null where there is none. */
+    /**
+     * The leg for an INVITE: up, of use, and with the fewest INVITEs out; null where there is none.
+     */
     Leg pick(Far far) {
         Leg best = null;
         for (Leg leg : far.legs) {
@@ -305,7 +344,8 @@
         Far far = leg.far;
         far.reached = true;
         far.refusals = 0;
-        // A further leg was tried as the others said nothing: it takes the place of the oldest of them.
+        // A further leg was tried as the others said nothing: it takes the place of the oldest of
+        // them.
         if (far.legs.stream().filter(each -> each.up).count() > legsEach()) {
             for (Leg old : List.copyOf(far.legs)) {
                 if (old != leg && old.up && old.invites == 0) {
@@ -333,8 +373,8 @@
         boolean lived = how == Down.BROKEN && now - leg.openedAt > AGAIN_LONGEST;
         far.againAt = lived ? now : now + far.wait;
         far.wait = lived ? AGAIN_FIRST : Math.min(AGAIN_LONGEST, 2 * far.wait);
-        if (!far.anyUp() && (how == Down.REFUSED && far.refusals >= REFUSALS
-                || far.phase == Phase.GONE)) {
+        if (!far.anyUp()
+                && (how == Down.REFUSED && far.refusals >= REFUSALS || far.phase == Phase.GONE)) {
             listener.died(now, far, how == Down.REFUSED ? "refused" : "gone");
         }
     }
@@ -347,13 +387,20 @@
 
     /** Whether each exchange in service was reached, or was tried and did not answer. */
     boolean allTried() {
-        return byName.values().stream().noneMatch(far -> wanted(far) && far.address != null && !far.reached
-                && (far.triedAt == 0 || far.legs.stream().anyMatch(leg -> !leg.up) && far.refusals == 0));
+        return byName.values().stream()
+                .noneMatch(
+                        far ->
+                                wanted(far)
+                                        && far.address != null
+                                        && !far.reached
+                                        && (far.triedAt == 0
+                                                || far.legs.stream().anyMatch(leg -> !leg.up)
+                                                        && far.refusals == 0));
     }
 
     private boolean wanted(Far far) {
-        return far.number != ownNumber && (far.phase != Phase.GONE
-                && (far.phase == Phase.READY || far.standing > 0));
+        return far.number != ownNumber
+                && (far.phase != Phase.GONE && (far.phase == Phase.READY || far.standing > 0));
     }
 
     /** Opens the legs that are missing, closes what is of no use, and finds who has died. */
@@ -366,9 +413,14 @@
             if (wanted(far)) {
                 boolean trying = far.legs.stream().anyMatch(leg -> !leg.up);
                 long usable = far.legs.stream().filter(leg -> !leg.spent).count();
-                // Only for its calls: each connection is work for an exchange that hears from every router.
-                boolean quiet = far.standing > 0 && now - far.heardAt > QUIET && now - far.triedAt > ASK_AGAIN;
-                if (now >= far.againAt && usable < legsEach || !trying && quiet && usable <= legsEach) {
+                // Only for its calls: each connection is work for an exchange that hears from every
+                // router.
+                boolean quiet =
+                        far.standing > 0
+                                && now - far.heardAt > QUIET
+                                && now - far.triedAt > ASK_AGAIN;
+                if (now >= far.againAt && usable < legsEach
+                        || !trying && quiet && usable <= legsEach) {
                     connect(now, far);
                 }
             }
@@ -378,11 +430,15 @@
             if (far.standing > 0 && now - far.heardAt > (far.spoke ? MUTE : FIRST_WORD)) {
                 listener.died(now, far, "mute");
             }
-            if (far.standing > 0 && far.phase == Phase.GONE && now - Math.max(far.goneAt, far.heardAt) > GONE_SAYS) {
+            if (far.standing > 0
+                    && far.phase == Phase.GONE
+                    && now - Math.max(far.goneAt, far.heardAt) > GONE_SAYS) {
                 listener.died(now, far, "gone");
             }
             boolean unlisted = far.phase == Phase.GONE || far.address == null;
-            if (unlisted && far.standing == 0 && far.legs.stream().allMatch(leg -> leg.invites == 0)) {
+            if (unlisted
+                    && far.standing == 0
+                    && far.legs.stream().allMatch(leg -> leg.invites == 0)) {
                 closeAll(now, far, "gone");
                 byName.remove(far.name);
                 byId.remove(far.id);
@@ -390,9 +446,15 @@
         }
     }
 
-    /** One that drains takes no further leg: it is tested on those it has, in turn, as one of them alone may be cut. */
+    /**
+     * One that drains takes no further leg: it is tested on those it has, in turn, as one of them
+     * alone may be cut.
+     */
     private void test(long now, Far far) {
-        if (mayTest && far.refusals > 0 && now - far.heardAt > QUIET && now - far.testedAt > ASK_AGAIN) {
+        if (mayTest
+                && far.refusals > 0
+                && now - far.heardAt > QUIET
+                && now - far.testedAt > ASK_AGAIN) {
             List<Leg> up = far.legs.stream().filter(leg -> leg.up).toList();
             if (!up.isEmpty()) {
                 far.testedAt = now;
--- a/src/main/java/coralcove/platform/News.java
+++ b/src/main/java/coralcove/platform/News.java
@@ -8,16 +8,26 @@
 import java.util.Set;
 
 /**
- * What callers are told of calls that stood. It goes on the connection of the set-up, or another, or waits for one. Callers say
- * that they heard it; if that connection closes before they do, it is told again on another.
+ * What callers are told of calls that stood. It goes on the connection of the set-up, or another,
+ * or waits for one. Callers say that they heard it; if that connection closes before they do, it is
+ * told again on another.
  */
 final class News {
-    /** µs after which a release that was not heard is told elsewhere: two fit into the second that is given. */
+    /**
+     * µs after which a release that was not heard is told elsewhere: two fit into the second that
+     * is given.
+     */
     private static final long UNHEARD = 300_000;
+
     /** Connections on which one release is told again at most. */
     private static final int MOST_TOLD = 3;
-    /** Releases on one connection that its caller has not said to have heard, at most; it may say nothing. */
+
+    /**
+     * Releases on one connection that its caller has not said to have heard, at most; it may say
+     * nothing.
+     */
     private static final int MOST_UNHEARD = 100;
+
     /** Releases that wait for a caller's connection at most. */
     private static final int MOST_WAITING = 10_000;
 
@@ -54,9 +64,13 @@
         }
     }
 
-    /** Not heard though its connection is open: a stranger's, or one that nobody reads. It is told on another. */
+    /**
+     * Not heard though its connection is open: a stranger's, or one that nobody reads. It is told
+     * on another.
+     */
     private void again(long now, Caller to, CallerMessage message, Set<Long> told) {
-        if (callers.get(to.id) == to && to.unheard.containsKey(message.call())
+        if (callers.get(to.id) == to
+                && to.unheard.containsKey(message.call())
                 && callers.forNews(0, told) != null) {
             to.unheard.remove(message.call());
             tell(now, 0, message, told);
@@ -77,8 +91,12 @@
         }
     }
 
-    /** Whether something was told that those who say what they heard have not heard yet, or nobody could be told. */
+    /**
+     * Whether something was told that those who say what they heard have not heard yet, or nobody
+     * could be told.
+     */
     boolean owed() {
-        return !waiting.isEmpty() || callers.all().stream().anyMatch(each -> each.hearing && !each.unheard.isEmpty());
+        return !waiting.isEmpty()
+                || callers.all().stream().anyMatch(each -> each.hearing && !each.unheard.isEmpty());
     }
 }
--- a/src/main/java/coralcove/platform/RouterCore.java
+++ b/src/main/java/coralcove/platform/RouterCore.java
@@ -30,30 +30,45 @@
 import java.util.function.LongConsumer;
 
 /**
- * The session router of the platform without its sockets and clock: time and input in, actions out. Owns the sessions in
- * hand, the one INVITE that each has out, the timers, the standing calls and whom to release. It asks the module and
- * carries out; it decides nothing. One thread owns it; times are µs since the epoch and never go back.
+ * The session router of the platform without its sockets and clock: time and input in, actions out.
+ * Owns the sessions in hand, the one INVITE that each has out, the timers, the standing calls and
+ * whom to release. It asks the module and carries out; it decides nothing. One thread owns it;
+ * times are µs since the epoch and never go back.
  */
 public final class RouterCore implements Wire {
-    /** Q.850: refused so that trying again is harmless; failed; cannot be used; an id in use already. */
+    /**
+     * Q.850: refused so that trying again is harmless; failed; cannot be used; an id in use
+     * already.
+     */
     private static final int REFUSED = 42;
+
     private static final int FAILED = 38;
     private static final int UNUSABLE = 100;
     private static final int IN_USE = 81;
+
     /** µs between two looks at connections that say nothing and at exchanges. */
     private static final long LOOK = 50_000;
+
     /** µs after the start from which the router serves, though an exchange was not reached yet. */
     private static final long READY_AFTER = 1_500_000;
-    /** µs after the start from which it serves by the list of its configuration, though nothing came of asking for a newer. */
+
+    /**
+     * µs after the start from which it serves by the list of its configuration, though nothing came
+     * of asking for a newer.
+     */
     private static final long READY_UNLISTED = 4_000_000;
+
     /** Set-ups that cannot be used, of which each is logged; from then on they are only counted. */
     private static final int MOST_TOLD = 20;
+
     private static final class Invite {
         final Far far;
         final long sentAt;
         final long limit;
+
         /** The CSeq number: each INVITE of a session has its own. */
         final int sequence;
+
         Leg leg;
 
         Invite(Far far, long sentAt, long limit, int sequence) {
@@ -89,12 +104,16 @@
     private final Timers timers = new Timers();
     private final News news;
     private final Drain drain = new Drain();
+
     /** Set-ups that were read and not decided yet, in the order in which they came. */
     private final ArrayDeque<Arrival> arrivals = new ArrayDeque<>();
+
     /** INVITEs that the module decided on and that are not written yet. */
     private final ArrayDeque<Held> unsent = new ArrayDeque<>();
+
     /** INVITEs given up, and where: an answer may be on its way. */
     private final Map<Long, Far> calledOff = StandingCalls.remembered();
+
     private final List<byte[]> peers = new ArrayList<>();
     private final Map<Long, Far> probes = new HashMap<>();
     private final long started;
@@ -114,11 +133,23 @@
         this.router = router;
         this.actions = actions;
         inHand = new InHand(router, this);
-        exchanges = new Exchanges(settings.module().ownNumber(), settings.mayTest(), settings.descriptors(), actions, new Ends());
+        exchanges =
+                new Exchanges(
+                        settings.module().ownNumber(),
+                        settings.mayTest(),
+                        settings.descriptors(),
+                        actions,
+                        new Ends());
         callers = new Callers(new Descriptors(settings.descriptors(), 0));
         news = new News(callers, actions, timers);
-        standing = new StandingCalls(exchanges, news, actions, tally, (at, id, far, ending) ->
-                inHand.ended(at, id, ending, Cause.NONE, far.id, 0, 0, true));
+        standing =
+                new StandingCalls(
+                        exchanges,
+                        news,
+                        actions,
+                        tally,
+                        (at, id, far, ending) ->
+                                inHand.ended(at, id, ending, Cause.NONE, far.id, 0, 0, true));
     }
 
     /** The moment of an input: by its arrival, but never before what was looked at already. */
@@ -160,7 +191,10 @@
         }
     }
 
-    /** One more has come near the bound of connections: two of no use go for it, so that callers are not kept waiting. */
+    /**
+     * One more has come near the bound of connections: two of no use go for it, so that callers are
+     * not kept waiting.
+     */
     public void crowded(long stamp) {
         at(stamp);
         for (Caller caller : callers.idlest(now)) {
@@ -183,7 +217,10 @@
         leave(caller);
     }
 
-    /** Its connection is gone: what was open on it is given up, what was told on it and not heard is told elsewhere. */
+    /**
+     * Its connection is gone: what was open on it is given up, what was told on it and not heard is
+     * told elsewhere.
+     */
     private void leave(Caller caller) {
         List.copyOf(caller.open).forEach(this::giveUp);
         news.lost(now, caller);
@@ -196,15 +233,17 @@
             case CallerMessage.TEST -> {
                 callers.useful(caller);
                 boolean good = ready() && !drain.begun();
-                actions.toCaller(caller.id, CallerMessage.withCause(CallerMessage.TEST_ANSWER, message.call(),
-                        good ? 1 : 0));
+                actions.toCaller(
+                        caller.id,
+                        CallerMessage.withCause(
+                                CallerMessage.TEST_ANSWER, message.call(), good ? 1 : 0));
             }
             case CallerMessage.RELEASE_HEARD -> {
                 tally.heard++;
                 callers.heard(caller);
                 caller.unheard.remove(message.call());
             }
-            case CallerMessage.PROGRESS -> { }
+            case CallerMessage.PROGRESS -> {}
             default -> {
                 tally.unreadable++;
                 closeCaller(caller);
@@ -249,8 +288,7 @@
         callers.calling(caller);
         tally.taken++;
         long limit = stamp + setUp.waitMs() * 1000;
-        if (held.size() >= settings.mostOpen() || standing.full()
-                || !drain.takes(now)) {
+        if (held.size() >= settings.mostOpen() || standing.full() || !drain.takes(now)) {
             tally.refused++;
             release(caller, id, REFUSED);
             return;
@@ -258,16 +296,28 @@
         Held it = new Held(setUp, caller);
         held.put(id, it);
         caller.open.add(id);
-        Session session = new Session(id, setUp.serviceIndex(), 0, setUp.farEnd(), setUp.width(), setUp.via(),
-                setUp.transit(), Long.parseUnsignedLong(setUp.number(), 16), setUp.redialled(), setUp.cut(), stamp,
-                limit);
+        Session session =
+                new Session(
+                        id,
+                        setUp.serviceIndex(),
+                        0,
+                        setUp.farEnd(),
+                        setUp.width(),
+                        setUp.via(),
+                        setUp.transit(),
+                        Long.parseUnsignedLong(setUp.number(), 16),
+                        setUp.redialled(),
+                        setUp.cut(),
+                        stamp,
+                        limit);
         timer(limit, moment -> limit(id));
         arrivals.add(new Arrival(it, session));
     }
 
     /**
-     * Has the module look at the set-up that waits longest, and writes the INVITEs that were decided on. Called when all that
-     * was read has been looked at: who left, by a release or by closing, has left before anything is begun for it.
+     * Has the module look at the set-up that waits longest, and writes the INVITEs that were
+     * decided on. Called when all that was read has been looked at: who left, by a release or by
+     * closing, has left before anything is begun for it.
      */
     public void decide(long moment) {
         at(moment);
@@ -326,7 +376,9 @@
         }
     }
 
-    /** Its caller left or takes it back: nothing is owed, and an INVITE that is out is called off. */
+    /**
+     * Its caller left or takes it back: nothing is owed, and an INVITE that is out is called off.
+     */
     private void giveUp(long id) {
         Held it = held.remove(id);
         if (it == null) {
@@ -343,14 +395,16 @@
                 out.leg.invites--;
                 cancel(it, out);
             }
-            inHand.ended(now, id, Ending.CANCELLED, Cause.NONE, out.far.id, now - out.sentAt, 0, true);
+            inHand.ended(
+                    now, id, Ending.CANCELLED, Cause.NONE, out.far.id, now - out.sentAt, 0, true);
         }
     }
 
     /** An answer to it may be on its way. */
     private void cancel(Held it, Invite out) {
         calledOff.put(it.setUp.call(), out.far);
-        actions.toLeg(out.leg.id, LegMessages.cancel(it.setUp.call(), out.sequence, it.setUp.number()));
+        actions.toLeg(
+                out.leg.id, LegMessages.cancel(it.setUp.call(), out.sequence, it.setUp.number()));
     }
 
     private void release(Caller caller, long id, int cause) {
@@ -396,11 +450,15 @@
             return;
         }
         try {
-            leg.framer.take(bytes, 0, bytes.length, whole -> {
-                if (exchanges.leg(id) == leg) {
-                    read(stamp, leg, whole);
-                }
-            });
+            leg.framer.take(
+                    bytes,
+                    0,
+                    bytes.length,
+                    whole -> {
+                        if (exchanges.leg(id) == leg) {
+                            read(stamp, leg, whole);
+                        }
+                    });
         } catch (BadMessage e) {
             spoilt(leg, e.getMessage());
         }
@@ -426,7 +484,9 @@
         }
     }
 
-    /** What cannot be read makes the rest of the stream of no use: whose answer it was is not known. */
+    /**
+     * What cannot be read makes the rest of the stream of no use: whose answer it was is not known.
+     */
     private void spoilt(Leg leg, String reason) {
         tally.spoilt++;
         exchanges.discard(now, leg, reason);
@@ -442,7 +502,7 @@
     private void request(Leg leg, SipMessage message) {
         Long id = LegMessages.call(message);
         switch (message.method()) {
-            case "NOTIFY", "ACK" -> { }
+            case "NOTIFY", "ACK" -> {}
             case "BYE" -> {
                 actions.toLeg(leg.id, LegMessages.reply(message, 200, "OK"));
                 if (id != null) {
@@ -484,7 +544,8 @@
             return;
         }
         if (message.status() < 300 && !Description.readable(message.body())) {
-            // Cut short, it ends in the message behind it: all that follows on the leg is out of step.
+            // Cut short, it ends in the message behind it: all that follows on the leg is out of
+            // step.
             spoilt(leg, "a description that cannot be read");
             return;
         }
@@ -499,17 +560,25 @@
         leg.invites--;
         standing.stands(now, id, leg.far, it.caller.id);
         tally.stood(stamp - it.out.sentAt);
-        actions.toCaller(it.caller.id, CallerMessage.of(CallerMessage.ANSWER, id)
-                .add(CallerMessage.DESCRIPTION, message.body()));
+        actions.toCaller(
+                it.caller.id,
+                CallerMessage.of(CallerMessage.ANSWER, id)
+                        .add(CallerMessage.DESCRIPTION, message.body()));
         inHand.stands(now, id, leg.far.id, Math.max(0, stamp - it.out.sentAt));
     }
 
-    /** An answer that nobody waits for: a second copy, one under an unknown id, or one after its INVITE was given up. */
+    /**
+     * An answer that nobody waits for: a second copy, one under an unknown id, or one after its
+     * INVITE was given up.
+     */
     private void late(Leg leg, long id, SipMessage message, Held it) {
         tally.late++;
         if (message.status() < 300 && it == null && !standing.has(id)) {
             if (calledOff.get(id) == leg.far) {
-                actions.toLeg(leg.id, LegMessages.ack(id, (int) Math.max(1, message.sequence()), LegMessages.callId(id)));
+                actions.toLeg(
+                        leg.id,
+                        LegMessages.ack(
+                                id, (int) Math.max(1, message.sequence()), LegMessages.callId(id)));
                 actions.toLeg(leg.id, LegMessages.bye(id, LegEndings.NORMAL));
             }
         }
@@ -524,8 +593,15 @@
         out.leg = leg;
         leg.invites++;
         tally.invites++;
-        actions.toLeg(leg.id, LegMessages.invite(it.setUp.call(), out.sequence, it.setUp.number(),
-                it.setUp.service(), within, it.setUp.description()));
+        actions.toLeg(
+                leg.id,
+                LegMessages.invite(
+                        it.setUp.call(),
+                        out.sequence,
+                        it.setUp.number(),
+                        it.setUp.service(),
+                        within,
+                        it.setUp.description()));
     }
 
     /** An INVITE is over and did not stand: the module says what next. */
@@ -536,7 +612,15 @@
             out.leg.invites--;
         }
         tally.ended(ending);
-        inHand.ended(now, it.setUp.call(), ending, cause, out.far.id, now - out.sentAt, namedWait, false);
+        inHand.ended(
+                now,
+                it.setUp.call(),
+                ending,
+                cause,
+                out.far.id,
+                now - out.sentAt,
+                namedWait,
+                false);
     }
 
     private void reset(Leg leg) {
@@ -603,7 +687,9 @@
                 List<Exchange> told = exchanges.roster(now, event);
                 router.roster(now, event.whole(), told);
                 // What waits for a leg to one that drains must not be sent when the leg comes up.
-                told.stream().filter(each -> each.phase() != Exchange.Phase.READY).map(each -> exchanges.byId(each.id()))
+                told.stream()
+                        .filter(each -> each.phase() != Exchange.Phase.READY)
+                        .map(each -> exchanges.byId(each.id()))
                         .forEach(this::unreachable);
             }
         }
@@ -631,7 +717,12 @@
         if (far != null && far == leg.far) {
             String text = message.header("Link-State");
             float[] columns = text == null ? null : Report.read(text, settings.columns());
-            router.report(now, far.id, message.status() == 200, 1, columns == null ? new float[0] : columns);
+            router.report(
+                    now,
+                    far.id,
+                    message.status() == 200,
+                    1,
+                    columns == null ? new float[0] : columns);
         }
     }
 
@@ -655,7 +746,8 @@
     @Override
     public void refuse(Session session, long comeBack) {
         tally.refused++;
-        CallerMessage message = CallerMessage.withCause(CallerMessage.RELEASE, session.id(), REFUSED);
+        CallerMessage message =
+                CallerMessage.withCause(CallerMessage.RELEASE, session.id(), REFUSED);
         if (comeBack > 0) {
             message.add(CallerMessage.STAY_AWAY, Long.toString((comeBack + 999) / 1000));
         }
@@ -665,7 +757,8 @@
     @Override
     public void fail(Session session) {
         tally.failed++;
-        answered(session.id(), CallerMessage.withCause(CallerMessage.RELEASE, session.id(), FAILED));
+        answered(
+                session.id(), CallerMessage.withCause(CallerMessage.RELEASE, session.id(), FAILED));
     }
 
     private void answered(long id, CallerMessage message) {
@@ -688,11 +781,18 @@
             long id = --lastProbe;
             probes.put(id, far);
             actions.toLeg(leg.id, LegMessages.probe(id));
-            timer(now + settings.connectTimeout(), moment -> {
-                if (probes.remove(id) != null) {
-                    router.report(moment, exchange, false, settings.connectTimeout(), new float[0]);
-                }
-            });
+            timer(
+                    now + settings.connectTimeout(),
+                    moment -> {
+                        if (probes.remove(id) != null) {
+                            router.report(
+                                    moment,
+                                    exchange,
+                                    false,
+                                    settings.connectTimeout(),
+                                    new float[0]);
+                        }
+                    });
         }
     }
 
@@ -703,7 +803,7 @@
 
     @Override
     public void wake(long at) {
-        timer(at, moment -> { });
+        timer(at, moment -> {});
     }
 
     private void timer(long at, LongConsumer act) {
@@ -732,8 +832,9 @@
     }
 
     /**
-     * All that was read has been looked at. Only now may a connection close without a set-up being lost that was read and
-     * waited its turn; one that crosses the close is sent again by its caller.
+     * All that was read has been looked at. Only now may a connection close without a set-up being
+     * lost that was read and waited its turn; one that crosses the close is sent again by its
+     * caller.
      */
     public void caughtUp(long moment) {
         at(moment);
@@ -749,7 +850,7 @@
                 callers.all().forEach(caller -> actions.closeCaller(caller.id));
                 actions.end();
             }
-            case NOTHING -> { }
+            case NOTHING -> {}
         }
     }
 
@@ -764,13 +865,17 @@
     public void drain(long stamp) {
         at(stamp);
         if (drain.begin(now)) {
-            actions.log("drain", "", held.size() + " sessions in hand, " + standing.size() + " calls stand");
+            actions.log(
+                    "drain",
+                    "",
+                    held.size() + " sessions in hand, " + standing.size() + " calls stand");
         }
     }
 
     /**
-     * Whether the list is known to be new, and each exchange was reached or tried. The list in the configuration is as old as
-     * the start: what the bulletin told since counts as told, so it is asked before the first INVITE, unless it fails.
+     * Whether the list is known to be new, and each exchange was reached or tried. The list in the
+     * configuration is as old as the start: what the bulletin told since counts as told, so it is
+     * asked before the first INVITE, unless it fails.
      */
     public boolean ready() {
         long up = now - started;
@@ -780,7 +885,14 @@
 
     /** What was counted so far, in one line. */
     public String counts() {
-        return tally + " in-hand " + held.size() + " standing " + standing.size() + " callers " + callers.size()
-                + " timers " + timers.size();
+        return tally
+                + " in-hand "
+                + held.size()
+                + " standing "
+                + standing.size()
+                + " callers "
+                + callers.size()
+                + " timers "
+                + timers.size();
     }
 }
--- a/src/main/java/coralcove/platform/StandingCalls.java
+++ b/src/main/java/coralcove/platform/StandingCalls.java
@@ -12,13 +12,18 @@
 import java.util.List;
 import java.util.Map;
 
-/** The calls that stand, at which exchange and whose, and what both ends are told when one is over. */
+/**
+ * The calls that stand, at which exchange and whose, and what both ends are told when one is over.
+ */
 final class StandingCalls {
     /** Calls at most: past it a set-up is turned away. */
     private static final int MOST = 50_000;
+
     /** Releases and ends that are remembered, and for how long: a message's way. */
     private static final int MOST_REMEMBERED = 4_000;
+
     private static final long REMEMBERED = 12_000_000;
+
     /** Releases that wait for a leg to one exchange at most. */
     private static final int MOST_OWED = 1_000;
 
@@ -35,10 +40,16 @@
     private final Tally tally;
     private final Listener listener;
     private final Map<Long, Call> calls = new LinkedHashMap<>();
+
     /** When a release came of a call that is not known yet. */
     private final Map<Long, Long> unknown = remembered();
-    /** Sessions and calls that this router has ended itself: a release that comes again for one is no news. */
+
+    /**
+     * Sessions and calls that this router has ended itself: a release that comes again for one is
+     * no news.
+     */
     private final Map<Long, Long> finished = remembered();
+
     /** Calls whose exchange has not heard of their end yet, as no leg was up. */
     private final Map<Far, ArrayDeque<Long>> owed = new HashMap<>();
 
@@ -78,7 +89,9 @@
         far.standing++;
     }
 
-    /** A call that stands already, told after a start; it may have ended while nobody could be told. */
+    /**
+     * A call that stands already, told after a start; it may have ended while nobody could be told.
+     */
     void told(long now, long id, String exchange, long caller, boolean listKnown) {
         Long before = unknown.remove(id);
         if (calls.containsKey(id) || before != null && now - before < REMEMBERED) {
@@ -87,12 +100,16 @@
         }
         Far far = exchanges.byName(exchange);
         if (far == null && !listKnown) {
-            // The configuration's list is as old as the start: the call may stand at one that is newer.
+            // The configuration's list is as old as the start: the call may stand at one that is
+            // newer.
             far = exchanges.expected(now, exchange);
         }
         if (far == null) {
             tally.over++;
-            news.tell(now, caller, CallerMessage.withCause(CallerMessage.RELEASE, id, LegEndings.CUT));
+            news.tell(
+                    now,
+                    caller,
+                    CallerMessage.withCause(CallerMessage.RELEASE, id, LegEndings.CUT));
             return;
         }
         tally.toldStanding++;
@@ -100,7 +117,10 @@
         stands(now, id, far, caller);
     }
 
-    /** Its caller ends it: the exchange hears so, at once or on the next leg. False where it does not stand. */
+    /**
+     * Its caller ends it: the exchange hears so, at once or on the next leg. False where it does
+     * not stand.
+     */
     boolean callerReleases(long now, long id, int cause) {
         Call call = calls.get(id);
         if (call == null) {
@@ -135,7 +155,8 @@
         if (call != null && call.far == far) {
             over(now, id, call, why);
         } else if (call == null && !unknown.containsKey(id) && !finished.containsKey(id)) {
-            // It stood before this start: its caller is told, also if its set-up comes again behind this.
+            // It stood before this start: its caller is told, also if its set-up comes again behind
+            // this.
             unknown.put(id, now);
             tally.passedOn++;
             news.tell(now, 0, CallerMessage.withCause(CallerMessage.RELEASE, id, why));
--- a/src/main/java/coralcove/platform/Tally.java
+++ b/src/main/java/coralcove/platform/Tally.java
@@ -37,13 +37,46 @@
 
     @Override
     public String toString() {
-        StringBuilder out = new StringBuilder("taken " + taken + " stood " + stood + " refused " + refused + " failed "
-                + failed + " given-up " + givenUp + " invites " + invites + " over " + over + " cut " + cut
-                + " told-standing " + toldStanding + " unreadable " + unreadable + " unusable " + unusable + " spoilt "
-                + spoilt + " late " + late + " callers-closed " + callersClosed
-                + " crowded " + crowded + " passed-on " + passedOn
-                + " heard " + heard);
-        out.append(" set-up-ms ").append(stood == 0 ? 0 : took / stood / 1000).append('/').append(slowest / 1000);
+        StringBuilder out =
+                new StringBuilder(
+                        "taken "
+                                + taken
+                                + " stood "
+                                + stood
+                                + " refused "
+                                + refused
+                                + " failed "
+                                + failed
+                                + " given-up "
+                                + givenUp
+                                + " invites "
+                                + invites
+                                + " over "
+                                + over
+                                + " cut "
+                                + cut
+                                + " told-standing "
+                                + toldStanding
+                                + " unreadable "
+                                + unreadable
+                                + " unusable "
+                                + unusable
+                                + " spoilt "
+                                + spoilt
+                                + " late "
+                                + late
+                                + " callers-closed "
+                                + callersClosed
+                                + " crowded "
+                                + crowded
+                                + " passed-on "
+                                + passedOn
+                                + " heard "
+                                + heard);
+        out.append(" set-up-ms ")
+                .append(stood == 0 ? 0 : took / stood / 1000)
+                .append('/')
+                .append(slowest / 1000);
         for (Ending ending : Ending.values()) {
             if (endings[ending.ordinal()] > 0) {
                 out.append(' ').append(ending).append(' ').append(endings[ending.ordinal()]);
--- a/src/main/java/coralcove/platform/Timers.java
+++ b/src/main/java/coralcove/platform/Timers.java
@@ -3,12 +3,19 @@
 import java.util.PriorityQueue;
 import java.util.function.LongConsumer;
 
-/** What is due when, in order of time and then of entry. Each is run once; who needs it no longer passes it over. */
+/**
+ * What is due when, in order of time and then of entry. Each is run once; who needs it no longer
+ * passes it over.
+ */
 final class Timers {
     private record Due(long at, long order, LongConsumer act) {}
 
-    private final PriorityQueue<Due> due = new PriorityQueue<>((a, b) -> a.at != b.at
-            ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
+    private final PriorityQueue<Due> due =
+            new PriorityQueue<>(
+                    (a, b) ->
+                            a.at != b.at
+                                    ? Long.compare(a.at, b.at)
+                                    : Long.compare(a.order, b.order));
     private long order;
 
     void at(long at, LongConsumer act) {
--- a/src/main/java/coralcove/platform/bulletin/BulletinConnection.java
+++ b/src/main/java/coralcove/platform/bulletin/BulletinConnection.java
@@ -13,15 +13,18 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * One GET at a time over HTTP/1.1 (RFC 9112), on a connection that is kept; each answer is whole by its deadline or the
- * question has failed. The JDK's client counts its limit per read, so that an answer which trickles held the watch, and puts a
- * question that failed again by itself, to an address that may have been left since.
+ * One GET at a time over HTTP/1.1 (RFC 9112), on a connection that is kept; each answer is whole by
+ * its deadline or the question has failed. The JDK's client counts its limit per read, so that an
+ * answer which trickles held the watch, and puts a question that failed again by itself, to an
+ * address that may have been left since.
  */
 final class BulletinConnection {
     /** Bytes of the largest answer: the whole list of a thousand exchanges. */
     private static final int MOST_BYTES = 512 << 10;
+
     /** Bytes of the longest line of a header. */
     private static final int MOST_LINE = 4 << 10;
+
     /** Lines of a header at most. */
     private static final int MOST_LINES = 100;
 
@@ -34,10 +37,12 @@
     private long deadline;
 
     /**
-     * The body of the answer; on a connection that was kept and is found closed, asked once more on a new one. {@code wanted}
-     * is looked at once a new connection can be closed: who drops the question has made it false before.
+     * The body of the answer; on a connection that was kept and is found closed, asked once more on
+     * a new one. {@code wanted} is looked at once a new connection can be closed: who drops the
+     * question has made it false before.
      */
-    byte[] get(InetSocketAddress address, String path, int millis, BooleanSupplier wanted) throws IOException {
+    byte[] get(InetSocketAddress address, String path, int millis, BooleanSupplier wanted)
+            throws IOException {
         deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
         boolean kept;
         synchronized (this) {
@@ -54,7 +59,9 @@
         return ask(address, path);
     }
 
-    /** Drops the question that waits: its reader hears so at once. May be called from any thread. */
+    /**
+     * Drops the question that waits: its reader hears so at once. May be called from any thread.
+     */
     synchronized void close() {
         if (socket != null) {
             try {
@@ -92,8 +99,15 @@
         boolean whole = false;
         try {
             Socket now = current();
-            byte[] question = ("GET " + path + " HTTP/1.1\r\nHost: " + address.getHostString() + ":" + address.getPort()
-                    + "\r\nAccept: application/json\r\n\r\n").getBytes(StandardCharsets.US_ASCII);
+            byte[] question =
+                    ("GET "
+                                    + path
+                                    + " HTTP/1.1\r\nHost: "
+                                    + address.getHostString()
+                                    + ":"
+                                    + address.getPort()
+                                    + "\r\nAccept: application/json\r\n\r\n")
+                            .getBytes(StandardCharsets.US_ASCII);
             int first;
             try {
                 now.getOutputStream().write(question);
@@ -158,7 +172,11 @@
         while (true) {
             String size = line();
             int semicolon = size.indexOf(';');
-            int count = bounded(number((semicolon < 0 ? size : size.substring(0, semicolon)).strip(), 16));
+            int count =
+                    bounded(
+                            number(
+                                    (semicolon < 0 ? size : size.substring(0, semicolon)).strip(),
+                                    16));
             if (count == 0) {
                 for (String trailer = line(); !trailer.isEmpty(); trailer = line()) {
                     bounded(body.size() + trailer.length());
@@ -175,7 +193,7 @@
 
     private byte[] exactly(int count) throws IOException {
         byte[] bytes = new byte[count];
-        for (int had = 0; had < count;) {
+        for (int had = 0; had < count; ) {
             if (!more()) {
                 throw new EOFException("bulletin: broke off");
             }
@@ -212,7 +230,10 @@
         return more() ? buffer[at++] & 0xff : -1;
     }
 
-    /** Whether there is a further byte; each wait for one has what is left of the whole, not a limit of its own. */
+    /**
+     * Whether there is a further byte; each wait for one has what is left of the whole, not a limit
+     * of its own.
+     */
     private boolean more() throws IOException {
         if (at == held) {
             current().setSoTimeout(left());
--- a/src/main/java/coralcove/platform/bulletin/BulletinPoll.java
+++ b/src/main/java/coralcove/platform/bulletin/BulletinPoll.java
@@ -4,18 +4,29 @@
 import java.net.InetSocketAddress;
 
 /**
- * Asks the bulletin for later events, one question at a time, on a thread of its own. A break, a stop or an answer that
- * cannot be read is asked again: what was told counts as told then, so it is soon.
+ * Asks the bulletin for later events, one question at a time, on a thread of its own. A break, a
+ * stop or an answer that cannot be read is asked again: what was told counts as told then, so it is
+ * soon.
  */
 public final class BulletinPoll implements Runnable {
-    /** Milliseconds that one question waits for news. The shorter, the sooner a silent bulletin is noticed. */
+    /**
+     * Milliseconds that one question waits for news. The shorter, the sooner a silent bulletin is
+     * noticed.
+     */
     private static final int PATIENCE = 1_000;
-    /** The same for the first question and after one that failed: what was missed is wanted now, and not in a second. */
+
+    /**
+     * The same for the first question and after one that failed: what was missed is wanted now, and
+     * not in a second.
+     */
     private static final int NO_PATIENCE = 1;
+
     /** Milliseconds past that in which the whole answer must have come, with the connection. */
     private static final int GRACE = 400;
+
     /** Milliseconds before a failed question is put again, doubling up to the longest. */
     private static final int AGAIN_FIRST = 50;
+
     private static final int AGAIN_LONGEST = 200;
 
     /** Hears what was told, on the poll's thread. */
@@ -38,7 +49,10 @@
         this.listener = listener;
     }
 
-    /** From now on another address is asked: the question that waits at the old one is dropped. The numbers go on. */
+    /**
+     * From now on another address is asked: the question that waits at the old one is dropped. The
+     * numbers go on.
+     */
     public synchronized void address(InetSocketAddress now) {
         if (!now.equals(address)) {
             address = now;
@@ -67,8 +81,13 @@
                 return;
             }
             try {
-                Bulletin bulletin = Bulletin.read(connection.get(asked,
-                        "/bulletins?after=" + last + "&patience=" + patience, patience + GRACE, () -> asked.equals(next())));
+                Bulletin bulletin =
+                        Bulletin.read(
+                                connection.get(
+                                        asked,
+                                        "/bulletins?after=" + last + "&patience=" + patience,
+                                        patience + GRACE,
+                                        () -> asked.equals(next())));
                 listener.told(bulletin);
                 last = Math.max(last, bulletin.last());
                 again = AGAIN_FIRST;
@@ -83,7 +102,10 @@
         }
     }
 
-    /** Waits before the next question, but not where another address is to be asked; false where the thread is to end. */
+    /**
+     * Waits before the next question, but not where another address is to be asked; false where the
+     * thread is to end.
+     */
     private synchronized boolean failed(InetSocketAddress asked, String reason, int millis) {
         if (closed || !asked.equals(address)) {
             return true;
--- a/src/main/java/coralcove/platform/caller/CallerFramer.java
+++ b/src/main/java/coralcove/platform/caller/CallerFramer.java
@@ -4,8 +4,9 @@
 import java.util.function.Consumer;
 
 /**
- * Cuts a caller's stream into messages by their lengths. Holds at most one message of
- * {@link CallerMessage#MOST_BYTES}: a longer or shorter length than can be ends the stream, before its bytes come.
+ * Cuts a caller's stream into messages by their lengths. Holds at most one message of {@link
+ * CallerMessage#MOST_BYTES}: a longer or shorter length than can be ends the stream, before its
+ * bytes come.
  */
 public final class CallerFramer {
     private byte[] held = new byte[512];
--- a/src/main/java/coralcove/platform/caller/CallerMessage.java
+++ b/src/main/java/coralcove/platform/caller/CallerMessage.java
@@ -6,8 +6,8 @@
 import java.util.List;
 
 /**
- * One binary message of a caller's connection: a length of two bytes, a type, the call's eight bytes, parameters. All
- * numbers are big-endian; the length counts what follows it.
+ * One binary message of a caller's connection: a length of two bytes, a type, the call's eight
+ * bytes, parameters. All numbers are big-endian; the length counts what follows it.
  */
 public record CallerMessage(int type, long call, List<Parameter> parameters) {
     public static final int SET_UP = 1;
@@ -29,8 +29,10 @@
 
     /** Bytes of the largest message, its length field included. */
     public static final int MOST_BYTES = 16 << 10;
+
     /** Bytes of the smallest: a type and a call, after the length. */
     static final int LEAST = 9;
+
     /** Parameters of one message: a set-up has seven. */
     private static final int MOST_PARAMETERS = 64;
 
@@ -69,7 +71,14 @@
             int code = in.get() & 0xff;
             int length = in.getShort() & 0xffff;
             if (length > in.remaining()) {
-                throw new BadCallerMessage("parameter " + code + " of " + length + " bytes, " + in.remaining() + " left");
+                throw new BadCallerMessage(
+                        "parameter "
+                                + code
+                                + " of "
+                                + length
+                                + " bytes, "
+                                + in.remaining()
+                                + " left");
             }
             if (message.parameters.size() >= MOST_PARAMETERS) {
                 throw new BadCallerMessage("more than " + MOST_PARAMETERS + " parameters");
@@ -86,14 +95,21 @@
         for (Parameter each : parameters) {
             length += 3 + each.value().length;
         }
-        ByteBuffer out = ByteBuffer.allocate(2 + length).putShort((short) length).put((byte) type).putLong(call);
+        ByteBuffer out =
+                ByteBuffer.allocate(2 + length)
+                        .putShort((short) length)
+                        .put((byte) type)
+                        .putLong(call);
         for (Parameter each : parameters) {
             out.put((byte) each.code()).putShort((short) each.value().length).put(each.value());
         }
         return out.array();
     }
 
-    /** The value of this parameter, or null; where it stands twice the message says two things and neither counts. */
+    /**
+     * The value of this parameter, or null; where it stands twice the message says two things and
+     * neither counts.
+     */
     public byte[] value(int code) {
         byte[] found = null;
         for (Parameter each : parameters) {
--- a/src/main/java/coralcove/platform/leg/Description.java
+++ b/src/main/java/coralcove/platform/leg/Description.java
@@ -1,8 +1,9 @@
 package coralcove.platform.leg;
 
 /**
- * What caller and exchange tell each other of a call: a first line of 16 hex digits, then lines of a letter, "=" and text,
- * each ended by CRLF. It passes unchanged; what has another form was spoilt on its way and would only be taken for an answer.
+ * What caller and exchange tell each other of a call: a first line of 16 hex digits, then lines of
+ * a letter, "=" and text, each ended by CRLF. It passes unchanged; what has another form was spoilt
+ * on its way and would only be taken for an answer.
  */
 public final class Description {
     private static final int FIRST = 16;
@@ -22,8 +23,12 @@
             if (end + 1 >= text.length || text[end] != '\r' || text[end + 1] != '\n') {
                 return false;
             }
-            if (line == 0 ? !hex(text, from, end) : end - from < 3 || text[from + 1] != '=' || text[from] < 'a'
-                    || text[from] > 'z') {
+            if (line == 0
+                    ? !hex(text, from, end)
+                    : end - from < 3
+                            || text[from + 1] != '='
+                            || text[from] < 'a'
+                            || text[from] > 'z') {
                 return false;
             }
             from = end + 2;
--- a/src/main/java/coralcove/platform/leg/LegMessages.java
+++ b/src/main/java/coralcove/platform/leg/LegMessages.java
@@ -3,7 +3,10 @@
 import coralcove.sip.SipMessage;
 import java.util.HexFormat;
 
-/** The SIP messages towards an exchange. The Call-ID matches them; the number called stands in the first line. */
+/**
+ * The SIP messages towards an exchange. The Call-ID matches them; the number called stands in the
+ * first line.
+ */
 public final class LegMessages {
     private static final String VIA = "SIP/2.0/TCP router";
 
@@ -22,11 +25,21 @@
         return HexFormat.fromHexDigitsToLong(id);
     }
 
-    /** Id, service, number and description as the caller sent them; {@code withinMs} is how long the answer is awaited. */
-    public static SipMessage invite(long call, int sequence, String number, String service, long withinMs,
+    /**
+     * Id, service, number and description as the caller sent them; {@code withinMs} is how long the
+     * answer is awaited.
+     */
+    public static SipMessage invite(
+            long call,
+            int sequence,
+            String number,
+            String service,
+            long withinMs,
             byte[] description) {
-        SipMessage invite = request("INVITE", "sip:" + number + "@net", call, sequence).add("Call-Kind", service)
-                .add("Answer-Within", Long.toString(withinMs));
+        SipMessage invite =
+                request("INVITE", "sip:" + number + "@net", call, sequence)
+                        .add("Call-Kind", service)
+                        .add("Answer-Within", Long.toString(withinMs));
         return invite.body("application/sdp", description);
     }
 
@@ -39,7 +52,8 @@
     }
 
     public static SipMessage bye(long call, int cause) {
-        return request("BYE", "sip:" + callId(call) + "@net", call, 100).add("Reason", "Q.850;cause=" + cause);
+        return request("BYE", "sip:" + callId(call) + "@net", call, 100)
+                .add("Reason", "Q.850;cause=" + cause);
     }
 
     /** Asks for a report. */
@@ -62,7 +76,9 @@
     }
 
     private static SipMessage request(String method, String uri, long call, int sequence) {
-        return SipMessage.request(method, uri).add("Via", VIA).add("Call-ID", callId(call))
+        return SipMessage.request(method, uri)
+                .add("Via", VIA)
+                .add("Call-ID", callId(call))
                 .add("CSeq", sequence + " " + method);
     }
 }
--- a/src/main/java/coralcove/platform/leg/Report.java
+++ b/src/main/java/coralcove/platform/leg/Report.java
@@ -2,11 +2,17 @@
 
 import java.util.List;
 
-/** A report of an exchange, {@code x0:12;x1:40;queue:3}, as values in the order that the settings name. */
+/**
+ * A report of an exchange, {@code x0:12;x1:40;queue:3}, as values in the order that the settings
+ * name.
+ */
 public final class Report {
     private Report() {}
 
-    /** The values by the settings' names, -1 where one is not told; null where the text is no report. */
+    /**
+     * The values by the settings' names, -1 where one is not told; null where the text is no
+     * report.
+     */
     public static float[] read(String text, List<String> names) {
         float[] values = new float[names.size()];
         java.util.Arrays.fill(values, -1);
--- a/src/main/java/coralcove/platform/live/BoundedProcessor.java
+++ b/src/main/java/coralcove/platform/live/BoundedProcessor.java
@@ -9,14 +9,17 @@
 import org.apache.mina.transport.socket.nio.NioSession;
 
 /**
- * MINA's processor with a bound on the sessions it holds: at it the acceptor's thread waits, and the kernel's queue holds
- * who connects. Without one hundreds of connections at once took the last descriptor, and the acceptor stood for a second.
+ * MINA's processor with a bound on the sessions it holds: at it the acceptor's thread waits, and
+ * the kernel's queue holds who connects. Without one hundreds of connections at once took the last
+ * descriptor, and the acceptor stood for a second.
  */
 final class BoundedProcessor implements IoProcessor<NioSession> {
     /** Looks after which room is asked for again. */
     private static final int ASK_AGAIN = 10;
+
     /** Share of the bound from which room is asked for. */
     private static final double NEAR = 0.85;
+
     /** Milliseconds between two looks at the bound. */
     private static final int LOOK = 2;
 
@@ -25,7 +28,10 @@
     private final int most;
     private final Runnable crowded;
 
-    /** {@code crowded} is run on the acceptor's thread for each connection near the bound: it asks for room. */
+    /**
+     * {@code crowded} is run on the acceptor's thread for each connection near the bound: it asks
+     * for room.
+     */
     BoundedProcessor(int most, Runnable crowded) {
         this.most = most;
         this.crowded = crowded;
--- a/src/main/java/coralcove/platform/live/Configuration.java
+++ b/src/main/java/coralcove/platform/live/Configuration.java
@@ -18,9 +18,19 @@
 import java.util.Map;
 import java.util.Set;
 
-/** What the platform tells a router: its file, read whole; a mistake is told with file, key and reason. */
-record Configuration(String name, InetSocketAddress listen, long seed, ServiceSettings settings,
-        InetSocketAddress peerListen, List<InetSocketAddress> peers, InetSocketAddress peersAll, InetSocketAddress bulletin,
+/**
+ * What the platform tells a router: its file, read whole; a mistake is told with file, key and
+ * reason.
+ */
+record Configuration(
+        String name,
+        InetSocketAddress listen,
+        long seed,
+        ServiceSettings settings,
+        InetSocketAddress peerListen,
+        List<InetSocketAddress> peers,
+        InetSocketAddress peersAll,
+        InetSocketAddress bulletin,
         Bulletin known) {
     /** Descriptors under which no router can hold the list, a leg and its callers. */
     private static final int LEAST_DESCRIPTORS = 64;
@@ -46,23 +56,41 @@
             for (JsonNode each : root.path("peers")) {
                 peers.add(address(file, "peers", each.asText()));
             }
-            return new Configuration(root.path("name").asText("router"),
-                    address(file, "listen", text(file, root, "listen")), seed(file, text(file, root, "seed")),
-                    ServiceSettings.of(Boot.of(pairs), descriptors(file, root.path("limits").path("sockets"))),
-                    root.hasNonNull("peer_listen") ? address(file, "peer_listen", text(file, root, "peer_listen")) : null,
+            return new Configuration(
+                    root.path("name").asText("router"),
+                    address(file, "listen", text(file, root, "listen")),
+                    seed(file, text(file, root, "seed")),
+                    ServiceSettings.of(
+                            Boot.of(pairs), descriptors(file, root.path("limits").path("sockets"))),
+                    root.hasNonNull("peer_listen")
+                            ? address(file, "peer_listen", text(file, root, "peer_listen"))
+                            : null,
                     List.copyOf(peers),
-                    root.hasNonNull("peers_all") ? address(file, "peers_all", text(file, root, "peers_all")) : null,
-                    address(file, "bulletin", text(file, root, "bulletin")), Bulletin.of(root.get("known")));
+                    root.hasNonNull("peers_all")
+                            ? address(file, "peers_all", text(file, root, "peers_all"))
+                            : null,
+                    address(file, "bulletin", text(file, root, "bulletin")),
+                    Bulletin.of(root.get("known")));
         } catch (IOException e) {
             throw new BadConfig(file + ": known: " + e.getMessage());
         }
     }
 
-    /** Nested JSON as the paths of the simulator's first message: lists of objects by index with a count, others joined. */
+    /**
+     * Nested JSON as the paths of the simulator's first message: lists of objects by index with a
+     * count, others joined.
+     */
     static void flatten(String path, JsonNode node, Map<String, String> pairs) {
         if (node.isObject()) {
-            node.properties().forEach(each -> flatten(path.isEmpty() ? each.getKey() : path + "." + each.getKey(),
-                    each.getValue(), pairs));
+            node.properties()
+                    .forEach(
+                            each ->
+                                    flatten(
+                                            path.isEmpty()
+                                                    ? each.getKey()
+                                                    : path + "." + each.getKey(),
+                                            each.getValue(),
+                                            pairs));
         } else if (node.isArray()) {
             boolean plain = true;
             for (JsonNode each : node) {
@@ -85,8 +113,12 @@
 
     private static int descriptors(Path file, JsonNode sockets) throws BadConfig {
         if (!sockets.canConvertToInt() || sockets.asInt() < LEAST_DESCRIPTORS) {
-            throw new BadConfig(file + ": limits.sockets: "
-                    + (sockets.isMissingNode() ? "is missing" : "no number from " + LEAST_DESCRIPTORS + " up: " + sockets));
+            throw new BadConfig(
+                    file
+                            + ": limits.sockets: "
+                            + (sockets.isMissingNode()
+                                    ? "is missing"
+                                    : "no number from " + LEAST_DESCRIPTORS + " up: " + sockets));
         }
         return sockets.asInt();
     }
@@ -110,7 +142,8 @@
     static InetSocketAddress address(Path file, String key, String text) throws BadConfig {
         int colon = text.lastIndexOf(':');
         try {
-            return new InetSocketAddress(text.substring(0, Math.max(0, colon)),
+            return new InetSocketAddress(
+                    text.substring(0, Math.max(0, colon)),
                     Integer.parseInt(text.substring(colon + 1)));
         } catch (IllegalArgumentException e) {
             throw new BadConfig(file + ": " + key + ": no address: " + text);
--- a/src/main/java/coralcove/platform/live/EarlySignals.java
+++ b/src/main/java/coralcove/platform/live/EarlySignals.java
@@ -1,6 +1,9 @@
 package coralcove.platform.live;
 
-/** Signals that come before there is a router are kept for it: a later configuration, or that it is to go. */
+/**
+ * Signals that come before there is a router are kept for it: a later configuration, or that it is
+ * to go.
+ */
 final class EarlySignals {
     private Runnable drain;
     private Runnable reload;
--- a/src/main/java/coralcove/platform/live/Inputs.java
+++ b/src/main/java/coralcove/platform/live/Inputs.java
@@ -3,19 +3,25 @@
 import java.util.ArrayDeque;
 
 /**
- * What the sockets have read and the core has not looked at yet. Exchanges' answers and the program's own acts come before
- * what callers send, so that a flood of set-ups puts no answer off. At a bound the reading thread waits, and the kernel
- * holds the sender back: nothing that was read is lost.
+ * What the sockets have read and the core has not looked at yet. Exchanges' answers and the
+ * program's own acts come before what callers send, so that a flood of set-ups puts no answer off.
+ * At a bound the reading thread waits, and the kernel holds the sender back: nothing that was read
+ * is lost.
  */
 final class Inputs {
     /** Bytes waiting from callers, and from exchanges: some ten thousand messages. */
     private static final long MOST_BYTES = 2L << 20;
+
     /** Inputs waiting of each kind, also those without bytes. */
     private static final int MOST = 20_000;
+
     /** Milliseconds that a reading thread waits at a bound before it looks again. */
     private static final long BOUND_WAIT = 50;
 
-    /** One input: what it does to the core, how many bytes it holds, and whether it may be held back. */
+    /**
+     * One input: what it does to the core, how many bytes it holds, and whether it may be held
+     * back.
+     */
     record Input(Runnable act, int bytes, boolean caller) {}
 
     private final ArrayDeque<Input> first = new ArrayDeque<>();
@@ -49,7 +55,8 @@
     }
 
     private boolean full(Input input) {
-        return input.caller ? callerBytes > MOST_BYTES || callers.size() >= MOST
+        return input.caller
+                ? callerBytes > MOST_BYTES || callers.size() >= MOST
                 : firstBytes > MOST_BYTES || first.size() >= MOST;
     }
 
@@ -58,8 +65,11 @@
         if (micros > 0 && first.isEmpty() && callers.isEmpty()) {
             wait(micros / 1000, (int) (micros % 1000) * 1000);
         }
-        boolean wasFull = callerBytes > MOST_BYTES || firstBytes > MOST_BYTES || callers.size() >= MOST
-                || first.size() >= MOST;
+        boolean wasFull =
+                callerBytes > MOST_BYTES
+                        || firstBytes > MOST_BYTES
+                        || callers.size() >= MOST
+                        || first.size() >= MOST;
         Input input = first.isEmpty() ? callers.poll() : first.poll();
         if (input != null) {
             callerBytes -= input.caller ? input.bytes : 0;
--- a/src/main/java/coralcove/platform/live/LogLines.java
+++ b/src/main/java/coralcove/platform/live/LogLines.java
@@ -9,8 +9,9 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * A router's log: JSON lines, written on a thread of its own. A reader of standard error that stalls holds up no session: past
- * the bound lines are dropped, and the next line says how many. Logback would be a third of a router's start.
+ * A router's log: JSON lines, written on a thread of its own. A reader of standard error that
+ * stalls holds up no session: past the bound lines are dropped, and the next line says how many.
+ * Logback would be a third of a router's start.
  */
 final class LogLines {
     /** Lines waiting at most. */
--- a/src/main/java/coralcove/platform/live/Peers.java
+++ b/src/main/java/coralcove/platform/live/Peers.java
@@ -22,25 +22,30 @@
     private final InetSocketAddress listen;
     private final InetSocketAddress all;
 
-    Peers(InetSocketAddress listen, List<InetSocketAddress> peers, InetSocketAddress all, Listener listener)
+    Peers(
+            InetSocketAddress listen,
+            List<InetSocketAddress> peers,
+            InetSocketAddress all,
+            Listener listener)
             throws IOException {
         this.listen = listen;
         this.all = all;
-        acceptor.setHandler(new IoHandlerAdapter() {
-            @Override
-            public void messageReceived(IoSession session, Object message) {
-                byte[] bytes = Mina.bytes(message);
-                int rank = peers.indexOf(session.getRemoteAddress());
-                if (rank >= 0 && bytes.length <= MOST_BYTES) {
-                    listener.peer(rank, bytes);
-                }
-            }
-
-            @Override
-            public void exceptionCaught(IoSession session, Throwable cause) {
-                // A datagram may be lost; nothing hangs on one.
-            }
-        });
+        acceptor.setHandler(
+                new IoHandlerAdapter() {
+                    @Override
+                    public void messageReceived(IoSession session, Object message) {
+                        byte[] bytes = Mina.bytes(message);
+                        int rank = peers.indexOf(session.getRemoteAddress());
+                        if (rank >= 0 && bytes.length <= MOST_BYTES) {
+                            listener.peer(rank, bytes);
+                        }
+                    }
+
+                    @Override
+                    public void exceptionCaught(IoSession session, Throwable cause) {
+                        // A datagram may be lost; nothing hangs on one.
+                    }
+                });
         acceptor.getSessionConfig().setReuseAddress(true);
         try {
             acceptor.bind(listen);
--- a/src/main/java/coralcove/platform/live/Serve.java
+++ b/src/main/java/coralcove/platform/live/Serve.java
@@ -16,19 +16,31 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 
-/** One session router of the platform: sockets, clock, configuration and signals round a {@link RouterCore}. */
+/**
+ * One session router of the platform: sockets, clock, configuration and signals round a {@link
+ * RouterCore}.
+ */
 public final class Serve implements Actions, Streams.Listener {
     /** µs between two lines of counts in the log. */
     private static final long COUNTS = 5_000_000;
-    /** µs for which inputs are taken between two looks at the timers, and set-ups decided while more inputs wait. */
+
+    /**
+     * µs for which inputs are taken between two looks at the timers, and set-ups decided while more
+     * inputs wait.
+     */
     private static final long INTAKE = 20_000;
+
     private static final long DECIDING = 10_000;
+
     /** Milliseconds in which what was written last goes out, to peers that read. */
     private static final int LAST_WRITES = 1_000;
+
     /** Tries to read a configuration that is being written, and milliseconds between them. */
     private static final int READS = 5;
+
     private static final int READ_AGAIN = 100;
-    private static final long STARTED = System.currentTimeMillis() * 1000 - System.nanoTime() / 1000;
+    private static final long STARTED =
+            System.currentTimeMillis() * 1000 - System.nanoTime() / 1000;
 
     private final Path file;
     private final LogLines log;
@@ -45,26 +57,46 @@
         this.file = file;
         this.configuration = configuration;
         log = new LogLines(configuration.name(), out);
-        core = new RouterCore(clock(), configuration.settings(),
-                new Choice(configuration.settings().module(), new SplittableRandom(configuration.seed())), this);
-        streams = new Streams(Math.max(1, configuration.settings().connectTimeout() / 1000),
-                configuration.room().callers(), Serve::clock, this);
-        peers = configuration.peerListen() == null ? null : new Peers(configuration.peerListen(), configuration.peers(),
-                configuration.peersAll(), (rank, bytes) -> {
-                    long stamp = clock();
-                    inputs.first(bytes.length, () -> core.peer(stamp, rank, bytes));
-                });
-        poll = new BulletinPoll(configuration.bulletin(), configuration.known().last(), new BulletinPoll.Listener() {
-            @Override
-            public void told(Bulletin bulletin) {
-                inputs.first(0, () -> core.bulletinAnswered(clock(), bulletin));
-            }
-
-            @Override
-            public void failed(String reason) {
-                inputs.first(0, () -> core.bulletinLost(clock()));
-            }
-        });
+        core =
+                new RouterCore(
+                        clock(),
+                        configuration.settings(),
+                        new Choice(
+                                configuration.settings().module(),
+                                new SplittableRandom(configuration.seed())),
+                        this);
+        streams =
+                new Streams(
+                        Math.max(1, configuration.settings().connectTimeout() / 1000),
+                        configuration.room().callers(),
+                        Serve::clock,
+                        this);
+        peers =
+                configuration.peerListen() == null
+                        ? null
+                        : new Peers(
+                                configuration.peerListen(),
+                                configuration.peers(),
+                                configuration.peersAll(),
+                                (rank, bytes) -> {
+                                    long stamp = clock();
+                                    inputs.first(bytes.length, () -> core.peer(stamp, rank, bytes));
+                                });
+        poll =
+                new BulletinPoll(
+                        configuration.bulletin(),
+                        configuration.known().last(),
+                        new BulletinPoll.Listener() {
+                            @Override
+                            public void told(Bulletin bulletin) {
+                                inputs.first(0, () -> core.bulletinAnswered(clock(), bulletin));
+                            }
+
+                            @Override
+                            public void failed(String reason) {
+                                inputs.first(0, () -> core.bulletinLost(clock()));
+                            }
+                        });
     }
 
     /** A router by this configuration, which serves once {@link #serve} is called. */
@@ -119,9 +151,13 @@
     private void loop() throws InterruptedException {
         long countsAt = clock() + COUNTS;
         while (!over) {
-            // Whatever was read is looked at before a set-up is decided or an INVITE written: its caller may have left since.
-            Inputs.Input input = inputs.next(core.undecided() ? 0
-                    : Math.max(0, Math.min(COUNTS, core.due() - clock())));
+            // Whatever was read is looked at before a set-up is decided or an INVITE written: its
+            // caller may have left since.
+            Inputs.Input input =
+                    inputs.next(
+                            core.undecided()
+                                    ? 0
+                                    : Math.max(0, Math.min(COUNTS, core.due() - clock())));
             long begun = clock();
             while (input != null && clock() - begun < INTAKE) {
                 guarded(input.act());
@@ -156,13 +192,17 @@
         try {
             act.run();
         } catch (RuntimeException e) {
-            log("fault", "", e + " at " + (e.getStackTrace().length == 0 ? "" : e.getStackTrace()[0]));
+            log(
+                    "fault",
+                    "",
+                    e + " at " + (e.getStackTrace().length == 0 ? "" : e.getStackTrace()[0]));
         }
     }
 
     /**
-     * SIGHUP: the bulletin may have moved; nothing else is taken from the file while the router runs, and what else it changes is
-     * logged. One at a time, each reading the file anew, so that of two the later file stays.
+     * SIGHUP: the bulletin may have moved; nothing else is taken from the file while the router
+     * runs, and what else it changes is logged. One at a time, each reading the file anew, so that
+     * of two the later file stays.
      */
     public synchronized void reload() {
         try {
@@ -170,8 +210,12 @@
             poll.address(fresh.bulletin());
             inputs.first(0, () -> core.bulletin(clock(), fresh.known()));
             log("reloaded", "", "bulletin " + fresh.bulletin());
-            if (!fresh.settings().equals(configuration.settings()) || !fresh.listen().equals(configuration.listen())) {
-                log("reload-ignored", "", "settings or listen have changed: they count from the next start");
+            if (!fresh.settings().equals(configuration.settings())
+                    || !fresh.listen().equals(configuration.listen())) {
+                log(
+                        "reload-ignored",
+                        "",
+                        "settings or listen have changed: they count from the next start");
             }
         } catch (BadConfig | RuntimeException e) {
             log("not-reloaded", "", String.valueOf(e.getMessage()));
@@ -182,7 +226,7 @@
 
     /** The file may be read while it is written. */
     private Configuration whole() throws BadConfig, InterruptedException {
-        for (int reads = 1;; reads++) {
+        for (int reads = 1; ; reads++) {
             try {
                 return Configuration.read(file);
             } catch (BadConfig e) {
@@ -251,8 +295,11 @@
     @Override
     public void connect(long leg, String address) {
         int colon = address.lastIndexOf(':');
-        streams.connect(leg, new InetSocketAddress(address.substring(0, colon),
-                Integer.parseInt(address.substring(colon + 1))));
+        streams.connect(
+                leg,
+                new InetSocketAddress(
+                        address.substring(0, colon),
+                        Integer.parseInt(address.substring(colon + 1))));
     }
 
     @Override
--- a/src/main/java/coralcove/platform/live/Streams.java
+++ b/src/main/java/coralcove/platform/live/Streams.java
@@ -18,16 +18,26 @@
 import org.apache.mina.transport.socket.nio.NioSocketConnector;
 
 /**
- * TCP on Apache MINA: callers' connections, which are accepted, and legs, which are opened. It reads, stamps the arrival
- * and hands over; it knows no message. What waits to be written has a bound a connection: past it the peer does not read.
+ * TCP on Apache MINA: callers' connections, which are accepted, and legs, which are opened. It
+ * reads, stamps the arrival and hands over; it knows no message. What waits to be written has a
+ * bound a connection: past it the peer does not read.
  */
 final class Streams implements AutoCloseable {
     /** Bytes waiting to be written to one peer at most. */
     private static final long MOST_WAITING = 256 << 10;
-    /** Bytes read at a time at most: a connection that sends at full speed must not fill the queue by itself. */
+
+    /**
+     * Bytes read at a time at most: a connection that sends at full speed must not fill the queue
+     * by itself.
+     */
     private static final int READ_BUFFER = 16 << 10;
-    /** Milliseconds between two looks at what is left: MINA counts a session out after it has told of its close. */
+
+    /**
+     * Milliseconds between two looks at what is left: MINA counts a session out after it has told
+     * of its close.
+     */
     private static final int FLUSH_LOOK = 10;
+
     private static final AttributeKey ID = new AttributeKey(Streams.class, "id");
 
     /** Hears on MINA's threads, in the order of each connection. */
@@ -93,17 +103,21 @@
     }
 
     void connect(long leg, InetSocketAddress address) {
-        ConnectFuture future = connector.connect(address, (session, done) -> session.setAttribute(ID, leg));
+        ConnectFuture future =
+                connector.connect(address, (session, done) -> session.setAttribute(ID, leg));
         long since = System.nanoTime();
         opening.put(leg, future);
-        future.addListener(done -> {
-            ConnectFuture it = (ConnectFuture) done;
-            opening.remove(leg);
-            if (!it.isConnected() && !closed && !it.isCanceled()) {
-                boolean late = System.nanoTime() - since >= connector.getConnectTimeoutMillis() * 1_000_000L;
-                listener.legDown(leg, late ? Down.SILENT : Down.REFUSED);
-            }
-        });
+        future.addListener(
+                done -> {
+                    ConnectFuture it = (ConnectFuture) done;
+                    opening.remove(leg);
+                    if (!it.isConnected() && !closed && !it.isCanceled()) {
+                        boolean late =
+                                System.nanoTime() - since
+                                        >= connector.getConnectTimeoutMillis() * 1_000_000L;
+                        listener.legDown(leg, late ? Down.SILENT : Down.REFUSED);
+                    }
+                });
     }
 
     void toCaller(long caller, byte[] bytes) {
@@ -144,8 +158,8 @@
     }
 
     /**
-     * Takes no further connection; those that are open go on. Not awaited: the acceptor may be waiting at its bound, for the
-     * core to close connections, and the core must not wait for it.
+     * Takes no further connection; those that are open go on. Not awaited: the acceptor may be
+     * waiting at its bound, for the core to close connections, and the core must not wait for it.
      */
     void deaf() {
         Thread thread = new Thread(acceptor::unbind, "unbind");
@@ -153,11 +167,15 @@
         thread.start();
     }
 
-    /** Waits until all callers' connections have closed, with what was written to them before; at most so long. */
+    /**
+     * Waits until all callers' connections have closed, with what was written to them before; at
+     * most so long.
+     */
     void flush(int millis) throws InterruptedException {
         long until = System.nanoTime() + millis * 1_000_000L;
         synchronized (gone) {
-            for (long left = millis; left > 0 && acceptor.getManagedSessionCount() > 0;
+            for (long left = millis;
+                    left > 0 && acceptor.getManagedSessionCount() > 0;
                     left = (until - System.nanoTime()) / 1_000_000) {
                 gone.wait(Math.min(left, FLUSH_LOOK));
             }
@@ -213,7 +231,8 @@
 
         @Override
         public void messageReceived(IoSession session, Object message) {
-            listener.legRead((Long) session.getAttribute(ID), clock.getAsLong(), Mina.bytes(message));
+            listener.legRead(
+                    (Long) session.getAttribute(ID), clock.getAsLong(), Mina.bytes(message));
         }
 
         @Override
--- a/src/main/java/coralcove/portability/Portability.java
+++ b/src/main/java/coralcove/portability/Portability.java
@@ -2,8 +2,8 @@
 
 import coralcove.dns.BadDns;
 import coralcove.dns.DnsMessage;
-import coralcove.dns.Enum;
 import coralcove.dns.DnsStandIn;
+import coralcove.dns.Enum;
 import coralcove.dns.Questions;
 import coralcove.dns.Resolver;
 import coralcove.dns.transport.DnsClient;
@@ -25,8 +25,10 @@
 public interface Portability extends AutoCloseable {
     /** Part of a name that says it is a number's (RFC 6116 section 3.2). */
     String SUFFIX = "e164.arpa";
+
     /** µs that one try may take; twice that is within what a session waits. */
     long TRY_FOR = 120_000;
+
     int TRIES = 2;
     int SOCKETS = 16;
     int MOST_OUT = 2000;
@@ -40,7 +42,11 @@
     void close();
 
     /** Tells a router how its question ended. */
-    private static void tell(Network network, String node, Supplier<EdgeCore> core, long number,
+    private static void tell(
+            Network network,
+            String node,
+            Supplier<EdgeCore> core,
+            long number,
             Resolver.Result result) {
         Porting.Outcome outcome = Porting.Outcome.FAILED;
         long routing = 0;
@@ -48,7 +54,10 @@
         if (result.answer() != null) {
             try {
                 Enum.Ported ported = Enum.ported(result.answer(), Digits.text(number));
-                outcome = ported.routing().isEmpty() ? Porting.Outcome.NOT_MOVED : Porting.Outcome.MOVED;
+                outcome =
+                        ported.routing().isEmpty()
+                                ? Porting.Outcome.NOT_MOVED
+                                : Porting.Outcome.MOVED;
                 routing = Digits.pack(ported.routing());
                 life = ported.life() * 1_000_000;
             } catch (BadDns e) {
@@ -62,21 +71,36 @@
     }
 
     /** A router's way over this resolver, which its owner closes. */
-    static NumberDesk.Asker over(Questions client, String suffix, Network network, String node,
+    static NumberDesk.Asker over(
+            Questions client,
+            String suffix,
+            Network network,
+            String node,
             Supplier<EdgeCore> core) {
-        return (now, number) -> client.ask(Enum.name(Digits.text(number), suffix), DnsMessage.NAPTR,
-                result -> tell(network, node, core, number, result));
+        return (now, number) ->
+                client.ask(
+                        Enum.name(Digits.text(number), suffix),
+                        DnsMessage.NAPTR,
+                        result -> tell(network, node, core, number, result));
     }
 
     /** A stand-in server on loopback sockets, and a resolver for each router. */
-    static Portability live(Network network, DnsStandIn server, String host, int port) throws IOException {
+    static Portability live(Network network, DnsStandIn server, String host, int port)
+            throws IOException {
         DnsServer running = new DnsServer(host, port, server);
         List<DnsClient> clients = new ArrayList<>();
         return new Portability() {
             @Override
             public NumberDesk.Asker asker(String node, Supplier<EdgeCore> core) {
-                DnsClient client = new DnsClient(new Resolver.Settings(List.of(new Resolver.Server(host, port)), TRY_FOR,
-                        TRIES, SOCKETS, MOST_OUT), new SecureRandom());
+                DnsClient client =
+                        new DnsClient(
+                                new Resolver.Settings(
+                                        List.of(new Resolver.Server(host, port)),
+                                        TRY_FOR,
+                                        TRIES,
+                                        SOCKETS,
+                                        MOST_OUT),
+                                new SecureRandom());
                 clients.add(client);
                 return over(client, SUFFIX, network, node, core);
             }
@@ -99,9 +123,17 @@
         return new Portability() {
             @Override
             public NumberDesk.Asker asker(String node, Supplier<EdgeCore> core) {
-                VirtualDns way = new VirtualDns(network, server, new Resolver.Settings(List.of(new Resolver.Server(
-                        "portability", 53)), TRY_FOR, TRIES, SOCKETS, MOST_OUT),
-                        new SplittableRandom(seed + node.hashCode()));
+                VirtualDns way =
+                        new VirtualDns(
+                                network,
+                                server,
+                                new Resolver.Settings(
+                                        List.of(new Resolver.Server("portability", 53)),
+                                        TRY_FOR,
+                                        TRIES,
+                                        SOCKETS,
+                                        MOST_OUT),
+                                new SplittableRandom(seed + node.hashCode()));
                 return over(way, SUFFIX, network, node, core);
             }
 
@@ -111,7 +143,7 @@
             }
 
             @Override
-            public void close() { }
+            public void close() {}
         };
     }
 }
--- a/src/main/java/coralcove/protocol/CallHeaders.java
+++ b/src/main/java/coralcove/protocol/CallHeaders.java
@@ -7,11 +7,20 @@
 import java.util.Set;
 
 /** The stated headers of a session's INVITE (docs/protocol.md), read and written in one place. */
-public record CallHeaders(int service, double value, int width, boolean redial, boolean cut, int farEnd, int origin,
-        long left, String number) {
+public record CallHeaders(
+        int service,
+        double value,
+        int width,
+        boolean redial,
+        boolean cut,
+        int farEnd,
+        int origin,
+        long left,
+        String number) {
     /**
-     * Reads them; a missing or impossible one throws with the header's name. {@code origin} is -1 off a trunk, and
-     * {@code farEnd} is -1 where only a number was dialled, which is never so on a trunk.
+     * Reads them; a missing or impossible one throws with the header's name. {@code origin} is -1
+     * off a trunk, and {@code farEnd} is -1 where only a number was dialled, which is never so on a
+     * trunk.
      */
     public static CallHeaders of(SipMessage invite, int services) {
         Params service = Params.of(need(invite, "X-Service"));
@@ -21,7 +30,10 @@
         boolean dialled = origin == null && invite.header("X-Far-End") == null;
         int farEnd = dialled ? -1 : number("X-Far-End", need(invite, "X-Far-End"), 0, 65_535);
         String exact = invite.header("X-Time-Left");
-        long left = exact != null ? micros(exact) : 1_000_000L * number("Expires", need(invite, "Expires"), 0, 3600);
+        long left =
+                exact != null
+                        ? micros(exact)
+                        : 1_000_000L * number("Expires", need(invite, "Expires"), 0, 3600);
         SipUri uri = SipUri.of(invite.uri());
         if (uri == null) {
             throw new IllegalArgumentException("Request-URI " + invite.uri());
@@ -32,8 +44,16 @@
         } catch (NumberFormatException e) {
             throw new IllegalArgumentException("X-Service value " + service.get("value", ""));
         }
-        return new CallHeaders(index, value, width, service.has("redial"), service.has("cut"), farEnd,
-                origin == null ? -1 : number("X-Origin", origin, 0, 65_535), left, uri.user());
+        return new CallHeaders(
+                index,
+                value,
+                width,
+                service.has("redial"),
+                service.has("cut"),
+                farEnd,
+                origin == null ? -1 : number("X-Origin", origin, 0, 65_535),
+                left,
+                uri.user());
     }
 
     /** The same to this far end. */
@@ -58,7 +78,8 @@
         } catch (NumberFormatException e) {
             // Told below, with the bounds.
         }
-        throw new IllegalArgumentException(name + " " + text + " is not between " + least + " and " + most);
+        throw new IllegalArgumentException(
+                name + " " + text + " is not between " + least + " and " + most);
     }
 
     private static long micros(String text) {
@@ -73,13 +94,39 @@
         throw new IllegalArgumentException("X-Time-Left " + text);
     }
 
-    /** Fields that belong to one leg, or that {@link #write} writes itself; all others cross unchanged. */
-    private static final Set<String> OF_A_LEG = Set.of("Via", "From", "To", "Call-ID", "CSeq", "Contact", "Route",
-            "Record-Route", "Max-Forwards", "Content-Length", "Content-Type", "Expires", "Session-ID", "X-Service",
-            "X-Far-End", "X-Origin", "X-Time-Left", "Supported", "Session-Expires", "Min-SE", "Require",
-            "Proxy-Require");
+    /**
+     * Fields that belong to one leg, or that {@link #write} writes itself; all others cross
+     * unchanged.
+     */
+    private static final Set<String> OF_A_LEG =
+            Set.of(
+                    "Via",
+                    "From",
+                    "To",
+                    "Call-ID",
+                    "CSeq",
+                    "Contact",
+                    "Route",
+                    "Record-Route",
+                    "Max-Forwards",
+                    "Content-Length",
+                    "Content-Type",
+                    "Expires",
+                    "Session-ID",
+                    "X-Service",
+                    "X-Far-End",
+                    "X-Origin",
+                    "X-Time-Left",
+                    "Supported",
+                    "Session-Expires",
+                    "Min-SE",
+                    "Require",
+                    "Proxy-Require");
 
-    /** Copies the body and what is not of one leg only from the INVITE that came to the one that goes on. */
+    /**
+     * Copies the body and what is not of one leg only from the INVITE that came to the one that
+     * goes on.
+     */
     public static void pass(SipMessage from, SipMessage to) {
         for (Field field : from.fields()) {
             if (!OF_A_LEG.contains(field.name())) {
@@ -92,9 +139,17 @@
     }
 
     /** Writes them into an INVITE; {@code origin} or far end below 0 is left out. */
-    public static SipMessage write(SipMessage invite, CallHeaders it, int origin, long left, String sessionId) {
-        invite.add("X-Service", it.service + ";value=" + it.value + ";width=" + it.width
-                + (it.redial ? ";redial" : "") + (it.cut ? ";cut" : ""));
+    public static SipMessage write(
+            SipMessage invite, CallHeaders it, int origin, long left, String sessionId) {
+        invite.add(
+                "X-Service",
+                it.service
+                        + ";value="
+                        + it.value
+                        + ";width="
+                        + it.width
+                        + (it.redial ? ";redial" : "")
+                        + (it.cut ? ";cut" : ""));
         if (it.farEnd >= 0) {
             invite.add("X-Far-End", Integer.toString(it.farEnd));
         }
--- a/src/main/java/coralcove/protocol/Outcomes.java
+++ b/src/main/java/coralcove/protocol/Outcomes.java
@@ -8,12 +8,13 @@
 import java.util.regex.Pattern;
 
 /**
- * The one table between what an INVITE can come to on the wire and the module's words (docs/protocol.md). Causes
- * are Q.850's, carried in a Reason header (RFC 3326).
+ * The one table between what an INVITE can come to on the wire and the module's words
+ * (docs/protocol.md). Causes are Q.850's, carried in a Reason header (RFC 3326).
  */
 public final class Outcomes {
     /** Q.850 causes that this network tells apart. */
     public static final int LINES_BUSY = 17;
+
     public static final int UNREACHABLE = 27;
     public static final int NO_CIRCUIT = 34;
     public static final int OWN_EXCHANGE = 41;
@@ -21,7 +22,8 @@
     public static final int TURNED_BACK = 44;
     public static final int FULL_BEYOND = 47;
     public static final int CUT = 38;
-    private static final Pattern CAUSE = Pattern.compile("(?i)^\\s*Q\\.850\\s*;.*?cause\\s*=\\s*(\\d{1,3})");
+    private static final Pattern CAUSE =
+            Pattern.compile("(?i)^\\s*Q\\.850\\s*;.*?cause\\s*=\\s*(\\d{1,3})");
 
     /** An ending with its cause and the wait that a full processor named, in µs. */
     public record Outcome(Ending ending, Cause cause, long namedWait) {}
@@ -32,7 +34,8 @@
     public static Outcome of(SipMessage response, Lost lost) {
         if (response == null) {
             return switch (lost) {
-                // The first hop is the own exchange: where it takes no stream, the INVITE never left.
+                // The first hop is the own exchange: where it takes no stream, the INVITE never
+                // left.
                 case UNREACHABLE -> plain(Ending.NOT_SENT, Cause.PROCESSOR_FULL);
                 case RESET -> plain(Ending.RESET, Cause.NONE);
                 case TIMED_OUT, NO -> plain(Ending.TIMED_OUT, Cause.NONE);
@@ -43,7 +46,8 @@
             case UNREACHABLE -> plain(Ending.UNREACHABLE, Cause.NONE);
             case NO_CIRCUIT -> plain(Ending.BUSY, Cause.NO_CIRCUIT);
             case OWN_EXCHANGE -> plain(Ending.NOT_SENT, Cause.PROCESSOR_FULL);
-            case PROCESSOR_FULL -> new Outcome(Ending.BUSY, Cause.PROCESSOR_FULL, retryAfter(response));
+            case PROCESSOR_FULL ->
+                    new Outcome(Ending.BUSY, Cause.PROCESSOR_FULL, retryAfter(response));
             case TURNED_BACK -> plain(Ending.BUSY, Cause.TURNED_BACK);
             case FULL_BEYOND -> plain(Ending.BUSY, Cause.FULL_BEYOND);
             case CUT -> plain(Ending.RESET, Cause.NONE);
@@ -82,7 +86,10 @@
         return "Q.850;cause=" + cause + ";text=\"" + text + "\"";
     }
 
-    /** µs of a Retry-After: its seconds, or its exact parameter "ms" (RFC 3261 20.33 allows parameters). */
+    /**
+     * µs of a Retry-After: its seconds, or its exact parameter "ms" (RFC 3261 20.33 allows
+     * parameters).
+     */
     public static long retryAfter(SipMessage message) {
         String value = message.header("Retry-After");
         if (value == null) {
--- a/src/main/java/coralcove/protocol/Refusal.java
+++ b/src/main/java/coralcove/protocol/Refusal.java
@@ -5,7 +5,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** How one leg's end without a call is told on the other leg; {@code fields} are names and values in turn. */
+/**
+ * How one leg's end without a call is told on the other leg; {@code fields} are names and values in
+ * turn.
+ */
 public record Refusal(int status, String reason, String... fields) {
     /** Q.850: a timer ran out. */
     private static final int TIMER = 102;
@@ -14,7 +17,10 @@
     public static Refusal of(SipMessage response, Lost lost, String... names) {
         if (response == null) {
             boolean down = lost == Lost.UNREACHABLE;
-            return new Refusal(down ? 502 : 408, "No Answer", "Reason",
+            return new Refusal(
+                    down ? 502 : 408,
+                    "No Answer",
+                    "Reason",
                     Outcomes.reason(down ? Outcomes.UNREACHABLE : TIMER, "no answer"));
         }
         List<String> fields = new ArrayList<>();
--- a/src/main/java/coralcove/rehearsal/DialPlan.java
+++ b/src/main/java/coralcove/rehearsal/DialPlan.java
@@ -12,19 +12,23 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The numbers of a day: what callers dial, the table of each version, and what the portability server knows. Numbers
- * begin with 81 (fixed), 83 (their far end moves on with each version of the table) or 82 (moved to another exchange).
+ * The numbers of a day: what callers dial, the table of each version, and what the portability
+ * server knows. Numbers begin with 81 (fixed), 83 (their far end moves on with each version of the
+ * table) or 82 (moved to another exchange).
  */
 public final class DialPlan {
     /** Share of the numbers that have not been ported whose far end changes with the table. */
     private static final double MOVING = 0.3;
+
     /** Lines at one exchange that moved there. */
     private static final int MOVED_LINES = 100_000;
+
     /** Prefixes beside those in use, to give the table its size. */
     private static final String BESIDE = "84";
 
     private final int exchanges;
     private final Day.Numbers numbers;
+
     /** Made for the first table: a plan that only dials needs none. */
     private long[] beside;
 
@@ -36,7 +40,10 @@
     /** What a caller dials to reach a line at {@code farEnd} while table 1 is in service. */
     String dial(int farEnd, RandomGenerator chance) {
         if (chance.nextDouble() < numbers.ported()) {
-            return String.format("+82%04d%04d%05d", (farEnd + 1) % exchanges, farEnd,
+            return String.format(
+                    "+82%04d%04d%05d",
+                    (farEnd + 1) % exchanges,
+                    farEnd,
                     chance.nextInt(Math.min(MOVED_LINES, numbers.lines())));
         }
         if (chance.nextDouble() < MOVING) {
@@ -73,15 +80,26 @@
         to[1 + 2 * exchanges] = new Destination.Unallocated();
         System.arraycopy(beside, 0, keys, n, beside.length);
         Arrays.fill(values, n, values.length, 1 + 2 * exchanges);
-        return new NumberTable(version, List.of(), Map.of(), PrefixTrie.of(keys, values, keys.length), to, to.length);
+        return new NumberTable(
+                version,
+                List.of(),
+                Map.of(),
+                PrefixTrie.of(keys, values, keys.length),
+                to,
+                to.length);
     }
 
     /** The routing number of a number that has moved, digits; null of all others. */
     String routing(String digits) {
-        return digits.startsWith("82") && digits.length() == 15 ? "81" + digits.substring(6, 10) + "000000" : null;
+        return digits.startsWith("82") && digits.length() == 15
+                ? "81" + digits.substring(6, 10) + "000000"
+                : null;
     }
 
-    /** Far ends that the tables {@code from} to {@code to} give a number, without those that only the server knows. */
+    /**
+     * Far ends that the tables {@code from} to {@code to} give a number, without those that only
+     * the server knows.
+     */
     public Set<Integer> farEnds(String dialled, long from, long to) {
         Set<Integer> all = new LinkedHashSet<>();
         for (long version = from; version <= to; version++) {
--- a/src/main/java/coralcove/rehearsal/DnsSource.java
+++ b/src/main/java/coralcove/rehearsal/DnsSource.java
@@ -22,8 +22,10 @@
 /** A stand-in name server that knows each router's SRV record, and each router's way to it. */
 final class DnsSource implements AutoCloseable {
     private static final String PATTERN = "ex%d.hokkaido.example.org";
+
     /** µs that the server takes to answer. */
     private static final long USUAL = 4000;
+
     /** A port at which nobody listens: where an exchange was once. */
     private static final int NOBODY = 9;
 
@@ -49,7 +51,9 @@
             say(number, firstPort + 2 * number);
         }
         server = new DnsStandIn(zone, USUAL, new SplittableRandom(seed));
-        settings = LocatorSettings.resolver(List.of(new Resolver.Server("127.0.0.1", Math.max(1, port))));
+        settings =
+                LocatorSettings.resolver(
+                        List.of(new Resolver.Server("127.0.0.1", Math.max(1, port))));
         if (port > 0) {
             try {
                 running = new DnsServer("127.0.0.1", port, server);
@@ -71,14 +75,24 @@
     void serve(String node, int number, EdgeCore core) {
         Questions questions;
         if (running == null) {
-            questions = new VirtualDns(network, server, settings, new SplittableRandom(seed + node.hashCode()));
+            questions =
+                    new VirtualDns(
+                            network,
+                            server,
+                            settings,
+                            new SplittableRandom(seed + node.hashCode()));
         } else {
             DnsClient client = new DnsClient(settings, new SecureRandom());
             clients.add(client);
             questions = client;
         }
-        LocatorSettings of = new LocatorSettings(IntStream.range(0, exchanges).filter(i -> i != number).boxed().toList(),
-                PATTERN, "udp", settings, new SplittableRandom(seed * 31 + number));
+        LocatorSettings of =
+                new LocatorSettings(
+                        IntStream.range(0, exchanges).filter(i -> i != number).boxed().toList(),
+                        PATTERN,
+                        "udp",
+                        settings,
+                        new SplittableRandom(seed * 31 + number));
         Locators.join(network, node, core, of, questions);
     }
 
--- a/src/main/java/coralcove/rehearsal/HoldLaw.java
+++ b/src/main/java/coralcove/rehearsal/HoldLaw.java
@@ -11,17 +11,26 @@
 
 /** How long calls hold, about their service's mean. */
 interface HoldLaw {
-    HoldLaw EXPONENTIAL = (mean, chance) -> Math.max(1, Math.round(-Math.log(1 - chance.nextDouble()) * mean));
+    HoldLaw EXPONENTIAL =
+            (mean, chance) -> Math.max(1, Math.round(-Math.log(1 - chance.nextDouble()) * mean));
     HoldLaw FIXED = (mean, chance) -> mean;
+
     /** Values of a file at most; a law is well known by far fewer. */
     int MOST_VALUES = 1_000_000;
 
     /** µs, at least 1. */
     long draw(long mean, RandomGenerator chance);
 
-    /** The law of a service's table: {@code hold_law}, {@code hold_cv}, {@code hold_file} (beside the day's file). */
+    /**
+     * The law of a service's table: {@code hold_law}, {@code hold_cv}, {@code hold_file} (beside
+     * the day's file).
+     */
     static HoldLaw read(Toml.Table table, Path folder) throws BadConfig {
-        String law = table.oneOf("hold_law", List.of("exponential", "fixed", "lognormal", "file"), "exponential");
+        String law =
+                table.oneOf(
+                        "hold_law",
+                        List.of("exponential", "fixed", "lognormal", "file"),
+                        "exponential");
         if (!law.equals("lognormal") && table.has("hold_cv")) {
             throw table.bad("hold_cv", "is of hold_law \"lognormal\" only");
         }
@@ -39,7 +48,10 @@
         };
     }
 
-    /** Holds as they were seen, one in seconds a line; drawn evenly, and scaled so that their mean is the service's. */
+    /**
+     * Holds as they were seen, one in seconds a line; drawn evenly, and scaled so that their mean
+     * is the service's.
+     */
     private static HoldLaw values(Toml.Table table, Path path) throws BadConfig {
         List<Double> seen = new ArrayList<>();
         try {
@@ -51,11 +63,14 @@
                     continue;
                 }
                 if (!value.matches("\\d+(\\.\\d+)?") || Double.parseDouble(value) <= 0) {
-                    throw table.bad("hold_file", path + ":" + number + ": " + value + " is no time above 0 in seconds");
+                    throw table.bad(
+                            "hold_file",
+                            path + ":" + number + ": " + value + " is no time above 0 in seconds");
                 }
                 seen.add(Double.parseDouble(value));
                 if (seen.size() > MOST_VALUES) {
-                    throw table.bad("hold_file", path + " has more than " + MOST_VALUES + " values");
+                    throw table.bad(
+                            "hold_file", path + " has more than " + MOST_VALUES + " values");
                 }
             }
         } catch (IOException e) {
@@ -66,6 +81,7 @@
         }
         double sum = seen.stream().mapToDouble(Double::doubleValue).sum() / seen.size();
         double[] parts = seen.stream().mapToDouble(v -> v / sum).toArray();
-        return (mean, chance) -> Math.max(1, Math.round(mean * parts[chance.nextInt(parts.length)]));
+        return (mean, chance) ->
+                Math.max(1, Math.round(mean * parts[chance.nextInt(parts.length)]));
     }
 }
--- a/src/main/java/coralcove/rehearsal/InOrder.java
+++ b/src/main/java/coralcove/rehearsal/InOrder.java
@@ -8,21 +8,34 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 
 /**
- * Hears a live capture from many threads and passes it on from one, in order of time: what is older than
- * {@link #BEHIND} has no earlier message still to come.
+ * Hears a live capture from many threads and passes it on from one, in order of time: what is older
+ * than {@link #BEHIND} has no earlier message still to come.
  */
 final class InOrder implements Network.Tap, Witness, AutoCloseable {
-    /** µs: longer than a thread is kept from handing on what it has stamped, on a loaded machine. */
+    /**
+     * µs: longer than a thread is kept from handing on what it has stamped, on a loaded machine.
+     */
     private static final long BEHIND = 2_000_000;
 
-    private record Seen(long at, long order, String node, boolean out, Hop peer, byte[] bytes, boolean refused,
+    private record Seen(
+            long at,
+            long order,
+            String node,
+            boolean out,
+            Hop peer,
+            byte[] bytes,
+            boolean refused,
             Runnable mark) {}
 
     private final Network.Tap audience;
     private final Witness judge;
     private final ConcurrentLinkedQueue<Seen> incoming = new ConcurrentLinkedQueue<>();
-    private final PriorityQueue<Seen> waiting = new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at)
-            : Long.compare(a.order, b.order));
+    private final PriorityQueue<Seen> waiting =
+            new PriorityQueue<>(
+                    (a, b) ->
+                            a.at != b.at
+                                    ? Long.compare(a.at, b.at)
+                                    : Long.compare(a.order, b.order));
     private final Thread thread = new Thread(this::run, "capture");
     private volatile boolean closed;
     private long orders;
@@ -75,7 +88,16 @@
 
     private void pass(long until) {
         for (Seen seen = incoming.poll(); seen != null; seen = incoming.poll()) {
-            waiting.add(new Seen(seen.at, orders++, seen.node, seen.out, seen.peer, seen.bytes, seen.refused, seen.mark));
+            waiting.add(
+                    new Seen(
+                            seen.at,
+                            orders++,
+                            seen.node,
+                            seen.out,
+                            seen.peer,
+                            seen.bytes,
+                            seen.refused,
+                            seen.mark));
         }
         while (!waiting.isEmpty() && waiting.peek().at <= until) {
             Seen seen = waiting.poll();
@@ -104,7 +126,10 @@
             Thread.currentThread().interrupt();
         }
         if (outOfOrder > 0) {
-            System.err.println("coralcove: " + outOfOrder + " captured messages came too late to be put in order");
+            System.err.println(
+                    "coralcove: "
+                            + outOfOrder
+                            + " captured messages came too late to be put in order");
             outOfOrder = 0;
         }
     }
--- a/src/main/java/coralcove/rehearsal/Meter.java
+++ b/src/main/java/coralcove/rehearsal/Meter.java
@@ -6,8 +6,9 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * The set-up delay that a router adds, from its captured traffic: from reading an INVITE to writing the first one
- * for it, and from reading its 200 to writing the 200 back. Only sessions that needed one INVITE count.
+ * The set-up delay that a router adds, from its captured traffic: from reading an INVITE to writing
+ * the first one for it, and from reading its 200 to writing the 200 back. Only sessions that needed
+ * one INVITE count.
  */
 final class Meter {
     private static final class Way {
--- a/src/main/java/coralcove/rehearsal/PlannerPipe.java
+++ b/src/main/java/coralcove/rehearsal/PlannerPipe.java
@@ -12,7 +12,10 @@
 import java.io.UncheckedIOException;
 import java.util.SplittableRandom;
 
-/** One router's planner in a rehearsal: in the network's virtual time over a pipe, or live on loopback sockets. */
+/**
+ * One router's planner in a rehearsal: in the network's virtual time over a pipe, or live on
+ * loopback sockets.
+ */
 abstract class PlannerPipe {
     final Settings settings;
     final FactsOut facts = new FactsOut(PlannerCore.MOST_GROUPS);
@@ -47,15 +50,19 @@
     abstract void slow(long delay);
 
     /** On loopback sockets. */
-    static PlannerPipe live(Network network, String node, Settings settings, long seed, boolean ahead,
-            int port) {
+    static PlannerPipe live(
+            Network network, String node, Settings settings, long seed, boolean ahead, int port) {
         return new PlannerPipe(settings, seed, ahead) {
             private PlannerPort planner;
 
             @Override
             EdgeLink.Out edgeEnd() {
                 try {
-                    return new EdgePort(node, "127.0.0.1", port, link,
+                    return new EdgePort(
+                            node,
+                            "127.0.0.1",
+                            port,
+                            link,
                             act -> network.on(node, (now, out) -> act.accept(now)));
                 } catch (IOException e) {
                     throw new UncheckedIOException(e);
@@ -72,15 +79,22 @@
 
             @Override
             void start() {
-                planner = new PlannerPort("planner-" + settings.ownNumber(), "127.0.0.1", port, fresh(), null);
+                planner =
+                        new PlannerPort(
+                                "planner-" + settings.ownNumber(),
+                                "127.0.0.1",
+                                port,
+                                fresh(),
+                                null);
             }
 
             @Override
-            void slow(long delay) { }
+            void slow(long delay) {}
         };
     }
 
-    static PlannerPipe virtual(Network network, String node, Settings settings, long seed, boolean ahead) {
+    static PlannerPipe virtual(
+            Network network, String node, Settings settings, long seed, boolean ahead) {
         return new Virtual(network, node, settings, seed, ahead);
     }
 
@@ -137,24 +151,28 @@
         @Override
         public void send(long connection, byte[] bytes) {
             Planner to = planner;
-            network.at(network.now() + delay, () -> {
-                if (to != null && to.alive && to.connection == connection) {
-                    to.core.read(network.now(), bytes, to);
-                }
-            });
+            network.at(
+                    network.now() + delay,
+                    () -> {
+                        if (to != null && to.alive && to.connection == connection) {
+                            to.core.read(network.now(), bytes, to);
+                        }
+                    });
         }
 
         @Override
         public void close(long connection) {
             Planner to = planner;
-            network.at(network.now() + delay, () -> {
-                if (to != null && to.connection == connection) {
-                    to.connection = -1;
-                    if (to.alive) {
-                        to.core.closed(network.now(), to);
-                    }
-                }
-            });
+            network.at(
+                    network.now() + delay,
+                    () -> {
+                        if (to != null && to.connection == connection) {
+                            to.connection = -1;
+                            if (to.alive) {
+                                to.core.closed(network.now(), to);
+                            }
+                        }
+                    });
         }
 
         @Override
@@ -163,7 +181,7 @@
         }
 
         @Override
-        public void log(String event, String detail) { }
+        public void log(String event, String detail) {}
 
         private final class Planner implements PlannerCore.Out {
             private final PlannerCore core = fresh();
@@ -179,14 +197,17 @@
 
             @Override
             public void connect() {
-                network.at(network.now() + delay, () -> {
-                    if (alive) {
-                        long made = ++connections;
-                        connection = made;
-                        network.on(node, (now, out) -> link.opened(now, made, Virtual.this));
-                        core.connected(network.now(), this);
-                    }
-                });
+                network.at(
+                        network.now() + delay,
+                        () -> {
+                            if (alive) {
+                                long made = ++connections;
+                                connection = made;
+                                network.on(
+                                        node, (now, out) -> link.opened(now, made, Virtual.this));
+                                core.connected(network.now(), this);
+                            }
+                        });
             }
 
             @Override
@@ -203,7 +224,7 @@
             }
 
             @Override
-            public void log(String event, String detail) { }
+            public void log(String event, String detail) {}
         }
     }
 }
--- a/src/main/java/coralcove/rehearsal/Rehearsal.java
+++ b/src/main/java/coralcove/rehearsal/Rehearsal.java
@@ -1,25 +1,25 @@
 package coralcove.rehearsal;
 
-import coralcove.baseline.Policies;
-import coralcove.directory.DirectoryCore;
-import coralcove.edge.EdgeCore;
 import coralcove.Choice;
 import coralcove.GroupPlan;
 import coralcove.PlanKeeper;
+import coralcove.baseline.Policies;
+import coralcove.directory.DirectoryCore;
 import coralcove.dns.DnsStandIn;
+import coralcove.edge.EdgeCore;
 import coralcove.edge.EdgeSettings;
 import coralcove.edge.NumberDesk;
 import coralcove.exchange.Arrival;
 import coralcove.exchange.ExchangeCore;
 import coralcove.exchange.ExchangeSettings;
 import coralcove.exchange.Stats;
-import coralcove.judge.Witness;
 import coralcove.judge.Judge;
+import coralcove.judge.Witness;
 import coralcove.network.Network;
 import coralcove.network.VirtualNetwork;
+import coralcove.numbers.NumberTable;
 import coralcove.planner.EdgeLink;
 import coralcove.portability.Portability;
-import coralcove.numbers.NumberTable;
 import coralcove.sip.Hop;
 import coralcove.sip.Out;
 import coralcove.sources.Roster;
@@ -36,18 +36,28 @@
 public final class Rehearsal {
     /** µs before the first caller: lists and group sizes are told by then. */
     private static final long LEAD = 2_000_000;
+
     /** µs after the last caller: the longest limit has passed and all is answered. */
     private static final long TAIL = 12_000_000;
+
     /** µs that a dying exchange has for the BYEs of the calls it cuts. */
     private static final long LAST_ACT = 100_000;
+
     /** µs that a process takes to start again. */
     private static final long RESTART = 300_000;
+
     /** Steps in which an ageing exchange grows slower. */
     private static final int AGE_STEPS = 20;
+
     /** µs into the day from which the ages of plans are looked at, and how often. */
     private static final long AGES_FROM = 10_000_000;
+
     private static final long AGES_EVERY = 1_000_000;
-    /** µs around a replacement in which a session may have either table: an INVITE read before is looked at after. */
+
+    /**
+     * µs around a replacement in which a session may have either table: an INVITE read before is
+     * looked at after.
+     */
     private static final long TABLE_DOUBT = 1_000_000;
 
     /** Ports for strangers: one that forges. */
@@ -74,7 +84,13 @@
     private int starts;
     private long zero;
 
-    public Rehearsal(Day day, long seed, String policy, Network network, int firstPort, Witness witness,
+    public Rehearsal(
+            Day day,
+            long seed,
+            String policy,
+            Network network,
+            int firstPort,
+            Witness witness,
             Portability portability) {
         this.day = day;
         this.seed = seed;
@@ -118,8 +134,14 @@
 
     private void addDirectory(int which) {
         Day.Late late = day.late();
-        network.add("directory-" + which, directory(which), new DirectoryCore(directory(which),
-                new DirectoryCore.Late(late.notice(), late.silence(), late.add()), start()), false);
+        network.add(
+                "directory-" + which,
+                directory(which),
+                new DirectoryCore(
+                        directory(which),
+                        new DirectoryCore.Late(late.notice(), late.silence(), late.add()),
+                        start()),
+                false);
     }
 
     /** Plays the day through its tail; returns what its callers saw, all exchanges together. */
@@ -129,8 +151,20 @@
             addDirectory(i);
         }
         if (day.dnsLife() > 0) {
-            dns = new DnsSource(network, day.exchanges(), firstPort, day.dnsLife(), network instanceof VirtualNetwork ? 0
-                    : firstPort + 3 * day.exchanges() + 2 + Day.MOST_DIRECTORIES + STRANGERS, seed);
+            dns =
+                    new DnsSource(
+                            network,
+                            day.exchanges(),
+                            firstPort,
+                            day.dnsLife(),
+                            network instanceof VirtualNetwork
+                                    ? 0
+                                    : firstPort
+                                            + 3 * day.exchanges()
+                                            + 2
+                                            + Day.MOST_DIRECTORIES
+                                            + STRANGERS,
+                            seed);
         }
         for (int i = 0; i < day.exchanges(); i++) {
             stats[i] = new Stats();
@@ -142,7 +176,9 @@
         }
         day.troubles().forEach(this::schedule);
         if (plan != null && day.numbers().replaceEvery() > 0) {
-            for (long at = day.numbers().replaceEvery(); at < day.length(); at += day.numbers().replaceEvery()) {
+            for (long at = day.numbers().replaceEvery();
+                    at < day.length();
+                    at += day.numbers().replaceEvery()) {
                 network.at(zero + at, this::replaceTable);
             }
         }
@@ -163,22 +199,29 @@
         return all;
     }
 
-    /** The age of the plans that routers go by, µs, of all their groups that have one; empty without planners. */
+    /**
+     * The age of the plans that routers go by, µs, of all their groups that have one; empty without
+     * planners.
+     */
     public Histogram planAges() {
         return planAges;
     }
 
     private void lookAtAges() {
-        planners.forEach((number, pipe) -> network.on("edge-" + number, (now, out) -> {
-            synchronized (planAges) {
-                for (int group = 0; group < day.exchanges(); group++) {
-                    GroupPlan plan = pipe.keeper.held(now, group);
-                    if (plan != null) {
-                        planAges.recordValue(Math.max(0, now - plan.at()));
-                    }
-                }
-            }
-        }));
+        planners.forEach(
+                (number, pipe) ->
+                        network.on(
+                                "edge-" + number,
+                                (now, out) -> {
+                                    synchronized (planAges) {
+                                        for (int group = 0; group < day.exchanges(); group++) {
+                                            GroupPlan plan = pipe.keeper.held(now, group);
+                                            if (plan != null) {
+                                                planAges.recordValue(Math.max(0, now - plan.at()));
+                                            }
+                                        }
+                                    }
+                                }));
     }
 
     private String start() {
@@ -186,7 +229,10 @@
         return Long.toString(seed & 0xffffff, 36) + "x" + Integer.toString(starts, 36);
     }
 
-    /** What became of ported numbers at all routers, once the day has been played; empty where none are dialled. */
+    /**
+     * What became of ported numbers at all routers, once the day has been played; empty where none
+     * are dialled.
+     */
     public long[] numbers() {
         long[] all = new long[desks.isEmpty() ? 0 : desks.get(0).counts().length];
         for (NumberDesk desk : desks) {
@@ -201,7 +247,8 @@
     /** Built here, off the routers' threads; each takes it by one reference. */
     private void replaceTable() {
         NumberTable table = plan.table(++tableVersion);
-        edges.forEach((name, core) -> network.on(name, (now, out) -> core.replace(now, table, out)));
+        edges.forEach(
+                (name, core) -> network.on(name, (now, out) -> core.replace(now, table, out)));
     }
 
     /** What the judge holds the routers against. */
@@ -210,8 +257,14 @@
         long every = day.numbers().replaceEvery();
         long last = every == 0 ? 1 : 1 + (day.length() - 1) / every;
         return (at, dialled) -> {
-            long from = every == 0 ? 1 : Math.max(1, Math.min(last, 1 + (at - TABLE_DOUBT - zero) / every));
-            long to = every == 0 ? 1 : Math.max(1, Math.min(last, 1 + (at + TABLE_DOUBT - zero) / every));
+            long from =
+                    every == 0
+                            ? 1
+                            : Math.max(1, Math.min(last, 1 + (at - TABLE_DOUBT - zero) / every));
+            long to =
+                    every == 0
+                            ? 1
+                            : Math.max(1, Math.min(last, 1 + (at + TABLE_DOUBT - zero) / every));
             return plan.farEnds(dialled, from, to);
         };
     }
@@ -222,24 +275,59 @@
     }
 
     private void addEdge(int number) {
-        EdgeSettings settings = new EdgeSettings(number, edge(number), exchange(number), directories(),
-                day.settings(number), day.router().answerMargin(), day.router().mostOpen(), seed, start());
+        EdgeSettings settings =
+                new EdgeSettings(
+                        number,
+                        edge(number),
+                        exchange(number),
+                        directories(),
+                        day.settings(number),
+                        day.router().answerMargin(),
+                        day.router().mostOpen(),
+                        seed,
+                        start());
         String name = "edge-" + number;
-        PlannerPipe pipe = day.planners() == null || !policy.equals("choice") ? null : network instanceof VirtualNetwork
-                ? PlannerPipe.virtual(network, name, settings.module(), seed * 1000 + number, day.planners().ahead())
-                : PlannerPipe.live(network, name, settings.module(), seed * 1000 + number, day.planners().ahead(),
-                        firstPort + 2 * day.exchanges() + 2 + number);
-        EdgeCore core = new EdgeCore(settings, pipe == null
-                ? Policies.router(policy, settings.module(), seed * 1000 + number)
-                : new Choice(settings.module(), new SplittableRandom(seed * 1000 + number), pipe.keeper));
+        PlannerPipe pipe =
+                day.planners() == null || !policy.equals("choice")
+                        ? null
+                        : network instanceof VirtualNetwork
+                                ? PlannerPipe.virtual(
+                                        network,
+                                        name,
+                                        settings.module(),
+                                        seed * 1000 + number,
+                                        day.planners().ahead())
+                                : PlannerPipe.live(
+                                        network,
+                                        name,
+                                        settings.module(),
+                                        seed * 1000 + number,
+                                        day.planners().ahead(),
+                                        firstPort + 2 * day.exchanges() + 2 + number);
+        EdgeCore core =
+                new EdgeCore(
+                        settings,
+                        pipe == null
+                                ? Policies.router(policy, settings.module(), seed * 1000 + number)
+                                : new Choice(
+                                        settings.module(),
+                                        new SplittableRandom(seed * 1000 + number),
+                                        pipe.keeper));
         if (plan != null) {
-            NumberDesk desk = new NumberDesk(day.numbers().mostTables(), plan.table(tableVersion), day.numbers().porting(),
-                    portability.asker(name, () -> core));
+            NumberDesk desk =
+                    new NumberDesk(
+                            day.numbers().mostTables(),
+                            plan.table(tableVersion),
+                            day.numbers().porting(),
+                            portability.asker(name, () -> core));
             desks.add(desk);
             core.numbers(desk);
         }
         // What its disk would hold over a kill.
-        core.resume(network.now(), disks.getOrDefault(number, List.of()), said -> disks.put(number, said));
+        core.resume(
+                network.now(),
+                disks.getOrDefault(number, List.of()),
+                said -> disks.put(number, said));
         edges.put(name, core);
         network.add(name, edge(number), core, true);
         if (dns != null) {
@@ -263,20 +351,54 @@
                 groups.put(other, day.groups()[number][other]);
             }
         }
-        List<ExchangeSettings.Service> services = day.services().stream().map(s -> new ExchangeSettings.Service(
-                s.target(), s.limit(), s.value(), s.lateValue(), s.width())).toList();
+        List<ExchangeSettings.Service> services =
+                day.services().stream()
+                        .map(
+                                s ->
+                                        new ExchangeSettings.Service(
+                                                s.target(),
+                                                s.limit(),
+                                                s.value(),
+                                                s.lateValue(),
+                                                s.width()))
+                        .toList();
         var rules = day.rules();
         double speed = day.speeds()[number];
         ExchangeSettings.Work work = day.work();
-        ExchangeSettings.Work own = new ExchangeSettings.Work((long) (work.look() / speed),
-                (long) (work.setUp() / speed), (long) (work.answer() / speed), (long) (work.release() / speed),
-                (long) (work.refuse() / speed), (long) (work.repeat() / speed), work.probe(), work.queueLimit(),
-                work.tellsWait(), work.resend());
-        ExchangeSettings settings = new ExchangeSettings(number, ids[number], exchange(number), edge(number),
-                directories(), own, services, day.callers(), new ExchangeSettings.Rules(rules.fallMultiple(),
-                rules.fallWindow(), rules.coldFrom(), rules.warmUp()), since, groups, day.hotLines(),
-                seed * 7919 + starts, start());
-        List<Arrival> arrivals = day.arrivals().get(number).stream().map(a -> a.after(zero)).toList();
+        ExchangeSettings.Work own =
+                new ExchangeSettings.Work(
+                        (long) (work.look() / speed),
+                        (long) (work.setUp() / speed),
+                        (long) (work.answer() / speed),
+                        (long) (work.release() / speed),
+                        (long) (work.refuse() / speed),
+                        (long) (work.repeat() / speed),
+                        work.probe(),
+                        work.queueLimit(),
+                        work.tellsWait(),
+                        work.resend());
+        ExchangeSettings settings =
+                new ExchangeSettings(
+                        number,
+                        ids[number],
+                        exchange(number),
+                        edge(number),
+                        directories(),
+                        own,
+                        services,
+                        day.callers(),
+                        new ExchangeSettings.Rules(
+                                rules.fallMultiple(),
+                                rules.fallWindow(),
+                                rules.coldFrom(),
+                                rules.warmUp()),
+                        since,
+                        groups,
+                        day.hotLines(),
+                        seed * 7919 + starts,
+                        start());
+        List<Arrival> arrivals =
+                day.arrivals().get(number).stream().map(a -> a.after(zero)).toList();
         ExchangeCore core = new ExchangeCore(settings, arrivals, stats[number]);
         exchanges.put("exchange-" + number, core);
         if (since > 0) {
@@ -291,15 +413,24 @@
 
     /** {@code at} counts from the day's first moment. */
     private void act(long at, int number, OnExchange act) {
-        network.at(zero + at, () -> network.on("exchange-" + number,
-                (now, out) -> act.run(now, exchanges.get("exchange-" + number), out)));
+        network.at(
+                zero + at,
+                () ->
+                        network.on(
+                                "exchange-" + number,
+                                (now, out) ->
+                                        act.run(now, exchanges.get("exchange-" + number), out)));
     }
 
     private void schedule(Trouble trouble) {
         if (trouble.kind().startsWith("portability")) {
-            DnsStandIn.Fault fault = trouble.kind().equals("portability-dead") ? DnsStandIn.Fault.DEAD
-                    : DnsStandIn.Fault.SLOW;
-            network.at(zero + trouble.at(), () -> portability.misbehave(fault, Math.round(trouble.size() * 1000)));
+            DnsStandIn.Fault fault =
+                    trouble.kind().equals("portability-dead")
+                            ? DnsStandIn.Fault.DEAD
+                            : DnsStandIn.Fault.SLOW;
+            network.at(
+                    zero + trouble.at(),
+                    () -> portability.misbehave(fault, Math.round(trouble.size() * 1000)));
             network.at(zero + trouble.end(), () -> portability.misbehave(DnsStandIn.Fault.NONE, 0));
             return;
         }
@@ -330,12 +461,18 @@
             }
             return;
         }
-        DnsStandIn.Fault fault = trouble.kind().equals("dns-dead") ? DnsStandIn.Fault.DEAD : DnsStandIn.Fault.CUTS_ALL;
+        DnsStandIn.Fault fault =
+                trouble.kind().equals("dns-dead")
+                        ? DnsStandIn.Fault.DEAD
+                        : DnsStandIn.Fault.CUTS_ALL;
         network.at(zero + trouble.at(), () -> dns.misbehave(fault));
         network.at(zero + trouble.end(), () -> dns.misbehave(DnsStandIn.Fault.NONE));
     }
 
-    /** Troubles of directories strike the one that {@code extra} counts to from 0; cuts, for the routers in {@code on}. */
+    /**
+     * Troubles of directories strike the one that {@code extra} counts to from 0; cuts, for the
+     * routers in {@code on}.
+     */
     private void directory(Trouble trouble) {
         int which = (int) Math.min(day.directories() - 1, Math.round(trouble.extra()));
         String name = "directory-" + which;
@@ -358,15 +495,30 @@
                 }
             }
             case "directory-forged" -> {
-                Hop self = new Hop(false, "127.0.0.1", firstPort + 3 * day.exchanges() + 2 + Day.MOST_DIRECTORIES);
+                Hop self =
+                        new Hop(
+                                false,
+                                "127.0.0.1",
+                                firstPort + 3 * day.exchanges() + 2 + Day.MOST_DIRECTORIES);
                 List<Hop> at = new ArrayList<>();
                 for (int number = 0; number < day.exchanges(); number++) {
                     if (trouble.strikes(number)) {
                         at.add(edge(number).over(false));
                     }
                 }
-                network.at(zero + trouble.at(), () -> network.add("stranger", self, new Stranger(self, start(), at,
-                        trouble.size(), network.now() + trouble.length()), false));
+                network.at(
+                        zero + trouble.at(),
+                        () ->
+                                network.add(
+                                        "stranger",
+                                        self,
+                                        new Stranger(
+                                                self,
+                                                start(),
+                                                at,
+                                                trouble.size(),
+                                                network.now() + trouble.length()),
+                                        false));
                 network.at(zero + trouble.end(), () -> network.kill("stranger"));
             }
             default -> throw new IllegalStateException(trouble.kind());
@@ -393,14 +545,21 @@
             case "other-work" -> {
                 long step = Math.max(100_000, Math.round(trouble.extra() * 1e6));
                 for (long from = at; from < end; from += 2 * step) {
-                    act(from, number, (now, core, out) -> core.slow(1 / Math.max(0.01, 1 - trouble.size())));
+                    act(
+                            from,
+                            number,
+                            (now, core, out) -> core.slow(1 / Math.max(0.01, 1 - trouble.size())));
                     act(Math.min(end, from + step), number, (now, core, out) -> core.slow(1));
                 }
             }
             case "stall" -> {
                 long every = Math.max(100_000, Math.round(trouble.extra() * 1e6));
                 for (long from = at; from < end; from += every) {
-                    act(from, number, (now, core, out) -> core.stall(now, now + Math.round(trouble.size() * 1000)));
+                    act(
+                            from,
+                            number,
+                            (now, core, out) ->
+                                    core.stall(now, now + Math.round(trouble.size() * 1000)));
                 }
             }
             case "silence" -> {
@@ -418,15 +577,20 @@
             case "ageing" -> {
                 for (int step = 0; step < AGE_STEPS; step++) {
                     double factor = 1 + (trouble.size() - 1) * step / AGE_STEPS;
-                    act(at + step * trouble.length() / AGE_STEPS, number, (now, core, out) -> core.slow(factor));
+                    act(
+                            at + step * trouble.length() / AGE_STEPS,
+                            number,
+                            (now, core, out) -> core.slow(factor));
                 }
                 dies(number, end, Math.round(trouble.extra() * 1e6));
             }
             case "router-death" -> {
-                network.at(zero + at, () -> {
-                    network.kill("edge-" + number);
-                    witness.killed("edge-" + number);
-                });
+                network.at(
+                        zero + at,
+                        () -> {
+                            network.kill("edge-" + number);
+                            witness.killed("edge-" + number);
+                        });
                 network.at(zero + end, () -> addEdge(number));
             }
             case "planner-halt" -> {
@@ -434,10 +598,12 @@
                 network.at(zero + end, () -> planners.get(number).start());
             }
             case "planner-slow" -> {
-                network.at(zero + at, () -> planners.get(number).slow(Math.round(trouble.size() * 1000)));
+                network.at(
+                        zero + at,
+                        () -> planners.get(number).slow(Math.round(trouble.size() * 1000)));
                 network.at(zero + end, () -> planners.get(number).slow(0));
             }
-            default -> { }
+            default -> {}
         }
     }
 
@@ -448,7 +614,10 @@
         network.at(zero + at + 2 * LAST_ACT + back, () -> addExchange(number, network.now()));
     }
 
-    /** Groups between the struck exchanges and all others keep a share of their circuits, at both ends alike. */
+    /**
+     * Groups between the struck exchanges and all others keep a share of their circuits, at both
+     * ends alike.
+     */
     private void circuits(long at, int number, Trouble trouble, double keep) {
         for (int other = 0; other < day.exchanges(); other++) {
             if (trouble.on().contains(other)) {
--- a/src/main/java/coralcove/rehearsal/Rehearse.java
+++ b/src/main/java/coralcove/rehearsal/Rehearse.java
@@ -29,8 +29,10 @@
 public final class Rehearse {
     /** µs: where virtual time starts; any moment after the epoch does. */
     private static final long VIRTUAL_START = 1_000_000_000_000L;
+
     /** Where a block of free ports is looked for: below the ephemeral range. */
     private static final int FIRST_PORT = 20_000;
+
     private static final int LAST_PORT = 32_000;
 
     /** All that listen to one capture; each message is read once for all of them. */
@@ -61,28 +63,37 @@
     }
 
     /** Nobody judges. */
-    private static final Witness NOBODY = new Witness() {
-        @Override
-        public void killed(String node) { }
+    private static final Witness NOBODY =
+            new Witness() {
+                @Override
+                public void killed(String node) {}
 
-        @Override
-        public void started(int number, long since) { }
-    };
+                @Override
+                public void started(int number, long since) {}
+            };
 
     private Rehearse() {}
 
     /** In virtual time; {@code capture} may be null. */
-    public static Result virtual(Day day, long seed, String policy, Path capture, VirtualNetwork.Log log)
+    public static Result virtual(
+            Day day, long seed, String policy, Path capture, VirtualNetwork.Log log)
             throws IOException {
         return virtual(day, seed, policy, capture, log, true, true);
     }
 
     /**
-     * In virtual time, {@code judged} or not; without {@code text} messages cross unwritten and unread, with the same
-     * decisions at the same moments. A capture needs the text.
+     * In virtual time, {@code judged} or not; without {@code text} messages cross unwritten and
+     * unread, with the same decisions at the same moments. A capture needs the text.
      */
-    public static Result virtual(Day day, long seed, String policy, Path capture, VirtualNetwork.Log log, boolean text,
-            boolean judged) throws IOException {
+    public static Result virtual(
+            Day day,
+            long seed,
+            String policy,
+            Path capture,
+            VirtualNetwork.Log log,
+            boolean text,
+            boolean judged)
+            throws IOException {
         if (capture != null && !(text && judged)) {
             throw new IllegalArgumentException("a capture needs the messages' text");
         }
@@ -94,24 +105,50 @@
                 zones.put("edge-" + i, day.zones()[i]);
                 zones.put("exchange-" + i, day.zones()[i]);
             }
-            Network network = new VirtualNetwork(VIRTUAL_START, seed, day.weather(), zones,
-                    judged ? new Audience(judge, meter, file) : null, log, text);
-            Portability portability = day.numbers() == null ? null
-                    : Portability.virtual(network, server(day, seed), seed);
+            Network network =
+                    new VirtualNetwork(
+                            VIRTUAL_START,
+                            seed,
+                            day.weather(),
+                            zones,
+                            judged ? new Audience(judge, meter, file) : null,
+                            log,
+                            text);
+            Portability portability =
+                    day.numbers() == null
+                            ? null
+                            : Portability.virtual(network, server(day, seed), seed);
             if (portability != null) {
                 judge.numbers(Rehearsal.farEnds(day, Rehearsal.zero(network.now())));
             }
-            Rehearsal played = new Rehearsal(day, seed, policy, network, FIRST_PORT, judged ? judge : NOBODY, portability);
+            Rehearsal played =
+                    new Rehearsal(
+                            day,
+                            seed,
+                            policy,
+                            network,
+                            FIRST_PORT,
+                            judged ? judge : NOBODY,
+                            portability);
             Stats stats = played.play();
             judge.end(network.now());
-            return result(day, seed, policy, true, stats, meter, judge, played.numbers(), played.planAges(),
+            return result(
+                    day,
+                    seed,
+                    policy,
+                    true,
+                    stats,
+                    meter,
+                    judge,
+                    played.numbers(),
+                    played.planAges(),
                     Rehearsal.zero(VIRTUAL_START));
         }
     }
 
     /**
-     * Live on loopback sockets. The judge reads the capture while the day runs, in order of time and a little behind
-     * it; what a killed router held is closed at its place in that order.
+     * Live on loopback sockets. The judge reads the capture while the day runs, in order of time
+     * and a little behind it; what a killed router held is closed at its place in that order.
      */
     public static Result live(Day day, long seed, String policy, Path capture) throws IOException {
         Judge judge = new Judge(day.rules());
@@ -127,9 +164,16 @@
                 if (day.numbers() != null) {
                     judge.numbers(Rehearsal.farEnds(day, Rehearsal.zero(network.now())));
                 }
-                try (Portability portability = day.numbers() == null ? null : Portability.live(network,
-                        server(day, seed), "127.0.0.1", first + 2 * day.exchanges() + 1)) {
-                    Rehearsal played = new Rehearsal(day, seed, policy, network, first, order, portability);
+                try (Portability portability =
+                        day.numbers() == null
+                                ? null
+                                : Portability.live(
+                                        network,
+                                        server(day, seed),
+                                        "127.0.0.1",
+                                        first + 2 * day.exchanges() + 1)) {
+                    Rehearsal played =
+                            new Rehearsal(day, seed, policy, network, first, order, portability);
                     stats = played.play();
                     numbers = played.numbers();
                     ages = played.planAges();
@@ -140,7 +184,8 @@
             }
             judge.end(LiveNetwork.clock());
             if (network.dropped() > 0) {
-                System.err.println("coralcove: " + network.dropped() + " inputs were dropped at full inboxes");
+                System.err.println(
+                        "coralcove: " + network.dropped() + " inputs were dropped at full inboxes");
             }
         }
         return result(day, seed, policy, false, stats, meter, judge, numbers, ages, 0);
@@ -149,19 +194,49 @@
     private static DnsStandIn server(Day day, long seed) {
         Day.Numbers numbers = day.numbers();
         DialPlan plan = new DialPlan(day.exchanges(), numbers);
-        return new DnsStandIn(Portability.SUFFIX, plan::routing, numbers.life(), numbers.serverDelay(),
+        return new DnsStandIn(
+                Portability.SUFFIX,
+                plan::routing,
+                numbers.life(),
+                numbers.serverDelay(),
                 new SplittableRandom(seed));
     }
 
-    private static Result result(Day day, long seed, String policy, boolean virtual, Stats stats, Meter meter,
-            Judge judge, long[] numbers, Histogram ages, long zero) {
-        return new Result(day.name(), policy, seed, virtual, day.length() / 1e6, day.offered(), stats, meter.added,
-                virtual ? 0 : cpu(), judge.verdicts(), numbers, ages, zero, judge.lastSent());
+    private static Result result(
+            Day day,
+            long seed,
+            String policy,
+            boolean virtual,
+            Stats stats,
+            Meter meter,
+            Judge judge,
+            long[] numbers,
+            Histogram ages,
+            long zero) {
+        return new Result(
+                day.name(),
+                policy,
+                seed,
+                virtual,
+                day.length() / 1e6,
+                day.offered(),
+                stats,
+                meter.added,
+                virtual ? 0 : cpu(),
+                judge.verdicts(),
+                numbers,
+                ages,
+                zero,
+                judge.lastSent());
     }
 
     /** µs of processor time that this process has used. */
     private static long cpu() {
-        return ProcessHandle.current().info().totalCpuDuration().map(d -> d.toNanos() / 1000).orElse(0L);
+        return ProcessHandle.current()
+                .info()
+                .totalCpuDuration()
+                .map(d -> d.toNanos() / 1000)
+                .orElse(0L);
     }
 
     /** The first port of a block on which nothing listens. */
@@ -169,8 +244,10 @@
         for (int first = FIRST_PORT; first + count < LAST_PORT; first += count) {
             boolean free = true;
             for (int port = first; free && port < first + count; port++) {
-                try (ServerSocket tcp = new ServerSocket(port, 1, InetAddress.getLoopbackAddress());
-                        DatagramSocket udp = new DatagramSocket(port, InetAddress.getLoopbackAddress())) {
+                try (ServerSocket tcp =
+                                new ServerSocket(port, 1, InetAddress.getLoopbackAddress());
+                        DatagramSocket udp =
+                                new DatagramSocket(port, InetAddress.getLoopbackAddress())) {
                     free = tcp.isBound() && udp.isBound();
                 } catch (IOException e) {
                     free = false;
@@ -180,7 +257,8 @@
                 return first;
             }
         }
-        throw new IOException("no " + count + " free ports in a row between " + FIRST_PORT + " and " + LAST_PORT);
+        throw new IOException(
+                "no " + count + " free ports in a row between " + FIRST_PORT + " and " + LAST_PORT);
     }
 
     /** JSON lines: one captured message each; without a path it writes nothing. */
