--- a/src/main/java/coralcove/rehearsal/Result.java
+++ b/src/main/java/coralcove/rehearsal/Result.java
@@ -8,14 +8,28 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What a rehearsal came to: what the callers saw, and what the judge found. {@code cpu} is the processor time of the
- * whole process in µs, stand-ins and judge too; 0 in virtual time. {@code numbers} counts what became of
- * ported numbers at all routers, {@code zero} is the moment of the day's start in the network's time: answered from memory, asked for, answered past their lifetime, sent to the donor.
- * {@code lastSent} has, a router and machine that drained or went, µs from its being told to the last INVITE it sent there.
+ * What a rehearsal came to: what the callers saw, and what the judge found. {@code cpu} is the
+ * processor time of the whole process in µs, stand-ins and judge too; 0 in virtual time. {@code
+ * numbers} counts what became of ported numbers at all routers, {@code zero} is the moment of the
+ * day's start in the network's time: answered from memory, asked for, answered past their lifetime,
+ * sent to the donor. {@code lastSent} has, a router and machine that drained or went, µs from its
+ * being told to the last INVITE it sent there.
  */
-public record Result(String day, String policy, long seed, boolean virtual, double seconds, double offered, Stats stats,
-        Histogram added, long cpu, Map<String, Verdict> rules, long[] numbers,
-        Histogram planAges, long zero, Histogram lastSent) {
+public record Result(
+        String day,
+        String policy,
+        long seed,
+        boolean virtual,
+        double seconds,
+        double offered,
+        Stats stats,
+        Histogram added,
+        long cpu,
+        Map<String, Verdict> rules,
+        long[] numbers,
+        Histogram planAges,
+        long zero,
+        Histogram lastSent) {
     public double share() {
         return offered == 0 ? 0 : stats.valueServed / offered;
     }
@@ -27,12 +41,15 @@
     public ObjectNode json() {
         ObjectNode out = new ObjectMapper().createObjectNode();
         out.put("day", day).put("policy", policy).put("seed", seed).put("virtual", virtual);
-        out.put("sessions", stats.sessions).put("final_answers", stats.finalAnswers).put("stood", stats.stood);
+        out.put("sessions", stats.sessions)
+                .put("final_answers", stats.finalAnswers)
+                .put("stood", stats.stood);
         out.put("busy_replied", stats.busyReplied).put("terminated", stats.terminated);
         out.put("gave_up", stats.gaveUp).put("turned_away", stats.turnedAway).put("cut", stats.cut);
         out.put("value_offered", round(offered)).put("value_served", round(stats.valueServed));
         out.put("sessions_per_second", round(stats.sessions / seconds));
-        out.put("added_p50_us", added.getValueAtPercentile(50)).put("added_p99_us", added.getValueAtPercentile(99));
+        out.put("added_p50_us", added.getValueAtPercentile(50))
+                .put("added_p99_us", added.getValueAtPercentile(99));
         out.put("added_p999_us", added.getValueAtPercentile(99.9));
         out.put("set_up_p50_us", stats.setUp.getValueAtPercentile(50));
         out.put("set_up_p99_us", stats.setUp.getValueAtPercentile(99));
@@ -47,12 +64,18 @@
             out.put("last_invite_after_off_most_us", lastSent.getMaxValue());
         }
         if (numbers.length > 0) {
-            out.putObject("ported").put("remembered", numbers[0]).put("asked", numbers[1]).put("stale", numbers[2])
+            out.putObject("ported")
+                    .put("remembered", numbers[0])
+                    .put("asked", numbers[1])
+                    .put("stale", numbers[2])
                     .put("donor", numbers[3]);
         }
         ObjectNode all = out.putObject("rules");
-        rules.forEach((name, verdict) -> all.putObject(name).put("checked", verdict.checked())
-                .put("broken", verdict.broken()));
+        rules.forEach(
+                (name, verdict) ->
+                        all.putObject(name)
+                                .put("checked", verdict.checked())
+                                .put("broken", verdict.broken()));
         return out;
     }
 
--- a/src/main/java/coralcove/rehearsal/Stranger.java
+++ b/src/main/java/coralcove/rehearsal/Stranger.java
@@ -10,11 +10,16 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** Sends routers NOTIFYs that no subscription of theirs asked for, as whoever reaches their ports can. */
+/**
+ * Sends routers NOTIFYs that no subscription of theirs asked for, as whoever reaches their ports
+ * can.
+ */
 final class Stranger implements Core {
-    private static final List<String> BODIES = List.of(
-            "epoch forged version 99999 whole\n100 0 ready 1 1 - udp:127.0.0.1:9\n",
-            "epoch forged version 99999 changes after 99998\n101 1 left 9000000000000000 1 0 udp:127.0.0.1:9\n");
+    private static final List<String> BODIES =
+            List.of(
+                    "epoch forged version 99999 whole\n100 0 ready 1 1 - udp:127.0.0.1:9\n",
+                    "epoch forged version 99999 changes after 99998\n"
+                            + "101 1 left 9000000000000000 1 0 udp:127.0.0.1:9\n");
 
     private final Hop self;
     private final String seed;
@@ -43,11 +48,17 @@
             next += gap;
             Hop to = at.get((int) (count % at.size()));
             String id = seed + "f" + count++;
-            SipMessage notify = SipMessage.request("NOTIFY", SipUri.text("", to))
-                    .add("Via", Via.text(self, Via.COOKIE + id)).add("Max-Forwards", "70")
-                    .add("From", "<sip:directory>;tag=" + id).add("To", "<sip:" + to.host() + ":" + to.port() + ">")
-                    .add("Call-ID", id).add("CSeq", "1 NOTIFY").add("Contact", "<" + SipUri.text("", self) + ">")
-                    .add("Event", "exchanges").add("Subscription-State", "active;expires=60");
+            SipMessage notify =
+                    SipMessage.request("NOTIFY", SipUri.text("", to))
+                            .add("Via", Via.text(self, Via.COOKIE + id))
+                            .add("Max-Forwards", "70")
+                            .add("From", "<sip:directory>;tag=" + id)
+                            .add("To", "<sip:" + to.host() + ":" + to.port() + ">")
+                            .add("Call-ID", id)
+                            .add("CSeq", "1 NOTIFY")
+                            .add("Contact", "<" + SipUri.text("", self) + ">")
+                            .add("Event", "exchanges")
+                            .add("Subscription-State", "active;expires=60");
             String body = BODIES.get((int) (count / at.size() % BODIES.size()));
             out.send(to, notify.body("text/plain", body.getBytes(StandardCharsets.UTF_8)));
         }
--- a/src/main/java/coralcove/rehearsal/Traffic.java
+++ b/src/main/java/coralcove/rehearsal/Traffic.java
@@ -6,8 +6,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Draws a day's callers ahead, from a seed: Poisson arrivals at each exchange, far ends by pull, exponential
- * holds. Surges and swamped routers change the rates; where sessions go drifts.
+ * Draws a day's callers ahead, from a seed: Poisson arrivals at each exchange, far ends by pull,
+ * exponential holds. Surges and swamped routers change the rates; where sessions go drifts.
  */
 final class Traffic {
     /** Share of a service in all sessions, and its mean hold in µs. */
@@ -17,7 +17,9 @@
         }
     }
 
-    /** Factors on all rates, one for each {@code step} µs of the day; past the last one it stays. */
+    /**
+     * Factors on all rates, one for each {@code step} µs of the day; past the last one it stays.
+     */
     record Shape(double[] factors, long step) {
         static final Shape FLAT = new Shape(new double[] {1}, Long.MAX_VALUE);
 
@@ -31,6 +33,7 @@
     }
 
     private static final String MASS_CALL = "mass-call";
+
     /** The number that a crowd calls; numbers below 100 have few lines. */
     private static final long CROWDED = 1;
 
@@ -44,13 +47,26 @@
     private final double driftBy;
     private final Shape shape;
 
-    Traffic(RandomGenerator chance, double[][] pull, List<Mix> mix, List<Trouble> troubles, long length,
-            long driftEvery, double driftBy) {
+    Traffic(
+            RandomGenerator chance,
+            double[][] pull,
+            List<Mix> mix,
+            List<Trouble> troubles,
+            long length,
+            long driftEvery,
+            double driftBy) {
         this(chance, pull, mix, troubles, length, driftEvery, driftBy, Shape.FLAT);
     }
 
-    Traffic(RandomGenerator chance, double[][] pull, List<Mix> mix, List<Trouble> troubles, long length,
-            long driftEvery, double driftBy, Shape shape) {
+    Traffic(
+            RandomGenerator chance,
+            double[][] pull,
+            List<Mix> mix,
+            List<Trouble> troubles,
+            long length,
+            long driftEvery,
+            double driftBy,
+            Shape shape) {
         this.shape = shape;
         this.chance = chance;
         this.pull = pull;
@@ -104,7 +120,15 @@
                 int service = pick(shares);
                 long hold = mix.get(service).law.draw(mix.get(service).hold, chance);
                 Trouble crowd = crowd(here, rate, all, at);
-                list.add(crowd != null ? new Arrival(at, service, crowd.on().get(0), CROWDED, hold) :new Arrival(at, service, pick(weights), 100 + chance.nextInt(900_000), hold));
+                list.add(
+                        crowd != null
+                                ? new Arrival(at, service, crowd.on().get(0), CROWDED, hold)
+                                : new Arrival(
+                                        at,
+                                        service,
+                                        pick(weights),
+                                        100 + chance.nextInt(900_000),
+                                        hold));
             }
         }
         return list;
@@ -113,8 +137,11 @@
     /** The crowd that this caller is one of, or null; chance is asked only where there is one. */
     private Trouble crowd(int here, double rate, double all, long at) {
         for (Trouble trouble : troubles) {
-            boolean on = trouble.kind().equals(MASS_CALL) && at >= trouble.at() && at < trouble.end()
-                    && trouble.on().get(0) != here;
+            boolean on =
+                    trouble.kind().equals(MASS_CALL)
+                            && at >= trouble.at()
+                            && at < trouble.end()
+                            && trouble.on().get(0) != here;
             if (on && chance.nextDouble() * rate(here, rate, all, at) < trouble.size() * rate) {
                 return trouble;
             }
--- a/src/main/java/coralcove/sip/Hop.java
+++ b/src/main/java/coralcove/sip/Hop.java
@@ -4,8 +4,9 @@
 import java.net.UnknownHostException;
 
 /**
- * Where a message goes or came from: one transport address. An IPv6 address stands in brackets, in one spelling, so that
- * equal addresses are equal however they were written (RFC 5952 speaks of why; the spelling is the JDK's).
+ * Where a message goes or came from: one transport address. An IPv6 address stands in brackets, in
+ * one spelling, so that equal addresses are equal however they were written (RFC 5952 speaks of
+ * why; the spelling is the JDK's).
  */
 public record Hop(boolean tcp, String host, int port) {
     public Hop {
@@ -15,7 +16,10 @@
     }
 
     private static String six(String host) {
-        String bare = host.startsWith("[") && host.endsWith("]") ? host.substring(1, host.length() - 1) : host;
+        String bare =
+                host.startsWith("[") && host.endsWith("]")
+                        ? host.substring(1, host.length() - 1)
+                        : host;
         try {
             // Only a literal has a colon: no name is looked up here.
             return "[" + InetAddress.getByName("[" + bare + "]").getHostAddress() + "]";
--- a/src/main/java/coralcove/sip/Out.java
+++ b/src/main/java/coralcove/sip/Out.java
@@ -1,6 +1,9 @@
 package coralcove.sip;
 
-/** What a core does: messages sent and lines logged, in order. Drivers carry it out after the core returns. */
+/**
+ * What a core does: messages sent and lines logged, in order. Drivers carry it out after the core
+ * returns.
+ */
 public interface Out {
     void send(Hop to, SipMessage message);
 
--- a/src/main/java/coralcove/sip/Params.java
+++ b/src/main/java/coralcove/sip/Params.java
@@ -1,15 +1,20 @@
 package coralcove.sip;
 
 /**
- * A header value split into what stands before its first parameter and its parameters; quoted strings and what
- * stands between angle brackets are not split (RFC 3261 section 25.1, generic-param).
+ * A header value split into what stands before its first parameter and its parameters; quoted
+ * strings and what stands between angle brackets are not split (RFC 3261 section 25.1,
+ * generic-param).
  */
 public final class Params {
     private static final String[] NONE = {};
 
     private final String value;
-    /** Names and values in turn: a value has few parameters, and looking through them beats any map. */
+
+    /**
+     * Names and values in turn: a value has few parameters, and looking through them beats any map.
+     */
     private String[] pairs = NONE;
+
     private int count;
 
     private Params(String value) {
@@ -53,7 +58,9 @@
         return null;
     }
 
-    /** The index of the next {@code mark} outside quotes and angle brackets, or the text's length. */
+    /**
+     * The index of the next {@code mark} outside quotes and angle brackets, or the text's length.
+     */
     static int next(String text, int from, char mark) {
         boolean quoted = false;
         int depth = 0;
--- a/src/main/java/coralcove/sip/SipMessage.java
+++ b/src/main/java/coralcove/sip/SipMessage.java
@@ -5,8 +5,9 @@
 import java.util.List;
 
 /**
- * One SIP message (RFC 3261 section 7): a start line, header fields in the order of the wire, a body. Header
- * names compare without regard to case; what this program does not look at passes through unchanged.
+ * One SIP message (RFC 3261 section 7): a start line, header fields in the order of the wire, a
+ * body. Header names compare without regard to case; what this program does not look at passes
+ * through unchanged.
  */
 public final class SipMessage {
     private static final byte[] NO_BODY = {};
@@ -37,15 +38,21 @@
         return new SipMessage("", "", status, reason);
     }
 
-    /** A response to {@code request} with the fields that RFC 3261 8.2.6.2 copies; the To tag is added if absent. */
+    /**
+     * A response to {@code request} with the fields that RFC 3261 8.2.6.2 copies; the To tag is
+     * added if absent.
+     */
     public static SipMessage reply(SipMessage request, int status, String reason, String toTag) {
         SipMessage reply = status(status, reason);
         for (Field field : request.fields) {
             switch (field.name()) {
                 case "Via", "From", "Call-ID", "CSeq" -> reply.fields.add(field);
-                case "To" -> reply.fields.add(status == 100 || field.value().contains(";tag=") ? field
-                        : new Field("To", field.value() + ";tag=" + toTag));
-                default -> { }
+                case "To" ->
+                        reply.fields.add(
+                                status == 100 || field.value().contains(";tag=")
+                                        ? field
+                                        : new Field("To", field.value() + ";tag=" + toTag));
+                default -> {}
             }
         }
         return reply;
@@ -216,9 +223,16 @@
     public int length() {
         int length = isRequest() ? method.length() + uri.length() + 11 : 14 + reason.length();
         for (Field field : fields) {
-            length += field.name().equals("Content-Length") ? 0 : field.name().length() + field.value().length() + 4;
+            length +=
+                    field.name().equals("Content-Length")
+                            ? 0
+                            : field.name().length() + field.value().length() + 4;
         }
-        return length + "Content-Length: ".length() + Integer.toString(body.length).length() + 4 + body.length;
+        return length
+                + "Content-Length: ".length()
+                + Integer.toString(body.length).length()
+                + 4
+                + body.length;
     }
 
     public byte[] bytes() {
--- a/src/main/java/coralcove/sip/SipParser.java
+++ b/src/main/java/coralcove/sip/SipParser.java
@@ -6,23 +6,59 @@
 import java.util.Map;
 
 /**
- * Reads one message from bytes (RFC 3261 sections 7 and 25). Folded lines are unfolded, compact names written
- * out, Via and Route lists split into one field a value. Bounds: {@link #MOST_BYTES}, {@link #MOST_FIELDS}.
+ * Reads one message from bytes (RFC 3261 sections 7 and 25). Folded lines are unfolded, compact
+ * names written out, Via and Route lists split into one field a value. Bounds: {@link #MOST_BYTES},
+ * {@link #MOST_FIELDS}.
  */
 public final class SipParser {
     /** Bytes: a datagram cannot be longer; a stream's message longer than this is cut off. */
     public static final int MOST_BYTES = 65_535;
+
     /** Fields: forty times what a call takes, and few enough to look through one by one. */
     public static final int MOST_FIELDS = 256;
-    private static final Map<String, String> COMPACT = Map.ofEntries(Map.entry("v", "Via"),
-            Map.entry("f", "From"), Map.entry("t", "To"), Map.entry("i", "Call-ID"), Map.entry("m", "Contact"),
-            Map.entry("l", "Content-Length"), Map.entry("c", "Content-Type"), Map.entry("e", "Content-Encoding"),
-            Map.entry("s", "Subject"), Map.entry("k", "Supported"), Map.entry("o", "Event"),
-            Map.entry("u", "Allow-Events"));
+
+    private static final Map<String, String> COMPACT =
+            Map.ofEntries(
+                    Map.entry("v", "Via"),
+                    Map.entry("f", "From"),
+                    Map.entry("t", "To"),
+                    Map.entry("i", "Call-ID"),
+                    Map.entry("m", "Contact"),
+                    Map.entry("l", "Content-Length"),
+                    Map.entry("c", "Content-Type"),
+                    Map.entry("e", "Content-Encoding"),
+                    Map.entry("s", "Subject"),
+                    Map.entry("k", "Supported"),
+                    Map.entry("o", "Event"),
+                    Map.entry("u", "Allow-Events"));
+
     /** Names as this program writes them; a name read in any other case is written like this. */
-    private static final String[] KNOWN = {"Via", "From", "To", "Call-ID", "CSeq", "Contact", "Route", "Record-Route",
-        "Content-Length", "Max-Forwards", "Expires", "Content-Type", "Session-ID", "X-Service", "X-Far-End", "X-Origin",
-        "X-Time-Left", "Supported", "Session-Expires", "Min-SE", "Reason", "Retry-After", "Event"};
+    private static final String[] KNOWN = {
+        "Via",
+        "From",
+        "To",
+        "Call-ID",
+        "CSeq",
+        "Contact",
+        "Route",
+        "Record-Route",
+        "Content-Length",
+        "Max-Forwards",
+        "Expires",
+        "Content-Type",
+        "Session-ID",
+        "X-Service",
+        "X-Far-End",
+        "X-Origin",
+        "X-Time-Left",
+        "Supported",
+        "Session-Expires",
+        "Min-SE",
+        "Reason",
+        "Retry-After",
+        "Event"
+    };
+
     private static final String[][] BY_LENGTH = byLength();
     private static final boolean[] TOKEN = tokens();
 
@@ -30,20 +66,24 @@
 
     private SipParser() {}
 
-    /** Reads a whole datagram: the body is what follows the header, cut to Content-Length if there is one. */
+    /**
+     * Reads a whole datagram: the body is what follows the header, cut to Content-Length if there
+     * is one.
+     */
     public static SipMessage parse(byte[] data, int from, int length) throws BadMessage {
         return parse(data, from, length, true);
     }
 
     /**
-     * The same where peers leave out From, To and Via by agreement, as on a trunk that matches by Call-ID alone: the form
-     * of the message is read as strictly, but no header is asked for.
+     * The same where peers leave out From, To and Via by agreement, as on a trunk that matches by
+     * Call-ID alone: the form of the message is read as strictly, but no header is asked for.
      */
     public static SipMessage parseBare(byte[] data) throws BadMessage {
         return parse(data, 0, data.length, false);
     }
 
-    private static SipMessage parse(byte[] data, int from, int length, boolean whole) throws BadMessage {
+    private static SipMessage parse(byte[] data, int from, int length, boolean whole)
+            throws BadMessage {
         if (length > MOST_BYTES) {
             throw new BadMessage("longer than " + MOST_BYTES + " bytes", null);
         }
@@ -62,7 +102,10 @@
         if (announced != null) {
             wanted = contentLength(announced);
             if (wanted < 0 || wanted > given) {
-                wrong = wrong == null ? "Content-Length " + announced + " but " + given + " bytes follow" : wrong;
+                wrong =
+                        wrong == null
+                                ? "Content-Length " + announced + " but " + given + " bytes follow"
+                                : wrong;
                 wanted = 0;
             }
         }
@@ -72,7 +115,8 @@
             message.rawBody(body);
         }
         if (announced == null && message.fields().size() >= MOST_FIELDS && wrong == null) {
-            // It is written with a Content-Length, and would then be past the bound for whoever reads it.
+            // It is written with a Content-Length, and would then be past the bound for whoever
+            // reads it.
             wrong = "more than " + MOST_FIELDS + " header fields";
         }
         wrong = wrong == null && whole ? check(message) : wrong;
@@ -85,7 +129,10 @@
     /** The index behind the empty line that ends the header, or -1. */
     static int headerEnd(byte[] data, int from, int to) {
         for (int i = from; i + 3 < to; i++) {
-            if (data[i] == '\r' && data[i + 1] == '\n' && data[i + 2] == '\r' && data[i + 3] == '\n') {
+            if (data[i] == '\r'
+                    && data[i + 1] == '\n'
+                    && data[i + 2] == '\r'
+                    && data[i + 3] == '\n') {
                 return i + 4;
             }
         }
@@ -103,17 +150,24 @@
 
     private static SipMessage startLine(String line) throws BadMessage {
         if (line.startsWith("SIP/2.0 ")) {
-            if (line.length() >= 11 && line.substring(8, 11).chars().allMatch(c -> c >= '0' && c <= '9')
-                    && line.charAt(8) >= '1' && line.charAt(8) <= '6' && (line.length() == 11 || line.charAt(11) == ' ')) {
-                return SipMessage.status(Integer.parseInt(line.substring(8, 11)),
+            if (line.length() >= 11
+                    && line.substring(8, 11).chars().allMatch(c -> c >= '0' && c <= '9')
+                    && line.charAt(8) >= '1'
+                    && line.charAt(8) <= '6'
+                    && (line.length() == 11 || line.charAt(11) == ' ')) {
+                return SipMessage.status(
+                        Integer.parseInt(line.substring(8, 11)),
                         line.length() > 12 ? line.substring(12) : "");
             }
             throw new BadMessage("status line: " + cut(line), null);
         }
         int first = line.indexOf(' ');
         int last = line.lastIndexOf(' ');
-        if (first <= 0 || last <= first + 1 || !line.substring(last + 1).equals("SIP/2.0")
-                || !token(line.substring(0, first)) || line.substring(first + 1, last).indexOf(' ') >= 0) {
+        if (first <= 0
+                || last <= first + 1
+                || !line.substring(last + 1).equals("SIP/2.0")
+                || !token(line.substring(0, first))
+                || line.substring(first + 1, last).indexOf(' ') >= 0) {
             throw new BadMessage("request line: " + cut(line), null);
         }
         return SipMessage.request(line.substring(0, first), line.substring(first + 1, last));
@@ -132,7 +186,8 @@
             }
             int next = end + 2;
             StringBuilder folded = null;
-            while (next < head.length() && (head.charAt(next) == ' ' || head.charAt(next) == '\t')) {
+            while (next < head.length()
+                    && (head.charAt(next) == ' ' || head.charAt(next) == '\t')) {
                 int stop = head.indexOf("\r\n", next);
                 folded = folded == null ? new StringBuilder(head.substring(at, end)) : folded;
                 folded.append(' ').append(trimmed(head, next, stop));
@@ -143,7 +198,8 @@
             int stop = folded == null ? end : line.length();
             int colon = line.indexOf(':', from0);
             int nameEnd = colon < 0 || colon >= stop ? -1 : colon;
-            while (nameEnd > from0 && (line.charAt(nameEnd - 1) == ' ' || line.charAt(nameEnd - 1) == '\t')) {
+            while (nameEnd > from0
+                    && (line.charAt(nameEnd - 1) == ' ' || line.charAt(nameEnd - 1) == '\t')) {
                 nameEnd--;
             }
             if (nameEnd < 0 || !token(line, from0, nameEnd)) {
@@ -208,7 +264,10 @@
         String[][] found = new String[20][];
         for (int length = 0; length < found.length; length++) {
             int wanted = length;
-            found[length] = java.util.Arrays.stream(KNOWN).filter(k -> k.length() == wanted).toArray(String[]::new);
+            found[length] =
+                    java.util.Arrays.stream(KNOWN)
+                            .filter(k -> k.length() == wanted)
+                            .toArray(String[]::new);
         }
         return found;
     }
@@ -216,8 +275,11 @@
     private static boolean[] tokens() {
         boolean[] found = new boolean[128];
         for (char c = 0; c < found.length; c++) {
-            found[c] = c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9'
-                    || "-.!%*_+`'~".indexOf(c) >= 0;
+            found[c] =
+                    c >= 'a' && c <= 'z'
+                            || c >= 'A' && c <= 'Z'
+                            || c >= '0' && c <= '9'
+                            || "-.!%*_+`'~".indexOf(c) >= 0;
         }
         return found;
     }
@@ -247,7 +309,8 @@
         if (sequence < 0 || sequence > 0x7fffffffL) {
             return "CSeq: " + cut(cseq);
         }
-        if (message.isRequest() && !cseq.substring(cseq.indexOf(' ') + 1).strip().equals(message.method())) {
+        if (message.isRequest()
+                && !cseq.substring(cseq.indexOf(' ') + 1).strip().equals(message.method())) {
             return "CSeq names another method: " + cut(cseq);
         }
         if (message.via() == null) {
--- a/src/main/java/coralcove/sip/SipUri.java
+++ b/src/main/java/coralcove/sip/SipUri.java
@@ -1,8 +1,14 @@
 package coralcove.sip;
 
-/** A SIP URI (RFC 3261 19.1) as far as it is looked at: user, host, port (5060 if absent), parameters. */
+/**
+ * A SIP URI (RFC 3261 19.1) as far as it is looked at: user, host, port (5060 if absent),
+ * parameters.
+ */
 public record SipUri(String user, String host, int port, Params params) {
-    /** Reads a bare URI or the one between the angle brackets of a name-addr; null where there is none. */
+    /**
+     * Reads a bare URI or the one between the angle brackets of a name-addr; null where there is
+     * none.
+     */
     public static SipUri of(String text) {
         int open = text.indexOf('<');
         int close = open < 0 ? -1 : text.indexOf('>', open);
@@ -15,8 +21,10 @@
         int at = rest.lastIndexOf('@');
         String user = at < 0 ? "" : rest.substring(0, at);
         String address = rest.substring(at + 1);
-        int colon = address.startsWith("[") ? address.indexOf(':', address.indexOf(']') + 1)
-                : address.indexOf(':');
+        int colon =
+                address.startsWith("[")
+                        ? address.indexOf(':', address.indexOf(']') + 1)
+                        : address.indexOf(':');
         try {
             int port = colon < 0 ? 5060 : Integer.parseInt(address.substring(colon + 1));
             String host = colon < 0 ? address : address.substring(0, colon);
@@ -32,7 +40,11 @@
     }
 
     public static String text(String user, Hop hop) {
-        return "sip:" + (user.isEmpty() ? "" : user + "@") + hop.host() + ":" + hop.port()
+        return "sip:"
+                + (user.isEmpty() ? "" : user + "@")
+                + hop.host()
+                + ":"
+                + hop.port()
                 + (hop.tcp() ? ";transport=tcp" : "");
     }
 }
--- a/src/main/java/coralcove/sip/StreamFramer.java
+++ b/src/main/java/coralcove/sip/StreamFramer.java
@@ -4,9 +4,9 @@
 import java.util.function.Consumer;
 
 /**
- * Cuts a stream into messages by Content-Length (RFC 3261 18.3); CRLFs between messages are keep-alives
- * (RFC 5626) and skipped. Holds at most one message of the bound, {@link SipParser#MOST_BYTES} if none is given; past
- * that the stream is bad.
+ * Cuts a stream into messages by Content-Length (RFC 3261 18.3); CRLFs between messages are
+ * keep-alives (RFC 5626) and skipped. Holds at most one message of the bound, {@link
+ * SipParser#MOST_BYTES} if none is given; past that the stream is bad.
  */
 public final class StreamFramer {
     private byte[] held = new byte[2048];
@@ -26,7 +26,10 @@
         return length > 0;
     }
 
-    /** Takes {@code count} bytes and hands out each whole message; what is not a message ends the stream. */
+    /**
+     * Takes {@code count} bytes and hands out each whole message; what is not a message ends the
+     * stream.
+     */
     public void take(byte[] data, int from, int count, Consumer<byte[]> whole) throws BadMessage {
         if (length + count > held.length) {
             held = Arrays.copyOf(held, Math.max(length + count, 2 * held.length));
@@ -82,9 +85,13 @@
         while (colon < to && held[colon] != ':') {
             colon++;
         }
-        String name = new String(held, from, colon - from, java.nio.charset.StandardCharsets.US_ASCII).strip();
+        String name =
+                new String(held, from, colon - from, java.nio.charset.StandardCharsets.US_ASCII)
+                        .strip();
         boolean wanted = name.equalsIgnoreCase("Content-Length") || name.equalsIgnoreCase("l");
         return wanted && colon < to
-                ? new String(held, colon + 1, to - colon - 1, java.nio.charset.StandardCharsets.US_ASCII) : null;
+                ? new String(
+                        held, colon + 1, to - colon - 1, java.nio.charset.StandardCharsets.US_ASCII)
+                : null;
     }
 }
--- a/src/main/java/coralcove/sip/Timers.java
+++ b/src/main/java/coralcove/sip/Timers.java
@@ -5,9 +5,9 @@
 import java.util.List;
 
 /**
- * Timers of one core: a hierarchical wheel, six levels of 256 slots, the lowest of 1024 µs each. Setting and
- * cancelling cost the same however many there are. Timers fire in order of time, then of setting, and never before
- * their time, so that equal inputs give equal actions.
+ * Timers of one core: a hierarchical wheel, six levels of 256 slots, the lowest of 1024 µs each.
+ * Setting and cancelling cost the same however many there are. Timers fire in order of time, then
+ * of setting, and never before their time, so that equal inputs give equal actions.
  */
 public final class Timers {
     /** What is done when a timer is due. */
@@ -32,12 +32,16 @@
     }
 
     private static final int NOWHERE = -1;
+
     /** µs a tick, as a power of two: about a millisecond, as fine as any limit here. */
     private static final int TICK_BITS = 10;
+
     private static final int LEVEL_BITS = 8;
     private static final int SLOTS = 1 << LEVEL_BITS;
+
     /** Levels: 2^48 ticks reach past any time of day that a clock in µs tells. */
     private static final int LEVELS = 6;
+
     private static final long MOST_TICK = (1L << LEVEL_BITS * LEVELS) - 1;
 
     private final Timer[] slots = new Timer[LEVELS * SLOTS];
@@ -89,7 +93,7 @@
             // The earliest slot is on the lowest level now: find() has brought it there.
             known = false;
             find();
-            for (Timer timer = slots[(int) (current & SLOTS - 1)]; timer != null;) {
+            for (Timer timer = slots[(int) (current & SLOTS - 1)]; timer != null; ) {
                 Timer next = timer.after;
                 if (timer.at <= now) {
                     unlink(timer);
@@ -116,7 +120,10 @@
     private void place(Timer timer) {
         long tick = Math.min(MOST_TICK, Math.max(current, timer.at >> TICK_BITS));
         long differs = tick ^ current;
-        int level = differs == 0 ? 0 : (Long.SIZE - 1 - Long.numberOfLeadingZeros(differs)) / LEVEL_BITS;
+        int level =
+                differs == 0
+                        ? 0
+                        : (Long.SIZE - 1 - Long.numberOfLeadingZeros(differs)) / LEVEL_BITS;
         int slot = level * SLOTS + (int) (tick >> level * LEVEL_BITS & SLOTS - 1);
         timer.slot = slot;
         timer.before = null;
@@ -146,7 +153,10 @@
         timer.after = null;
     }
 
-    /** Moves on to the earliest slot that is used, spreading higher ones over lower levels; its earliest time. */
+    /**
+     * Moves on to the earliest slot that is used, spreading higher ones over lower levels; its
+     * earliest time.
+     */
     private long find() {
         while (size > 0) {
             int level = 0;
@@ -158,7 +168,8 @@
                 }
             }
             long low = (1L << level * LEVEL_BITS) - 1;
-            long start = current & ~((low + 1 << LEVEL_BITS) - 1) | (long) slot << level * LEVEL_BITS;
+            long start =
+                    current & ~((low + 1 << LEVEL_BITS) - 1) | (long) slot << level * LEVEL_BITS;
             current = Math.max(current, level == 0 ? start : start & ~low);
             if (level == 0) {
                 long least = Long.MAX_VALUE;
--- a/src/main/java/coralcove/sip/Via.java
+++ b/src/main/java/coralcove/sip/Via.java
@@ -16,7 +16,9 @@
         }
         SipUri sentBy = SipUri.of("sip:" + value.substring(space + 1).strip());
         String transport = value.substring(8, space).strip();
-        if (sentBy == null || !host(sentBy.host()) || !transport.equals("UDP") && !transport.equals("TCP")) {
+        if (sentBy == null
+                || !host(sentBy.host())
+                || !transport.equals("UDP") && !transport.equals("TCP")) {
             return null;
         }
         return new Via(transport.equals("TCP"), sentBy.host(), sentBy.port(), params);
@@ -31,8 +33,12 @@
         boolean six = host.startsWith("[") && host.endsWith("]");
         for (int i = six ? 1 : 0; i < host.length() - (six ? 1 : 0); i++) {
             char c = host.charAt(i);
-            boolean good = c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c == '.'
-                    || (six ? c == ':' : c == '-');
+            boolean good =
+                    c >= 'a' && c <= 'z'
+                            || c >= 'A' && c <= 'Z'
+                            || c >= '0' && c <= '9'
+                            || c == '.'
+                            || (six ? c == ':' : c == '-');
             if (!good) {
                 return false;
             }
@@ -40,12 +46,21 @@
         return true;
     }
 
-    /** Where a response goes (18.2.2): to received and rport if the receiver wrote them, else to sent-by. */
+    /**
+     * Where a response goes (18.2.2): to received and rport if the receiver wrote them, else to
+     * sent-by.
+     */
     public Hop back() {
         return new Hop(tcp, params.get("received", host), (int) params.number("rport", port));
     }
 
     public static String text(Hop from, String branch) {
-        return "SIP/2.0/" + (from.tcp() ? "TCP " : "UDP ") + from.host() + ":" + from.port() + ";rport;branch=" + branch;
+        return "SIP/2.0/"
+                + (from.tcp() ? "TCP " : "UDP ")
+                + from.host()
+                + ":"
+                + from.port()
+                + ";rport;branch="
+                + branch;
     }
 }
--- a/src/main/java/coralcove/sip/dialog/Agent.java
+++ b/src/main/java/coralcove/sip/dialog/Agent.java
@@ -19,13 +19,19 @@
 import java.util.TreeMap;
 
 /**
- * The user agent of one node: sets calls up, takes them, gives them up and ends them over the transaction layer,
- * and passes other requests through. What RFC 3261 leaves to no one's choice is done here: the ACK of each 2xx,
- * the BYE for a 2xx that crossed a CANCEL, 481 for an unknown dialog, 405 for an unknown method, 483.
+ * The user agent of one node: sets calls up, takes them, gives them up and ends them over the
+ * transaction layer, and passes other requests through. What RFC 3261 leaves to no one's choice is
+ * done here: the ACK of each 2xx, the BYE for a 2xx that crossed a CANCEL, 481 for an unknown
+ * dialog, 405 for an unknown method, 483.
  */
 public final class Agent implements Transactions.User {
     /** How a call that was not answered ended without a final response. */
-    public enum Lost { NO, TIMED_OUT, UNREACHABLE, RESET }
+    public enum Lost {
+        NO,
+        TIMED_OUT,
+        UNREACHABLE,
+        RESET
+    }
 
     /** The program above. */
     public interface User {
@@ -35,16 +41,25 @@
 
         void answered(long now, Call call, SipMessage response, Out out);
 
-        /** The call does not stand; {@code response} is null where none came. Also the end of a cancelled one. */
+        /**
+         * The call does not stand; {@code response} is null where none came. Also the end of a
+         * cancelled one.
+         */
         void rejected(long now, Call call, SipMessage response, Lost lost, Out out);
 
         /** A call coming in was given up by its caller; it has its 487. */
         void cancelled(long now, Call call, Out out);
 
-        /** A standing call has ended by the other side; {@code bye} is null where its ACK never came. */
+        /**
+         * A standing call has ended by the other side; {@code bye} is null where its ACK never
+         * came.
+         */
         void hungUp(long now, Call call, SipMessage bye, Out out);
 
-        /** A standing call is to be changed by a re-INVITE; answered through {@link Agent#answerChange}. */
+        /**
+         * A standing call is to be changed by a re-INVITE; answered through {@link
+         * Agent#answerChange}.
+         */
         default void changing(long now, Call call, SipMessage invite, Out out) {
             throw new UnsupportedOperationException("no call of this program is changed");
         }
@@ -66,18 +81,32 @@
 
     /** BYEs of one call at most, where streams break under them; and the µs between two. */
     private static final int MOST_BYES = 4;
+
     private static final long BYE_AGAIN = 500_000;
+
     /** Seconds of the session interval asked for, and the least taken (RFC 4028 section 4). */
     private static final int INTERVAL = 90;
-    /** µs until a refresh that met another change is tried again: a change takes less unless messages are lost. */
+
+    /**
+     * µs until a refresh that met another change is tried again: a change takes less unless
+     * messages are lost.
+     */
     private static final long REFRESH_AGAIN = 2_000_000;
-    /** µs before its end at which a session that was not refreshed is ended: a third, 32 s at most (RFC 4028 10). */
+
+    /**
+     * µs before its end at which a session that was not refreshed is ended: a third, 32 s at most
+     * (RFC 4028 10).
+     */
     private static final long LATEST_END = 32_000_000;
+
     /** Bytes: a request longer than this goes by TCP (RFC 3261 18.1.1). */
     public static final int LONGEST_DATAGRAM = 1300;
+
     /** Header bytes that are added to a request after its length is taken: the Via. */
     private static final int VIA_BYTES = 120;
-    private static final Set<String> METHODS = Set.of("OPTIONS", "SUBSCRIBE", "NOTIFY", "MESSAGE", "REGISTER");
+
+    private static final Set<String> METHODS =
+            Set.of("OPTIONS", "SUBSCRIBE", "NOTIFY", "MESSAGE", "REGISTER");
 
     private final Hop self;
     private final Timers timers;
@@ -88,6 +117,7 @@
     private final Map<String, Call> incoming = new HashMap<>();
     private final TreeMap<String, Long> counters = new TreeMap<>();
     private long numbers;
+
     /** The Retry-After with which the request now being taken is turned away, or null. */
     private String turnedAway;
 
@@ -121,12 +151,18 @@
         transactions.receive(now, from, message, out);
     }
 
-    /** 400 where a reply is possible (a request with all that a reply copies), else counted and dropped. */
+    /**
+     * 400 where a reply is possible (a request with all that a reply copies), else counted and
+     * dropped.
+     */
     public void malformed(long now, Hop from, BadMessage problem, Out out) {
         SipMessage partial = problem.partial();
         count("malformed");
         out.log("malformed", "", from + ": " + problem.getMessage());
-        if (partial != null && partial.isRequest() && !partial.method().equals("ACK") && partial.answerable()) {
+        if (partial != null
+                && partial.isRequest()
+                && !partial.method().equals("ACK")
+                && partial.answerable()) {
             out.send(from, SipMessage.reply(partial, 400, "Bad Request", "m"));
         }
     }
@@ -136,7 +172,9 @@
         return transactions.knows(request);
     }
 
-    /** Takes one request only to turn it down with 503; what would repeat it is answered the same. */
+    /**
+     * Takes one request only to turn it down with 503; what would repeat it is answered the same.
+     */
     public void turnAway(long now, Hop from, SipMessage request, String retryAfter, Out out) {
         turnedAway = retryAfter;
         transactions.receive(now, from, request, out);
@@ -152,15 +190,19 @@
     /** A request of this node outside any dialog, to be completed and sent. */
     public SipMessage request(String method, String uri) {
         String id = Long.toString(numbers++, 36);
-        return SipMessage.request(method, uri).add("Max-Forwards", "70")
+        return SipMessage.request(method, uri)
+                .add("Max-Forwards", "70")
                 .add("From", "<sip:" + self.host() + ":" + self.port() + ">;tag=" + seed + id)
-                .add("To", "<" + uri + ">").add("Call-ID", seed + "-" + id).add("CSeq", "1 " + method)
+                .add("To", "<" + uri + ">")
+                .add("Call-ID", seed + "-" + id)
+                .add("CSeq", "1 " + method)
                 .add("Contact", "<" + SipUri.text("", self) + ">");
     }
 
     /** Sets a call up; {@code invite} is made by {@link #request}. */
     public Call invite(long now, SipMessage invite, Hop to, Object owner, Out out) {
-        invite.add("Supported", "timer").add("Session-Expires", INTERVAL + ";refresher=uac")
+        invite.add("Supported", "timer")
+                .add("Session-Expires", INTERVAL + ";refresher=uac")
                 .add("Min-SE", Integer.toString(INTERVAL));
         Call call = new Call(true, invite, invite.fromTag());
         call.owner = owner;
@@ -178,7 +220,9 @@
 
     /** Sends a request once, without a transaction: whether it arrives is nobody's concern. */
     public void sendOnce(SipMessage request, Hop to, Out out) {
-        request.addFirst("Via", Via.text(self.over(to.tcp()), Via.COOKIE + seed + Transactions.ONCE + numbers++));
+        request.addFirst(
+                "Via",
+                Via.text(self.over(to.tcp()), Via.COOKIE + seed + Transactions.ONCE + numbers++));
         out.send(to, request);
     }
 
@@ -187,8 +231,9 @@
     }
 
     /**
-     * Gives up a call that has not been answered. CANCEL waits for a provisional answer (RFC 3261 9.1); an INVITE
-     * nothing was heard of is sent no more. {@link User#rejected} follows when it is over.
+     * Gives up a call that has not been answered. CANCEL waits for a provisional answer (RFC 3261
+     * 9.1); an INVITE nothing was heard of is sent no more. {@link User#rejected} follows when it
+     * is over.
      */
     public void cancel(long now, Call call, Out out) {
         if (call.cancelled || call.state != Call.State.TRYING) {
@@ -201,12 +246,14 @@
             transactions.hush(call.client);
         }
         // 9.1: an INVITE cancelled and not answered within 64 T1 is taken for cancelled.
-        timers.set(now + 64 * Transactions.T1, (at, o) -> {
-            if (call.state == Call.State.TRYING) {
-                transactions.forget(call.client);
-                lost(at, call, Lost.TIMED_OUT, o);
-            }
-        });
+        timers.set(
+                now + 64 * Transactions.T1,
+                (at, o) -> {
+                    if (call.state == Call.State.TRYING) {
+                        transactions.forget(call.client);
+                        lost(at, call, Lost.TIMED_OUT, o);
+                    }
+                });
     }
 
     /** Ends a standing call by BYE; {@code reason} is a Reason header or null. */
@@ -225,8 +272,15 @@
     /** A BYE whose stream broke under it is sent again on a new one, as a request of its own. */
     private void byeAgain(long now, Farewell last, Out out) {
         if (last.tries < MOST_BYES) {
-            timers.set(now + BYE_AGAIN, (at, o) -> transactions.send(at, inDialog("BYE", last.call),
-                    last.call.remoteHop, new Farewell(last.call, last.tries + 1), o));
+            timers.set(
+                    now + BYE_AGAIN,
+                    (at, o) ->
+                            transactions.send(
+                                    at,
+                                    inDialog("BYE", last.call),
+                                    last.call.remoteHop,
+                                    new Farewell(last.call, last.tries + 1),
+                                    o));
         }
     }
 
@@ -236,7 +290,8 @@
     }
 
     private SipMessage dialogRequest(String method, Call call, long sequence) {
-        SipMessage request = SipMessage.request(method, call.remoteTarget).add("Max-Forwards", "70");
+        SipMessage request =
+                SipMessage.request(method, call.remoteTarget).add("Max-Forwards", "70");
         call.routes.forEach(route -> request.add("Route", route));
         if (call.outgoing) {
             request.add("From", call.invite.header("From"));
@@ -254,8 +309,12 @@
 
     /** The ACK of a 2xx: a request of its own, outside any transaction (RFC 3261 13.2.2.4). */
     private SipMessage ack(Call call, long sequence) {
-        return dialogRequest("ACK", call, sequence).addFirst("Via",
-                Via.text(self.over(call.remoteHop.tcp()), Via.COOKIE + seed + ".a" + numbers++));
+        return dialogRequest("ACK", call, sequence)
+                .addFirst(
+                        "Via",
+                        Via.text(
+                                self.over(call.remoteHop.tcp()),
+                                Via.COOKIE + seed + ".a" + numbers++));
     }
 
     private static String tagged(String value, String tag) {
@@ -277,7 +336,8 @@
     public void answer(long now, Call call, SipMessage like, Out out) {
         if (call.state == Call.State.TRYING) {
             call.state = Call.State.STANDS;
-            SipMessage ok = reply(call, 200, "OK").add("Contact", "<" + SipUri.text("", self) + ">");
+            SipMessage ok =
+                    reply(call, 200, "OK").add("Contact", "<" + SipUri.text("", self) + ">");
             call.invite.headers("Record-Route").forEach(route -> ok.add("Record-Route", route));
             Params asked = Params.of(call.invite.header("Session-Expires", ""));
             if (!asked.value().isEmpty()) {
@@ -322,12 +382,16 @@
 
     // ---- changes of a standing call, and its session timer
 
-    /** Sends a re-INVITE with this body; false while another change of the call is under way (RFC 3261 14.1). */
+    /**
+     * Sends a re-INVITE with this body; false while another change of the call is under way (RFC
+     * 3261 14.1).
+     */
     public boolean change(long now, Call call, String type, byte[] body, Out out) {
         if (call.state != Call.State.STANDS || call.change != null || call.changing != null) {
             return false;
         }
-        SipMessage invite = inDialog("INVITE", call).add("Contact", "<" + SipUri.text("", self) + ">");
+        SipMessage invite =
+                inDialog("INVITE", call).add("Contact", "<" + SipUri.text("", self) + ">");
         if (body.length > 0) {
             invite.body(type, body);
         }
@@ -336,11 +400,14 @@
     }
 
     /** Answers the re-INVITE that {@link User#changing} told of. */
-    public void answerChange(long now, Call call, int status, String reason, String type, byte[] body, Out out) {
+    public void answerChange(
+            long now, Call call, int status, String reason, String type, byte[] body, Out out) {
         if (call.changing == null) {
             return;
         }
-        SipMessage reply = reply(call.changing, status, reason).add("Contact", "<" + SipUri.text("", self) + ">");
+        SipMessage reply =
+                reply(call.changing, status, reason)
+                        .add("Contact", "<" + SipUri.text("", self) + ">");
         if (body.length > 0) {
             reply.body(type, body);
         }
@@ -349,7 +416,10 @@
         transactions.respond(now, changing, reply, out);
     }
 
-    /** Starts or renews the session timer: the refresher renews at half time, the other side ends a dead session. */
+    /**
+     * Starts or renews the session timer: the refresher renews at half time, the other side ends a
+     * dead session.
+     */
     private void interval(long now, Call call, Params expires, boolean refresher) {
         timers.cancel(call.refresh);
         long seconds = seconds(expires.value());
@@ -375,17 +445,27 @@
         }
         boolean free = call.change == null && call.changing == null;
         if (free) {
-            SipMessage update = inDialog("UPDATE", call).add("Contact", "<" + SipUri.text("", self) + ">")
-                    .add("Supported", "timer").add("Session-Expires", INTERVAL + ";refresher=uac");
-            call.change = transactions.send(now, update, fitting(update, call.remoteHop), call, out);
-        }
-        // A refresh that finds another change under way comes a little later: after half an interval more the other
+            SipMessage update =
+                    inDialog("UPDATE", call)
+                            .add("Contact", "<" + SipUri.text("", self) + ">")
+                            .add("Supported", "timer")
+                            .add("Session-Expires", INTERVAL + ";refresher=uac");
+            call.change =
+                    transactions.send(now, update, fitting(update, call.remoteHop), call, out);
+        }
+        // A refresh that finds another change under way comes a little later: after half an
+        // interval more the other
         // side would take the session for dead.
-        call.refresh = timers.set(now + (free ? call.interval / 2 : REFRESH_AGAIN),
-                (at, o) -> refresh(at, call, o));
+        call.refresh =
+                timers.set(
+                        now + (free ? call.interval / 2 : REFRESH_AGAIN),
+                        (at, o) -> refresh(at, call, o));
     }
 
-    /** The other side has gone without a BYE: the call is ended here, so that its circuits are free (RFC 4028 10). */
+    /**
+     * The other side has gone without a BYE: the call is ended here, so that its circuits are free
+     * (RFC 4028 10).
+     */
     private void dead(long now, Call call, Out out) {
         if (call.state == Call.State.STANDS) {
             count("session-expired");
@@ -435,7 +515,10 @@
         }
     }
 
-    /** The route set's first hop, or the target's where there is none (RFC 3261 12.2.1.1; strict routes are not spoken). */
+    /**
+     * The route set's first hop, or the target's where there is none (RFC 3261 12.2.1.1; strict
+     * routes are not spoken).
+     */
     private static Hop firstHop(Call call, Hop target) {
         SipUri first = call.routes.isEmpty() ? null : SipUri.of(call.routes.get(0));
         return first == null ? target : first.hop();
@@ -445,7 +528,9 @@
         SipMessage request = tx.request();
         String method = request.method();
         Call call = calls.get(request.callId() + "|" + request.toTag());
-        if (call == null || call.state != Call.State.STANDS || !request.fromTag().equals(call.remoteTag)) {
+        if (call == null
+                || call.state != Call.State.STANDS
+                || !request.fromTag().equals(call.remoteTag)) {
             refuse(now, tx, 481, "No such dialog", out);
         } else if (request.sequence() <= call.remoteSequence) {
             refuse(now, tx, 500, "CSeq out of order", out);
@@ -498,7 +583,9 @@
         if (turnedAway != null && tag.isEmpty()) {
             count("turned-away");
             respond(now, tx, reply(tx, 503, "Overloaded").add("Retry-After", turnedAway), out);
-        } else if (request.header("Max-Forwards", "70").strip().equals("0") && !method.equals("OPTIONS") && tag.isEmpty()) {
+        } else if (request.header("Max-Forwards", "70").strip().equals("0")
+                && !method.equals("OPTIONS")
+                && tag.isEmpty()) {
             refuse(now, tx, 483, "Too Many Hops", out);
         } else if (method.equals("INVITE") && tag.isEmpty()) {
             invited(now, tx, from, out);
@@ -508,8 +595,15 @@
             user.request(now, tx, from, out);
         } else {
             count("unknown-method");
-            respond(now, tx, reply(tx, 405, "Method Not Allowed")
-                    .add("Allow", "INVITE, ACK, CANCEL, BYE, UPDATE, OPTIONS, SUBSCRIBE, NOTIFY, MESSAGE, REGISTER"), out);
+            respond(
+                    now,
+                    tx,
+                    reply(tx, 405, "Method Not Allowed")
+                            .add(
+                                    "Allow",
+                                    "INVITE, ACK, CANCEL, BYE, UPDATE, OPTIONS, SUBSCRIBE, NOTIFY,"
+                                            + " MESSAGE, REGISTER"),
+                    out);
         }
     }
 
@@ -614,7 +708,8 @@
         }
         SipUri contact = SipUri.of(response.header("Contact", ""));
         call.remoteTag = response.toTag();
-        call.remoteTarget = contact == null ? call.invite.uri() : SipUri.text(contact.user(), contact.hop());
+        call.remoteTarget =
+                contact == null ? call.invite.uri() : SipUri.text(contact.user(), contact.hop());
         List<String> routes = response.headers("Record-Route");
         Collections.reverse(routes);
         call.routes = routes;
@@ -623,7 +718,8 @@
         out.send(call.remoteHop, call.ack);
         call.state = Call.State.STANDS;
         if (call.cancelled) {
-            // The 200 crossed the CANCEL: the call is ended at once and no circuit stays held (RFC 3261 15).
+            // The 200 crossed the CANCEL: the call is ended at once and no circuit stays held (RFC
+            // 3261 15).
             bye(now, call, null, out);
             user.rejected(now, call, null, Lost.NO, out);
         } else {
@@ -632,7 +728,9 @@
         }
     }
 
-    /** A second 2xx, of another branch of a fork: it is acknowledged and ended (RFC 3261 13.2.2.4). */
+    /**
+     * A second 2xx, of another branch of a fork: it is acknowledged and ended (RFC 3261 13.2.2.4).
+     */
     private void fork(long now, Call call, SipMessage response, Out out) {
         SipUri contact = SipUri.of(response.header("Contact", ""));
         if (contact == null) {
@@ -657,11 +755,15 @@
             changedBy(now, changed, tx, null, out);
         } else if (tx.owner() instanceof Call call && tx.request().method().equals("INVITE")) {
             if (call.state == Call.State.TRYING) {
-                lost(now, call, switch (failure) {
-                    case TIME_OUT -> Lost.TIMED_OUT;
-                    case REFUSED -> Lost.UNREACHABLE;
-                    case BROKEN -> Lost.RESET;
-                }, out);
+                lost(
+                        now,
+                        call,
+                        switch (failure) {
+                            case TIME_OUT -> Lost.TIMED_OUT;
+                            case REFUSED -> Lost.UNREACHABLE;
+                            case BROKEN -> Lost.RESET;
+                        },
+                        out);
             }
         } else if (!tx.request().method().equals("BYE")) {
             user.replied(now, tx, null, out);
--- a/src/main/java/coralcove/sip/dialog/AgentCore.java
+++ b/src/main/java/coralcove/sip/dialog/AgentCore.java
@@ -7,7 +7,10 @@
 import coralcove.sip.SipMessage;
 import coralcove.sip.Timers;
 
-/** A core that is the user of one {@link Agent}: what it is driven with goes to the agent and its timers. */
+/**
+ * A core that is the user of one {@link Agent}: what it is driven with goes to the agent and its
+ * timers.
+ */
 public abstract class AgentCore implements Core, Agent.User {
     protected final Timers timers = new Timers();
     protected final Agent agent;
--- a/src/main/java/coralcove/sip/dialog/Call.java
+++ b/src/main/java/coralcove/sip/dialog/Call.java
@@ -7,9 +7,16 @@
 import coralcove.sip.transaction.ServerTx;
 import java.util.List;
 
-/** One leg: an INVITE sent or received, and the dialog that its 2xx makes. Owned by one {@link Agent}. */
+/**
+ * One leg: an INVITE sent or received, and the dialog that its 2xx makes. Owned by one {@link
+ * Agent}.
+ */
 public final class Call {
-    enum State { TRYING, STANDS, ENDED }
+    enum State {
+        TRYING,
+        STANDS,
+        ENDED
+    }
 
     final boolean outgoing;
     final SipMessage invite;
@@ -18,13 +25,18 @@
     Object owner;
     String remoteTag = "";
     String remoteTarget = "";
+
     /** The route set (RFC 3261 12.1), in the order in which in-dialog requests pass it. */
     List<String> routes = List.of();
+
     /** The re-INVITE or UPDATE that is out, and the one that came and waits for its answer. */
     ClientTx change;
+
     ServerTx changing;
+
     /** µs of the session interval (RFC 4028), 0 for none. */
     long interval;
+
     Timers.Timer refresh;
     Hop remoteHop;
     long localSequence;
--- a/src/main/java/coralcove/sip/event/Notifier.java
+++ b/src/main/java/coralcove/sip/event/Notifier.java
@@ -14,8 +14,9 @@
 import java.util.Map;
 
 /**
- * The other side of {@link Subscriber}: who has subscribed at this node, until when, and the NOTIFYs in their dialogs
- * (RFC 6665 4.2). What a subscriber says it has is not sent again (RFC 5839: 204).
+ * The other side of {@link Subscriber}: who has subscribed at this node, until when, and the
+ * NOTIFYs in their dialogs (RFC 6665 4.2). What a subscriber says it has is not sent again (RFC
+ * 5839: 204).
  */
 public final class Notifier {
     /** What holds now: its text, and a tag that differs whenever the text says something else. */
@@ -37,6 +38,7 @@
 
     /** Subscribers at most; a SUBSCRIBE past that is answered 503. */
     private static final int MOST = 10_000;
+
     /** Seconds a subscription lasts at most, and where none are named. */
     private static final long LIFE_MOST = 3600;
 
@@ -68,7 +70,8 @@
         long seconds = Math.min(LIFE_MOST, request.number("Expires", LIFE_MOST));
         Watcher known = watchers.get(request.callId() + "|" + request.toTag());
         if (!request.header("Event", "").equals(event)) {
-            agent.respond(now, tx, agent.reply(tx, 489, "Bad Event").add("Allow-Events", event), out);
+            agent.respond(
+                    now, tx, agent.reply(tx, 489, "Bad Event").add("Allow-Events", event), out);
         } else if (!request.toTag().isEmpty() && known == null) {
             // 4.2.1.1: the dialog is of an earlier start of this program, or has ended.
             agent.respond(now, tx, agent.reply(tx, 481, "No such subscription"), out);
@@ -90,8 +93,14 @@
             timers.cancel(it.end);
             it.end = timers.set(it.until, (at, o) -> watchers.values().remove(it));
             boolean same = state.tag().equals(request.header("Suppress-If-Match"));
-            SipMessage reply = SipMessage.reply(request, same ? 204 : 200, same ? "No Notification" : "OK", it.tag)
-                    .add("Expires", Long.toString(seconds)).add("Contact", "<" + SipUri.text("", agent.self()) + ">");
+            SipMessage reply =
+                    SipMessage.reply(
+                                    request,
+                                    same ? 204 : 200,
+                                    same ? "No Notification" : "OK",
+                                    it.tag)
+                            .add("Expires", Long.toString(seconds))
+                            .add("Contact", "<" + SipUri.text("", agent.self()) + ">");
             agent.respond(now, tx, reply, out);
             if (!same) {
                 notify(now, it, state.tag(), state.text(), out);
@@ -110,13 +119,25 @@
     private void notify(long now, Watcher it, String tag, String text, Out out) {
         it.sequence++;
         long left = Math.max(0, it.until - now + 999_999) / 1_000_000;
-        SipMessage notify = SipMessage.request("NOTIFY", SipUri.text("", it.hop)).add("Max-Forwards", "70")
-                .add("From", it.first.header("To") + ";tag=" + it.tag).add("To", it.first.header("From"))
-                .add("Call-ID", it.first.callId()).add("CSeq", it.sequence + " NOTIFY")
-                .add("Contact", "<" + SipUri.text("", agent.self()) + ">").add("Event", event)
-                .add("Subscription-State", left == 0 ? "terminated;reason=timeout" : "active;expires=" + left)
-                .add("SIP-ETag", tag);
-        agent.send(now, notify.body("text/plain", text.getBytes(StandardCharsets.UTF_8)), it.hop, it, out);
+        SipMessage notify =
+                SipMessage.request("NOTIFY", SipUri.text("", it.hop))
+                        .add("Max-Forwards", "70")
+                        .add("From", it.first.header("To") + ";tag=" + it.tag)
+                        .add("To", it.first.header("From"))
+                        .add("Call-ID", it.first.callId())
+                        .add("CSeq", it.sequence + " NOTIFY")
+                        .add("Contact", "<" + SipUri.text("", agent.self()) + ">")
+                        .add("Event", event)
+                        .add(
+                                "Subscription-State",
+                                left == 0 ? "terminated;reason=timeout" : "active;expires=" + left)
+                        .add("SIP-ETag", tag);
+        agent.send(
+                now,
+                notify.body("text/plain", text.getBytes(StandardCharsets.UTF_8)),
+                it.hop,
+                it,
+                out);
     }
 
     /** The answer to a NOTIFY; false if the request was another's. */
--- a/src/main/java/coralcove/sip/event/Subscriber.java
+++ b/src/main/java/coralcove/sip/event/Subscriber.java
@@ -14,13 +14,21 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The subscriptions of one node (RFC 6665): each is a dialog, renewed before its end, and a NOTIFY counts only within
- * it, from where it was asked for, in order of CSeq; any other is answered 481 and counted. What has not changed is
- * not sent again (RFC 5839). When a subscription has ended its user decides when to ask anew.
+ * The subscriptions of one node (RFC 6665): each is a dialog, renewed before its end, and a NOTIFY
+ * counts only within it, from where it was asked for, in order of CSeq; any other is answered 481
+ * and counted. What has not changed is not sent again (RFC 5839). When a subscription has ended its
+ * user decides when to ask anew.
  */
 public final class Subscriber {
-    /** What a NOTIFY's body was: not to be read (answered 400), read but with a gap before it, or all that holds. */
-    public enum News { BAD, GAP, WHOLE }
+    /**
+     * What a NOTIFY's body was: not to be read (answered 400), read but with a gap before it, or
+     * all that holds.
+     */
+    public enum News {
+        BAD,
+        GAP,
+        WHOLE
+    }
 
     /** What is told to the program above. */
     public interface User {
@@ -33,13 +41,23 @@
         void ended(long now, Subscription it, String why, Out out);
     }
 
-    /** Share of its life after which a subscription is renewed, and what chance adds: many must not come together. */
+    /**
+     * Share of its life after which a subscription is renewed, and what chance adds: many must not
+     * come together.
+     */
     private static final double RENEW_FROM = 0.35;
+
     private static final double RENEW_SPREAD = 0.15;
+
     /** Subscriptions of one node at most. */
     private static final int MOST = 64;
-    /** Seconds: lives granted outside of this are taken as the nearest (an hour is RFC 6665's common one). */
+
+    /**
+     * Seconds: lives granted outside of this are taken as the nearest (an hour is RFC 6665's common
+     * one).
+     */
     private static final long LIFE_LEAST = 1;
+
     private static final long LIFE_MOST = 3600;
 
     private final Agent agent;
@@ -55,14 +73,21 @@
         this.user = user;
     }
 
-    /** Asks {@code to} for news of {@code event}, for {@code seconds} at a time; null past the bound. */
-    public Subscription subscribe(long now, Hop to, String event, long seconds, Object owner, String ownNumber, Out out) {
+    /**
+     * Asks {@code to} for news of {@code event}, for {@code seconds} at a time; null past the
+     * bound.
+     */
+    public Subscription subscribe(
+            long now, Hop to, String event, long seconds, Object owner, String ownNumber, Out out) {
         if (standing.size() >= MOST) {
             agent.count("too-many-subscriptions");
             return null;
         }
-        SipMessage request = agent.request("SUBSCRIBE", SipUri.text("", to)).add("Event", event)
-                .add("Expires", Long.toString(seconds)).add("X-Number", ownNumber);
+        SipMessage request =
+                agent.request("SUBSCRIBE", SipUri.text("", to))
+                        .add("Event", event)
+                        .add("Expires", Long.toString(seconds))
+                        .add("X-Number", ownNumber);
         Subscription it = new Subscription(to, event, owner, request.copy());
         it.seconds = seconds;
         it.asking = true;
@@ -74,7 +99,10 @@
         return it;
     }
 
-    /** Asks for all that holds now, unless the answer is under way; {@code whole}: also if nothing has changed. */
+    /**
+     * Asks for all that holds now, unless the answer is under way; {@code whole}: also if nothing
+     * has changed.
+     */
     public void refresh(long now, Subscription it, boolean whole, Out out) {
         if (!it.stands() || it.asking || it.remoteTag.isEmpty()) {
             it.again |= whole;
@@ -82,11 +110,17 @@
         }
         it.asking = true;
         it.sequence++;
-        SipMessage request = SipMessage.request("SUBSCRIBE", SipUri.text("", it.to)).add("Max-Forwards", "70")
-                .add("From", it.first.header("From")).add("To", it.first.header("To") + ";tag=" + it.remoteTag)
-                .add("Call-ID", it.first.callId()).add("CSeq", it.sequence + " SUBSCRIBE")
-                .add("Contact", it.first.header("Contact")).add("Event", it.event)
-                .add("Expires", Long.toString(it.seconds)).add("X-Number", it.first.header("X-Number", ""));
+        SipMessage request =
+                SipMessage.request("SUBSCRIBE", SipUri.text("", it.to))
+                        .add("Max-Forwards", "70")
+                        .add("From", it.first.header("From"))
+                        .add("To", it.first.header("To") + ";tag=" + it.remoteTag)
+                        .add("Call-ID", it.first.callId())
+                        .add("CSeq", it.sequence + " SUBSCRIBE")
+                        .add("Contact", it.first.header("Contact"))
+                        .add("Event", it.event)
+                        .add("Expires", Long.toString(it.seconds))
+                        .add("X-Number", it.first.header("X-Number", ""));
         if (!whole && !it.etag.isEmpty()) {
             request.add("Suppress-If-Match", it.etag);
         }
@@ -115,7 +149,10 @@
         it.renew = timers.set(now + wait, (at, o) -> refresh(at, it, false, o));
     }
 
-    /** The answer to one of this class's requests, or null where none came; false if the request was another's. */
+    /**
+     * The answer to one of this class's requests, or null where none came; false if the request was
+     * another's.
+     */
     public boolean replied(long now, ClientTx tx, SipMessage response, Out out) {
         if (!(tx.owner() instanceof Subscription it)) {
             return false;
@@ -142,19 +179,32 @@
             if (again) {
                 refresh(now, it, true, out);
             }
-        } else if (status == 423 && response.number("Min-Expires", 0) > it.seconds && it.seconds < LIFE_MOST
+        } else if (status == 423
+                && response.number("Min-Expires", 0) > it.seconds
+                && it.seconds < LIFE_MOST
                 && !renewal) {
             // The notifier wants longer lives: asked once more, with its least.
             it.seconds = Math.min(LIFE_MOST, response.number("Min-Expires", 0));
             it.sequence++;
             it.asking = true;
-            agent.send(now, it.first.copy().set("CSeq", it.sequence + " SUBSCRIBE")
-                    .set("Expires", Long.toString(it.seconds)), it.to, it, out);
+            agent.send(
+                    now,
+                    it.first
+                            .copy()
+                            .set("CSeq", it.sequence + " SUBSCRIBE")
+                            .set("Expires", Long.toString(it.seconds)),
+                    it.to,
+                    it,
+                    out);
         } else if (!renewal || status == 481 || status == 489 || status == 403 || status == 404) {
             end(now, it, response == null ? "no answer" : "answered " + status, out);
         } else {
-            // 4.1.2.2: a renewal that failed otherwise leaves the subscription in force to its end; it is tried again.
-            it.renew = timers.set(now + Math.max(1, (it.expiresAt - now) / 2), (at, o) -> refresh(at, it, false, o));
+            // 4.1.2.2: a renewal that failed otherwise leaves the subscription in force to its end;
+            // it is tried again.
+            it.renew =
+                    timers.set(
+                            now + Math.max(1, (it.expiresAt - now) / 2),
+                            (at, o) -> refresh(at, it, false, o));
         }
         return true;
     }
@@ -163,8 +213,11 @@
     public void notified(long now, ServerTx tx, Hop from, Out out) {
         SipMessage notify = tx.request();
         Subscription it = standing.get(notify.callId() + "|" + notify.toTag());
-        boolean dialog = it != null && (it.remoteTag.isEmpty() || it.remoteTag.equals(notify.fromTag()));
-        if (!dialog || !asked(it, from) || !Params.of(notify.header("Event", "")).value().equals(it.event)) {
+        boolean dialog =
+                it != null && (it.remoteTag.isEmpty() || it.remoteTag.equals(notify.fromTag()));
+        if (!dialog
+                || !asked(it, from)
+                || !Params.of(notify.header("Event", "")).value().equals(it.event)) {
             // Anyone who reaches the port can send one: it is not looked into.
             agent.count(dialog ? "notify-elsewhere" : "notify-no-dialog");
             agent.respond(now, tx, agent.reply(tx, 481, "No such subscription"), out);
@@ -189,7 +242,11 @@
         if (!taken) {
             agent.count("bad-notify");
         }
-        agent.respond(now, tx, taken ? agent.reply(tx, 200, "OK") : agent.reply(tx, 400, "Bad Request"), out);
+        agent.respond(
+                now,
+                tx,
+                taken ? agent.reply(tx, 200, "OK") : agent.reply(tx, 400, "Bad Request"),
+                out);
         if (over) {
             end(now, it, "terminated, " + state.get("reason", "no reason"), out);
             return;
@@ -199,9 +256,12 @@
         lives(now, it, state.number("expires", it.seconds));
     }
 
-    /** Only the host that was asked, and over UDP only its port: a stream comes from any port of it. */
+    /**
+     * Only the host that was asked, and over UDP only its port: a stream comes from any port of it.
+     */
     private static boolean asked(Subscription it, Hop from) {
         boolean literal = it.to.host().matches("[0-9.]+|\\[.*]|.*:.*");
-        return (from.host().equals(it.to.host()) || !literal) && (from.tcp() || from.port() == it.to.port());
+        return (from.host().equals(it.to.host()) || !literal)
+                && (from.tcp() || from.port() == it.to.port());
     }
 }
--- a/src/main/java/coralcove/sip/event/Subscription.java
+++ b/src/main/java/coralcove/sip/event/Subscription.java
@@ -4,13 +4,18 @@
 import coralcove.sip.SipMessage;
 import coralcove.sip.Timers;
 
-/** One subscription of this node (RFC 6665 4.1): a dialog in which only the notifier that was asked is heard. */
+/**
+ * One subscription of this node (RFC 6665 4.1): a dialog in which only the notifier that was asked
+ * is heard.
+ */
 public final class Subscription {
     final Hop to;
     final String event;
     final Object owner;
+
     /** The first SUBSCRIBE: its From, Call-ID and Contact are the dialog's. */
     final SipMessage first;
+
     boolean ended;
     String remoteTag = "";
     long sequence = 1;
@@ -19,8 +24,10 @@
     long seconds;
     long expiresAt;
     boolean asking;
+
     /** The whole state is wanted as soon as the answer under way has come. */
     boolean again;
+
     Timers.Timer renew;
     Timers.Timer end;
 
--- a/src/main/java/coralcove/sip/transaction/ClientTx.java
+++ b/src/main/java/coralcove/sip/transaction/ClientTx.java
@@ -5,9 +5,18 @@
 import coralcove.sip.SipMessage;
 import coralcove.sip.Timers;
 
-/** A client transaction (RFC 3261 17.1): one request sent until it is answered, timed out or given up on. */
+/**
+ * A client transaction (RFC 3261 17.1): one request sent until it is answered, timed out or given
+ * up on.
+ */
 public final class ClientTx {
-    enum State { CALLING, PROCEEDING, COMPLETED, ACCEPTED, ENDED }
+    enum State {
+        CALLING,
+        PROCEEDING,
+        COMPLETED,
+        ACCEPTED,
+        ENDED
+    }
 
     final String key;
     final SipMessage request;
--- a/src/main/java/coralcove/sip/transaction/ServerTx.java
+++ b/src/main/java/coralcove/sip/transaction/ServerTx.java
@@ -4,9 +4,18 @@
 import coralcove.sip.SipMessage;
 import coralcove.sip.Timers;
 
-/** A server transaction (RFC 3261 17.2): one request received, and the answer that is sent again as needed. */
+/**
+ * A server transaction (RFC 3261 17.2): one request received, and the answer that is sent again as
+ * needed.
+ */
 public final class ServerTx {
-    enum State { PROCEEDING, COMPLETED, ACCEPTED, CONFIRMED, ENDED }
+    enum State {
+        PROCEEDING,
+        COMPLETED,
+        ACCEPTED,
+        CONFIRMED,
+        ENDED
+    }
 
     final String key;
     final SipMessage request;
--- a/src/main/java/coralcove/sip/transaction/Transactions.java
+++ b/src/main/java/coralcove/sip/transaction/Transactions.java
@@ -10,25 +10,45 @@
 import java.util.Map;
 
 /**
- * The transaction layer of one node (RFC 3261 section 17, with the Accepted states of RFC 6026): requests are
- * sent again over UDP until answered, answers until acknowledged, repeats are absorbed. It does no I/O.
+ * The transaction layer of one node (RFC 3261 section 17, with the Accepted states of RFC 6026):
+ * requests are sent again over UDP until answered, answers until acknowledged, repeats are
+ * absorbed. It does no I/O.
  */
 public final class Transactions {
     /** µs: RFC 3261's T1, the first gap between two sends of a request over UDP. */
     public static final long T1 = 500_000;
+
     /** µs: T2, the longest gap for requests other than INVITE and for answers to INVITE. */
     public static final long T2 = 4_000_000;
+
     /** µs: T4, how long a message may stay in the network. */
     public static final long T4 = 5_000_000;
-    /** Multiples of T1 after which a transaction without an answer has failed (timers B, F and H). */
+
+    /**
+     * Multiples of T1 after which a transaction without an answer has failed (timers B, F and H).
+     */
     private static final long PATIENCE = 64;
-    /** Transactions held; past this a new request is dropped and counted: its sender will send it again. */
+
+    /**
+     * Transactions held; past this a new request is dropped and counted: its sender will send it
+     * again.
+     */
     private static final int MOST = 400_000;
 
-    /** Why no answer came: none in time, no stream to carry the request, or a stream that broke under it. */
-    public enum Failure { TIME_OUT, REFUSED, BROKEN }
+    /**
+     * Why no answer came: none in time, no stream to carry the request, or a stream that broke
+     * under it.
+     */
+    public enum Failure {
+        TIME_OUT,
+        REFUSED,
+        BROKEN
+    }
 
-    /** Marks the branch of a request that is sent once, outside any transaction: its answer is not waited for. */
+    /**
+     * Marks the branch of a request that is sent once, outside any transaction: its answer is not
+     * waited for.
+     */
     public static final String ONCE = ".o";
 
     /** The layer above. */
@@ -102,14 +122,17 @@
         tx.resend(out);
     }
 
-    /** Sends a CANCEL for an INVITE that has had a provisional answer (RFC 3261 9.1): same branch, own transaction. */
+    /**
+     * Sends a CANCEL for an INVITE that has had a provisional answer (RFC 3261 9.1): same branch,
+     * own transaction.
+     */
     public void cancel(long now, ClientTx invite, Out out) {
         SipMessage cancel = SipMessage.request("CANCEL", invite.request.uri());
         for (Field field : invite.request.fields()) {
             switch (field.name()) {
                 case "From", "To", "Call-ID", "Route", "Max-Forwards", "Session-ID" ->
-                    cancel.add(field.name(), field.value());
-                default -> { }
+                        cancel.add(field.name(), field.value());
+                default -> {}
             }
         }
         cancel.add("CSeq", invite.request.sequence() + " CANCEL");
@@ -131,13 +154,17 @@
         if (tx.quiet || tx.state != ClientTx.State.CALLING && tx.invite()) {
             return;
         }
-        tx.gap = tx.invite() ? 2 * tx.gap : Math.min(T2, tx.state == ClientTx.State.CALLING ? 2 * tx.gap : T2);
+        tx.gap =
+                tx.invite()
+                        ? 2 * tx.gap
+                        : Math.min(T2, tx.state == ClientTx.State.CALLING ? 2 * tx.gap : T2);
         tx.resend = timers.set(now + tx.gap, (at, o) -> again(at, tx, o));
         tx.resend(out);
     }
 
     private void over(long now, ClientTx tx, Failure failure, Out out) {
-        boolean unanswered = tx.state == ClientTx.State.CALLING || tx.state == ClientTx.State.PROCEEDING;
+        boolean unanswered =
+                tx.state == ClientTx.State.CALLING || tx.state == ClientTx.State.PROCEEDING;
         end(tx);
         if (unanswered && !tx.request.method().equals("CANCEL")) {
             user.failed(now, tx, failure, out);
@@ -162,7 +189,8 @@
             return;
         }
         if (!from.equals(tx.to)) {
-            // The right branch from another address than the request went to: forged (RFC 3581 4 answers from there).
+            // The right branch from another address than the request went to: forged (RFC 3581 4
+            // answers from there).
             forged++;
             out.log("forged-response", response.header("Session-ID", ""), from + " for " + tx.to);
             return;
@@ -194,7 +222,7 @@
                     user.response(now, tx, response, out);
                 }
             }
-            default -> { }
+            default -> {}
         }
     }
 
@@ -228,8 +256,9 @@
         ack.add("Via", tx.request.header("Via"));
         for (Field field : tx.request.fields()) {
             switch (field.name()) {
-                case "From", "Call-ID", "Route", "Max-Forwards", "Session-ID" -> ack.add(field.name(), field.value());
-                default -> { }
+                case "From", "Call-ID", "Route", "Max-Forwards", "Session-ID" ->
+                        ack.add(field.name(), field.value());
+                default -> {}
             }
         }
         ack.add("To", response.header("To"));
@@ -284,18 +313,29 @@
     /** Whether a request with this branch is in hand or was answered a while ago. */
     public boolean knows(SipMessage request) {
         Via via = request.via();
-        return servers.containsKey(key(via.branch() + "|" + via.host() + ":" + via.port(), request.method()));
+        return servers.containsKey(
+                key(via.branch() + "|" + via.host() + ":" + via.port(), request.method()));
     }
 
     private static Via stamped(SipMessage message, Hop from) {
         String text = message.header("Via");
         Via via = message.via();
         int rport = text.indexOf(";rport;");
-        String value = rport >= 0
-                ? text.substring(0, rport) + ";rport=" + from.port() + ";received=" + from.host() + text.substring(rport + 6)
-                : via.params().has("rport")
-                ? text.replaceFirst(";\\s*rport(=[^;]*)?", ";rport=" + from.port() + ";received=" + from.host())
-                : via.host().equals(from.host()) ? text : text + ";received=" + from.host();
+        String value =
+                rport >= 0
+                        ? text.substring(0, rport)
+                                + ";rport="
+                                + from.port()
+                                + ";received="
+                                + from.host()
+                                + text.substring(rport + 6)
+                        : via.params().has("rport")
+                                ? text.replaceFirst(
+                                        ";\\s*rport(=[^;]*)?",
+                                        ";rport=" + from.port() + ";received=" + from.host())
+                                : via.host().equals(from.host())
+                                        ? text
+                                        : text + ";received=" + from.host();
         message.set("Via", value);
         return message.via();
     }
@@ -358,13 +398,18 @@
         if (status < 300 || !tx.back.tcp()) {
             tx.resend = timers.set(now + tx.gap, (at, o) -> answerAgain(at, tx, o));
         }
-        tx.end = timers.set(now + PATIENCE * T1, (at, o) -> {
-            boolean lost = tx.state == ServerTx.State.ACCEPTED && accepted.containsKey(tx.dialog);
-            end(tx);
-            if (lost) {
-                user.unacked(at, tx, o);
-            }
-        });
+        tx.end =
+                timers.set(
+                        now + PATIENCE * T1,
+                        (at, o) -> {
+                            boolean lost =
+                                    tx.state == ServerTx.State.ACCEPTED
+                                            && accepted.containsKey(tx.dialog);
+                            end(tx);
+                            if (lost) {
+                                user.unacked(at, tx, o);
+                            }
+                        });
         return true;
     }
 
@@ -384,15 +429,24 @@
         }
     }
 
-    /** The transport could not carry requests to this hop: those not answered yet have failed (18.4). */
+    /**
+     * The transport could not carry requests to this hop: those not answered yet have failed
+     * (18.4).
+     */
     public void broken(long now, Hop peer, boolean refused, Out out) {
-        for (ClientTx tx : clients.values().stream().filter(t -> t.to.equals(peer)).sorted(
-                java.util.Comparator.comparing(t -> t.key)).toList()) {
+        for (ClientTx tx :
+                clients.values().stream()
+                        .filter(t -> t.to.equals(peer))
+                        .sorted(java.util.Comparator.comparing(t -> t.key))
+                        .toList()) {
             over(now, tx, refused ? Failure.REFUSED : Failure.BROKEN, out);
         }
         // Responses on a broken connection go to the address in Via by a new one (RFC 3261 18.2.2).
-        for (ServerTx tx : servers.values().stream().filter(t -> t.back.equals(peer)).sorted(
-                java.util.Comparator.comparing(t -> t.key)).toList()) {
+        for (ServerTx tx :
+                servers.values().stream()
+                        .filter(t -> t.back.equals(peer))
+                        .sorted(java.util.Comparator.comparing(t -> t.key))
+                        .toList()) {
             Via via = tx.request.via();
             tx.back = new Hop(true, via.params().get("received", via.host()), via.port());
             if (!tx.back.equals(peer) && tx.last != null && tx.last.status() >= 200) {
--- a/src/main/java/coralcove/sip/transport/Sockets.java
+++ b/src/main/java/coralcove/sip/transport/Sockets.java
@@ -21,18 +21,29 @@
 import org.apache.mina.transport.socket.nio.NioSocketConnector;
 
 /**
- * One node's sockets, on Apache MINA: UDP and TCP on the same port, connections used again in both directions.
- * What is read is handed over as whole messages on MINA's threads. Bounds: connections, bytes waiting, idle time.
+ * One node's sockets, on Apache MINA: UDP and TCP on the same port, connections used again in both
+ * directions. What is read is handed over as whole messages on MINA's threads. Bounds: connections,
+ * bytes waiting, idle time.
  */
 public final class Sockets implements AutoCloseable {
     /** Connections of one node at most, both ways: past it a new one is closed at once. */
     private static final int MOST_CONNECTIONS = 10_000;
-    /** Bytes waiting to be written to one peer at most: past it the peer does not read, and is cut off. */
+
+    /**
+     * Bytes waiting to be written to one peer at most: past it the peer does not read, and is cut
+     * off.
+     */
     private static final long MOST_WAITING = 4L << 20;
+
     /** Seconds after which a connection that carried nothing is closed. */
     private static final int IDLE = 120;
-    /** Bytes of a socket's receive buffer for datagrams: some thousand messages, a tenth of a second's worth. */
+
+    /**
+     * Bytes of a socket's receive buffer for datagrams: some thousand messages, a tenth of a
+     * second's worth.
+     */
     private static final int RECEIVE_BUFFER = 4 << 20;
+
     private static final String HOP = "hop";
     private static final String FRAMER = "framer";
 
@@ -91,12 +102,15 @@
             return;
         }
         if (!to.tcp() && to.host().startsWith("[")) {
-            // The library's datagram acceptor never returns from it, and the node's thread would stand.
+            // The library's datagram acceptor never returns from it, and the node's thread would
+            // stand.
             listener.cutOff(to, "IPv6 over UDP is not served");
             return;
         }
         if (!to.tcp()) {
-            datagrams.newSession(new InetSocketAddress(to.host(), to.port()), local).write(IoBuffer.wrap(bytes));
+            datagrams
+                    .newSession(new InetSocketAddress(to.host(), to.port()), local)
+                    .write(IoBuffer.wrap(bytes));
             return;
         }
         IoSession stream = streams.get(to);
@@ -117,7 +131,9 @@
 
     private void write(IoSession stream, byte[] bytes) {
         if (stream.getScheduledWriteBytes() > MOST_WAITING) {
-            listener.cutOff(hop(stream), "reads too slowly: " + stream.getScheduledWriteBytes() + " bytes wait");
+            listener.cutOff(
+                    hop(stream),
+                    "reads too slowly: " + stream.getScheduledWriteBytes() + " bytes wait");
             stream.closeNow();
         } else {
             stream.write(IoBuffer.wrap(bytes));
@@ -140,11 +156,16 @@
         synchronized (waiting) {
             Waiting queue = waiting.get(to);
             if (queue != null) {
-                // A peer that takes no connection must not fill the memory: its transactions send again or end.
+                // A peer that takes no connection must not fill the memory: its transactions send
+                // again or end.
                 if (queue.bytes + bytes.length > MOST_WAITING) {
                     if (!queue.full) {
                         queue.full = true;
-                        listener.cutOff(to, "does not connect: " + queue.bytes + " bytes wait, more is dropped");
+                        listener.cutOff(
+                                to,
+                                "does not connect: "
+                                        + queue.bytes
+                                        + " bytes wait, more is dropped");
                     }
                     return;
                 }
@@ -155,21 +176,25 @@
             first.add(bytes);
             waiting.put(to, first);
         }
-        connector.connect(new InetSocketAddress(to.host(), to.port())).addListener(future -> {
-            org.apache.mina.core.future.ConnectFuture done = (org.apache.mina.core.future.ConnectFuture) future;
-            Waiting queue;
-            synchronized (waiting) {
-                queue = waiting.remove(to);
-                if (done.isConnected()) {
-                    streams.put(to, done.getSession());
-                    done.getSession().setAttribute(HOP, to);
-                    queue.messages.forEach(each -> write(done.getSession(), each));
-                }
-            }
-            if (!done.isConnected() && !closed) {
-                listener.broken(to, true);
-            }
-        });
+        connector
+                .connect(new InetSocketAddress(to.host(), to.port()))
+                .addListener(
+                        future -> {
+                            org.apache.mina.core.future.ConnectFuture done =
+                                    (org.apache.mina.core.future.ConnectFuture) future;
+                            Waiting queue;
+                            synchronized (waiting) {
+                                queue = waiting.remove(to);
+                                if (done.isConnected()) {
+                                    streams.put(to, done.getSession());
+                                    done.getSession().setAttribute(HOP, to);
+                                    queue.messages.forEach(each -> write(done.getSession(), each));
+                                }
+                            }
+                            if (!done.isConnected() && !closed) {
+                                listener.broken(to, true);
+                            }
+                        });
     }
 
     private static Hop remote(IoSession session, boolean tcp) {
@@ -213,8 +238,10 @@
     private final class Stream extends IoHandlerAdapter {
         @Override
         public void sessionOpened(IoSession session) {
-            if (acceptor.getManagedSessionCount() + connector.getManagedSessionCount() > MOST_CONNECTIONS) {
-                listener.cutOff(remote(session, true), "more than " + MOST_CONNECTIONS + " connections");
+            if (acceptor.getManagedSessionCount() + connector.getManagedSessionCount()
+                    > MOST_CONNECTIONS) {
+                listener.cutOff(
+                        remote(session, true), "more than " + MOST_CONNECTIONS + " connections");
                 session.closeNow();
                 return;
             }
@@ -227,8 +254,8 @@
             byte[] bytes = Mina.bytes(message);
             Hop from = remote(session, true);
             try {
-                ((StreamFramer) session.getAttribute(FRAMER)).take(bytes, 0, bytes.length,
-                        whole -> listener.read(from, whole));
+                ((StreamFramer) session.getAttribute(FRAMER))
+                        .take(bytes, 0, bytes.length, whole -> listener.read(from, whole));
             } catch (BadMessage e) {
                 listener.cutOff(from, e.getMessage());
                 session.closeNow();
--- a/src/main/java/coralcove/sources/Roster.java
+++ b/src/main/java/coralcove/sources/Roster.java
@@ -14,36 +14,70 @@
 import java.util.TreeSet;
 
 /**
- * The roster as believed, made by one merge of what sources say: directories, DNS, and the lists kept from before this
- * router's start. Times and what was said go in; beliefs with their reasons come out. docs/design/sources.md has the rules
- * as one table. It holds no clock and no wire.
+ * The roster as believed, made by one merge of what sources say: directories, DNS, and the lists
+ * kept from before this router's start. Times and what was said go in; beliefs with their reasons
+ * come out. docs/design/sources.md has the rules as one table. It holds no clock and no wire.
  */
 public final class Roster {
     /** How much say a directory's list still has. */
-    public enum Say { NONE, FRESH, OLD, VOID }
+    public enum Say {
+        NONE,
+        FRESH,
+        OLD,
+        VOID
+    }
 
     /** Why a listing was not taken. */
-    public enum Refusal { NONE, OTHER_EPOCH, OLDER_VERSION, TOO_LONG }
+    public enum Refusal {
+        NONE,
+        OTHER_EPOCH,
+        OLDER_VERSION,
+        TOO_LONG
+    }
 
-    /** What a source has said of one machine, for the store and the command line; {@code since} on the router's clock. */
+    /**
+     * What a source has said of one machine, for the store and the command line; {@code since} on
+     * the router's clock.
+     */
     public record Said(String source, long id, Life life, long since, long renewed) {}
 
-    /** µs after its last renewal for which a list says who is missing: two and a half lives of a subscription. */
+    /**
+     * µs after its last renewal for which a list says who is missing: two and a half lives of a
+     * subscription.
+     */
     public static final long FRESH_FOR = 30_000_000;
-    /** µs after which a list that nobody renews yields to any that is renewed: as long as a directory's repair takes. */
+
+    /**
+     * µs after which a list that nobody renews yields to any that is renewed: as long as a
+     * directory's repair takes.
+     */
     public static final long OLD_FOR = 600_000_000;
-    /** Machines of one source at most, those that it misses included; a listing past that is refused whole. */
+
+    /**
+     * Machines of one source at most, those that it misses included; a listing past that is refused
+     * whole.
+     */
     public static final int MOST = 10_000;
-    /** µs for which it is kept that a source misses a machine: by then no other has an older list of it. */
+
+    /**
+     * µs for which it is kept that a source misses a machine: by then no other has an older list of
+     * it.
+     */
     private static final long MISSED_FOR = 3_600_000_000L;
-    /** Addresses from DNS of one number that are remembered: the ones past it are forgotten, oldest first. */
+
+    /**
+     * Addresses from DNS of one number that are remembered: the ones past it are forgotten, oldest
+     * first.
+     */
     private static final int MOST_ADDRESSES = 16;
 
     private static final class Directory {
         final String name;
         final Map<Long, Life> lines = new LinkedHashMap<>();
+
         /** When a machine that it lists no more was missed. */
         final Map<Long, Long> missed = new LinkedHashMap<>();
+
         String epoch = "";
         long version;
         long renewed = Long.MIN_VALUE;
@@ -65,7 +99,9 @@
         }
     }
 
-    /** The start of a machine and its moment on this router's clock: the first that was told holds. */
+    /**
+     * The start of a machine and its moment on this router's clock: the first that was told holds.
+     */
     private record Start(long start, long since) {}
 
     /** What DNS says of one number: the address in use, and the ids of all addresses seen. */
@@ -92,7 +128,10 @@
         directories.get(source).epoch = "";
     }
 
-    /** A listing within a subscription. Its lines count in any order; versions only tell gaps and who is missing. */
+    /**
+     * A listing within a subscription. Its lines count in any order; versions only tell gaps and
+     * who is missing.
+     */
     public Refusal listed(long now, int source, Listing listing) {
         Directory from = directories.get(source);
         if (!from.epoch.isEmpty() && !from.epoch.equals(listing.epoch())) {
@@ -101,8 +140,12 @@
         if (!from.epoch.isEmpty() && listing.version() < from.version) {
             return Refusal.OLDER_VERSION;
         }
-        long unknown = listing.lines().stream().filter(line -> !from.lines.containsKey(line.id())).count();
-        if (from.lines.size() - (listing.kind() == Listing.Kind.WHOLE ? from.missed.size() : 0) + unknown > MOST) {
+        long unknown =
+                listing.lines().stream().filter(line -> !from.lines.containsKey(line.id())).count();
+        if (from.lines.size()
+                        - (listing.kind() == Listing.Kind.WHOLE ? from.missed.size() : 0)
+                        + unknown
+                > MOST) {
             return Refusal.TOO_LONG;
         }
         boolean first = from.epoch.isEmpty();
@@ -148,34 +191,47 @@
         }
     }
 
-    /** One source misses a machine that another lists: the other is asked what it has heard since. */
+    /**
+     * One source misses a machine that another lists: the other is asked what it has heard since.
+     */
     private void doubt(long now, Directory from, long id, Life missed) {
         for (Directory other : directories) {
             Life theirs = other.lines.get(id);
-            if (other != from && theirs != null && other.say(now) == Say.FRESH && theirs.start() == missed.start()
-                    && theirs.phase() != Phase.GONE && theirs.beat() <= missed.quiet()) {
+            if (other != from
+                    && theirs != null
+                    && other.say(now) == Say.FRESH
+                    && theirs.start() == missed.start()
+                    && theirs.phase() != Phase.GONE
+                    && theirs.beat() <= missed.quiet()) {
                 other.wanted = true;
             }
         }
     }
 
-    /** Whoever a whole list does not name is missing, as of the last sign of life that this source told of. */
+    /**
+     * Whoever a whole list does not name is missing, as of the last sign of life that this source
+     * told of.
+     */
     private void miss(long now, Directory from, Set<Long> named) {
         for (Map.Entry<Long, Life> each : from.lines.entrySet()) {
-            if (!named.contains(each.getKey()) && from.missed.putIfAbsent(each.getKey(), now) == null) {
+            if (!named.contains(each.getKey())
+                    && from.missed.putIfAbsent(each.getKey(), now) == null) {
                 each.setValue(each.getValue().missed());
                 touched.add(each.getKey());
                 doubt(now, from, each.getKey(), each.getValue());
             }
         }
-        from.missed.entrySet().removeIf(each -> {
-            boolean over = now - each.getValue() >= MISSED_FOR;
-            if (over) {
-                from.lines.remove(each.getKey());
-                touched.add(each.getKey());
-            }
-            return over;
-        });
+        from.missed
+                .entrySet()
+                .removeIf(
+                        each -> {
+                            boolean over = now - each.getValue() >= MISSED_FOR;
+                            if (over) {
+                                from.lines.remove(each.getKey());
+                                touched.add(each.getKey());
+                            }
+                            return over;
+                        });
     }
 
     /** A directory said that its list still holds. */
@@ -183,7 +239,10 @@
         directories.get(source).renewed = now;
     }
 
-    /** Whether a directory is to be asked for its whole list: after a gap, or since another contradicts it. */
+    /**
+     * Whether a directory is to be asked for its whole list: after a gap, or since another
+     * contradicts it.
+     */
     public boolean wantsWhole(int source) {
         boolean wanted = directories.get(source).wanted;
         directories.get(source).wanted = false;
@@ -191,8 +250,8 @@
     }
 
     /**
-     * Where DNS says that the router of a number is; none where it says that there is no such service. An answer past
-     * its life ({@code stale}) keeps what is in use and brings nothing new.
+     * Where DNS says that the router of a number is; none where it says that there is no such
+     * service. An answer past its life ({@code stale}) keeps what is in use and brings nothing new.
      */
     public void located(long now, int number, List<String> addresses, boolean stale) {
         Located it = located.computeIfAbsent(number, n -> new Located());
@@ -217,19 +276,24 @@
         return it.address.isEmpty() ? 0 : it.seen.get(it.address).start;
     }
 
-    /** What was kept before this router's start, of directories that are still asked. Told before all else. */
+    /**
+     * What was kept before this router's start, of directories that are still asked. Told before
+     * all else.
+     */
     public int kept(long now, List<Said> them) {
         int taken = 0;
         for (Said each : them) {
             for (Directory from : directories) {
                 if (from.name.equals(each.source) && from.lines.size() < MOST) {
                     from.lines.merge(each.id, each.life, Life::join);
-                    // A moment still to come, as after a clock was set back: old at once, and cold from now.
+                    // A moment still to come, as after a clock was set back: old at once, and cold
+                    // from now.
                     long renewed = each.renewed > now ? now - FRESH_FOR : each.renewed;
                     from.renewed = Math.max(from.renewed, Math.min(renewed, now - FRESH_FOR));
                     Start start = starts.get(each.id);
                     if (start == null || each.life.start() > start.start) {
-                        starts.put(each.id, new Start(each.life.start(), Math.min(each.since, now)));
+                        starts.put(
+                                each.id, new Start(each.life.start(), Math.min(each.since, now)));
                     }
                     if (each.life.phase() == Phase.GONE) {
                         from.missed.putIfAbsent(each.id, now);
@@ -244,7 +308,10 @@
 
     // ---- what is believed
 
-    /** What has changed since this was last asked, as the module is told it; what is believed no more is GONE. */
+    /**
+     * What has changed since this was last asked, as the module is told it; what is believed no
+     * more is GONE.
+     */
     public List<Exchange> news(long now) {
         if (sayChanged(now)) {
             directories.forEach(from -> touched.addAll(from.lines.keySet()));
@@ -255,25 +322,37 @@
         // Whether DNS has a say on a number depends on what directories say of it.
         Set<Integer> numbers = new TreeSet<>();
         touched.forEach(id -> numbers.add(id < 0 ? Integer.MIN_VALUE : numberOf(id)));
-        located.forEach((number, it) -> {
-            if (numbers.contains(number)) {
-                touched.add(dnsId(it));
-            }
-        });
+        located.forEach(
+                (number, it) -> {
+                    if (numbers.contains(number)) {
+                        touched.add(dnsId(it));
+                    }
+                });
         List<Exchange> news = new ArrayList<>();
         for (long id : touched) {
             Belief before = believed.get(id);
             Belief after = id == 0 ? null : id < 0 ? fromDns(now, id) : believe(now, id);
             if (after == null && before != null) {
                 Exchange was = before.exchange();
-                after = new Belief(new Exchange(id, was.number(), Phase.GONE, was.since()), before.address(),
-                        id < 0 ? Why.DNS_DROPPED : Why.OUTLIVED);
+                after =
+                        new Belief(
+                                new Exchange(id, was.number(), Phase.GONE, was.since()),
+                                before.address(),
+                                id < 0 ? Why.DNS_DROPPED : Why.OUTLIVED);
             }
-            boolean neverTold = before == null && id < 0 && after != null && after.exchange().phase() == Phase.GONE;
-            if (after != null && !neverTold && (before == null || !before.exchange().equals(after.exchange()))) {
+            boolean neverTold =
+                    before == null
+                            && id < 0
+                            && after != null
+                            && after.exchange().phase() == Phase.GONE;
+            if (after != null
+                    && !neverTold
+                    && (before == null || !before.exchange().equals(after.exchange()))) {
                 news.add(after.exchange());
             }
-            if (after != null && after.exchange().phase() == Phase.GONE && (id < 0 || nobodySays(id))) {
+            if (after != null
+                    && after.exchange().phase() == Phase.GONE
+                    && (id < 0 || nobodySays(id))) {
                 believed.remove(id);
             } else if (after != null) {
                 believed.put(id, after);
@@ -338,15 +417,26 @@
         if (life == null) {
             return null;
         }
-        Why why = life.left() ? Why.LEFT : life.silent() ? Why.SILENT : onlyVoid && whole ? Why.OUTLIVED
-                : life.drains() ? Why.DRAINS : fresh ? Why.LISTED : Why.LIST_OLD;
+        Why why =
+                life.left()
+                        ? Why.LEFT
+                        : life.silent()
+                                ? Why.SILENT
+                                : onlyVoid && whole
+                                        ? Why.OUTLIVED
+                                        : life.drains()
+                                                ? Why.DRAINS
+                                                : fresh ? Why.LISTED : Why.LIST_OLD;
         Phase phase = why == Why.OUTLIVED ? Phase.GONE : life.phase();
         Start start = starts.get(id);
         long since = start != null && start.start == life.start() ? start.since : 0;
         return new Belief(new Exchange(id, life.number(), phase, since), life.address(), why);
     }
 
-    /** A machine that DNS names counts only while no directory knows its number, and never at a place one called off. */
+    /**
+     * A machine that DNS names counts only while no directory knows its number, and never at a
+     * place one called off.
+     */
     private Belief fromDns(long now, long id) {
         for (Map.Entry<Integer, Located> each : located.entrySet()) {
             Located it = each.getValue();
@@ -355,22 +445,31 @@
             }
             Why why = Why.DNS_ONLY;
             for (Map.Entry<Integer, Located> other : located.entrySet()) {
-                // A router serves one number: an address of two is a wildcard's, or a mistake, and whose nobody knows.
-                if (!other.getKey().equals(each.getKey()) && other.getValue().address.equals(it.address)) {
+                // A router serves one number: an address of two is a wildcard's, or a mistake, and
+                // whose nobody knows.
+                if (!other.getKey().equals(each.getKey())
+                        && other.getValue().address.equals(it.address)) {
                     why = Why.DNS_SHARED;
                 }
             }
             for (Directory from : directories) {
                 for (Map.Entry<Long, Life> line : from.lines.entrySet()) {
-                    Belief known = line.getValue().number() == each.getKey() ? believe(now, line.getKey()) : null;
-                    if (known != null && (known.exchange().phase() != Phase.GONE
-                            || known.address().equals(it.address))) {
+                    Belief known =
+                            line.getValue().number() == each.getKey()
+                                    ? believe(now, line.getKey())
+                                    : null;
+                    if (known != null
+                            && (known.exchange().phase() != Phase.GONE
+                                    || known.address().equals(it.address))) {
                         why = Why.DNS_YIELDS;
                     }
                 }
             }
             Phase phase = why == Why.DNS_ONLY ? Phase.READY : Phase.GONE;
-            return new Belief(new Exchange(id, each.getKey(), phase, it.seen.get(it.address).since), it.address, why);
+            return new Belief(
+                    new Exchange(id, each.getKey(), phase, it.seen.get(it.address).since),
+                    it.address,
+                    why);
         }
         return null;
     }
@@ -384,7 +483,10 @@
         return believed.values();
     }
 
-    /** Numbers of which some machine is known, gone ones too: a session to one is refused, not unknown. */
+    /**
+     * Numbers of which some machine is known, gone ones too: a session to one is refused, not
+     * unknown.
+     */
     public Set<Integer> numbers() {
         Set<Integer> numbers = new TreeSet<>();
         believed.values().forEach(belief -> numbers.add(belief.exchange().number()));
@@ -399,11 +501,19 @@
     public List<Said> said() {
         List<Said> all = new ArrayList<>();
         for (Directory from : directories) {
-            from.lines.forEach((id, life) -> {
-                Start start = starts.get(id);
-                all.add(new Said(from.name, id, life, start != null && start.start == life.start() ? start.since : 0,
-                        from.renewed));
-            });
+            from.lines.forEach(
+                    (id, life) -> {
+                        Start start = starts.get(id);
+                        all.add(
+                                new Said(
+                                        from.name,
+                                        id,
+                                        life,
+                                        start != null && start.start == life.start()
+                                                ? start.since
+                                                : 0,
+                                        from.renewed));
+                    });
         }
         return all;
     }
--- a/src/main/java/coralcove/sources/store/RosterStore.java
+++ b/src/main/java/coralcove/sources/store/RosterStore.java
@@ -13,13 +13,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What directories have said, on a router's own disk, for its restart while no directory is up: one entry a source and
- * machine, a line of text behind its form's version and CRC-32C. Written on a thread of its own, the newest only.
+ * What directories have said, on a router's own disk, for its restart while no directory is up: one
+ * entry a source and machine, a line of text behind its form's version and CRC-32C. Written on a
+ * thread of its own, the newest only.
  */
 public final class RosterStore implements AutoCloseable {
     private static final String FORM = "1";
-    /** Milliseconds between two writes: what a kill loses at most, and far under the time a directory takes to return. */
+
+    /**
+     * Milliseconds between two writes: what a kill loses at most, and far under the time a
+     * directory takes to return.
+     */
     private static final long EVERY = 500;
+
     private static final int FIELDS = 13;
 
     private final EntryStore<String, Roster.Said> store;
@@ -27,11 +33,21 @@
     private final Thread writer = new Thread(this::write, "roster-store");
 
     public RosterStore(Path path, Consumer<String> said) {
-        store = new EntryStore<>(path, new EntryStore.Form<>("roster", each -> each.source() + " " + each.id(),
-                RosterStore::out, RosterStore::in), said);
+        store =
+                new EntryStore<>(
+                        path,
+                        new EntryStore.Form<>(
+                                "roster",
+                                each -> each.source() + " " + each.id(),
+                                RosterStore::out,
+                                RosterStore::in),
+                        said);
     }
 
-    /** Takes what was kept before a start, and whom all that is said from now on is handed to; how much counted. */
+    /**
+     * Takes what was kept before a start, and whom all that is said from now on is handed to; how
+     * much counted.
+     */
     public interface Resuming {
         int resume(List<Roster.Said> kept, Consumer<List<Roster.Said>> to);
     }
@@ -80,10 +96,21 @@
 
     private static byte[] out(Roster.Said it) {
         Life life = it.life();
-        String text = String.join(" ", FORM, it.source(), Long.toString(it.id()), Long.toString(life.start()),
-                Long.toString(life.beat()), Boolean.toString(life.drains()), Long.toString(life.quiet()),
-                Boolean.toString(life.left()), Integer.toString(life.number()), life.address(), Long.toString(it.since()),
-                Long.toString(it.renewed()));
+        String text =
+                String.join(
+                        " ",
+                        FORM,
+                        it.source(),
+                        Long.toString(it.id()),
+                        Long.toString(life.start()),
+                        Long.toString(life.beat()),
+                        Boolean.toString(life.drains()),
+                        Long.toString(life.quiet()),
+                        Boolean.toString(life.left()),
+                        Integer.toString(life.number()),
+                        life.address(),
+                        Long.toString(it.since()),
+                        Long.toString(it.renewed()));
         return (text + " " + sum(text)).getBytes(StandardCharsets.UTF_8);
     }
 
@@ -91,12 +118,25 @@
         String text = new String(entry, StandardCharsets.UTF_8);
         String[] parts = text.split(" ");
         int last = text.lastIndexOf(' ');
-        if (parts.length != FIELDS || !parts[0].equals(FORM) || !parts[12].equals(sum(text.substring(0, last)))) {
+        if (parts.length != FIELDS
+                || !parts[0].equals(FORM)
+                || !parts[12].equals(sum(text.substring(0, last)))) {
             return null;
         }
-        Life life = new Life(Long.parseLong(parts[3]), Long.parseLong(parts[4]), Boolean.parseBoolean(parts[5]),
-                Long.parseLong(parts[6]), Boolean.parseBoolean(parts[7]), Integer.parseInt(parts[8]), parts[9]);
-        return new Roster.Said(parts[1], Long.parseLong(parts[2]), life, Long.parseLong(parts[10]),
+        Life life =
+                new Life(
+                        Long.parseLong(parts[3]),
+                        Long.parseLong(parts[4]),
+                        Boolean.parseBoolean(parts[5]),
+                        Long.parseLong(parts[6]),
+                        Boolean.parseBoolean(parts[7]),
+                        Integer.parseInt(parts[8]),
+                        parts[9]);
+        return new Roster.Said(
+                parts[1],
+                Long.parseLong(parts[2]),
+                life,
+                Long.parseLong(parts[10]),
                 Long.parseLong(parts[11]));
     }
 
--- a/src/main/java/coralcove/store/EntryStore.java
+++ b/src/main/java/coralcove/store/EntryStore.java
@@ -17,13 +17,15 @@
 import org.h2.mvstore.MVStoreException;
 
 /**
- * What must outlive a program, entry by entry, on disk in an H2 MVStore; each entry with a form and a checksum of its own. A
- * store that cannot be opened is put aside, an entry that is not sound is left, a disk that is full ends the writing: its
- * owner goes on in each case, and says what it left. One thread owns it.
+ * What must outlive a program, entry by entry, on disk in an H2 MVStore; each entry with a form and
+ * a checksum of its own. A store that cannot be opened is put aside, an entry that is not sound is
+ * left, a disk that is full ends the writing: its owner goes on in each case, and says what it
+ * left. One thread owns it.
  */
 public final class EntryStore<K, T> implements AutoCloseable {
     /** How an entry is written and read; {@code in} gives null where an entry is not sound. */
-    public record Form<K, T>(String kind, Function<T, K> key, Function<T, byte[]> out, Function<byte[], T> in) {}
+    public record Form<K, T>(
+            String kind, Function<T, K> key, Function<T, byte[]> out, Function<byte[], T> in) {}
 
     /** Stores put aside at most; past it the oldest name is used again. */
     private static final int MOST_ASIDE = 5;
@@ -52,7 +54,9 @@
         entries = store.openMap(form.kind());
     }
 
-    /** A store that cannot be read is kept for whoever wants to look at it, and an empty one begun. */
+    /**
+     * A store that cannot be read is kept for whoever wants to look at it, and an empty one begun.
+     */
     private void aside(String why) {
         closeNow();
         try {
--- a/src/main/java/coralcove/theory/Symmetric.java
+++ b/src/main/java/coralcove/theory/Symmetric.java
@@ -1,15 +1,21 @@
 package coralcove.theory;
 
 /**
- * A fully joined network of equal groups where a call that finds its direct group full tries one alternative of two groups,
- * drawn by chance: the fixed point of Gibbens, Hunt and Kelly, "Bistability in communication networks" (1990). Without
- * circuits reserved for direct calls it has two stable solutions over a range of loads: a good one, and one in which
- * most circuits carry calls of two groups. One reserved circuit in twenty ends that.
+ * A fully joined network of equal groups where a call that finds its direct group full tries one
+ * alternative of two groups, drawn by chance: the fixed point of Gibbens, Hunt and Kelly,
+ * "Bistability in communication networks" (1990). Without circuits reserved for direct calls it has
+ * two stable solutions over a range of loads: a good one, and one in which most circuits carry
+ * calls of two groups. One reserved circuit in twenty ends that.
  */
 public final class Symmetric {
-    /** Steps of the damped iteration, and its damping: the solutions are reached to nine places but at a range's very end. */
+    /**
+     * Steps of the damped iteration, and its damping: the solutions are reached to nine places but
+     * at a range's very end.
+     */
     private static final int STEPS = 2000;
+
     private static final double DAMPING = 0.05;
+
     /** Sums of weights are scaled down from here. */
     private static final double LARGE = 1e200;
 
--- a/src/test/java/coralcove/ChoiceTest.java
+++ b/src/test/java/coralcove/ChoiceTest.java
@@ -24,10 +24,17 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Each test plays a short scene and compares what was decided with the trace kept under src/test/resources. */
+/**
+ * Each test plays a short scene and compares what was decided with the trace kept under
+ * src/test/resources.
+ */
 class ChoiceTest {
     private static Desk three() {
-        return new Desk().roster(READY, 0, 0, 1, 2, 3).circuits(1, 50, 50).circuits(2, 50, 50).circuits(3, 50, 50);
+        return new Desk()
+                .roster(READY, 0, 0, 1, 2, 3)
+                .circuits(1, 50, 50)
+                .circuits(2, 50, 50)
+                .circuits(3, 50, 50);
     }
 
     @Test
@@ -61,7 +68,10 @@
         desk.circuits(2, 0, 0).note("no group to 2").call(2, 0, 2);
         desk.note("number 9 is on no list").call(3, 0, 9);
         desk.circuits(3, 0, 50).circuits(1, 0, 50).note("all groups full").call(4, 1, 3);
-        desk.circuits(2, 40, 50).peer(2, 0, 0xff).note("an odd far end, after news of ways on").call(6, 0, -100);
+        desk.circuits(2, 40, 50)
+                .peer(2, 0, 0xff)
+                .note("an odd far end, after news of ways on")
+                .call(6, 0, -100);
         new Desk().call(5, 0, 1);
         desk.reads("degenerate");
     }
@@ -75,7 +85,10 @@
         desk.after(1000, BUSY, TURNED_BACK, 40);
         desk.after(1000, BUSY, FULL_BEYOND, 40);
         desk.note("3 turned back for 1 a moment ago").call(1001, 0, 1);
-        desk.circuits(2, 4, 50).circuits(3, 4, 50).note("tandems under a tenth free").call(1002, 0, 1);
+        desk.circuits(2, 4, 50)
+                .circuits(3, 4, 50)
+                .note("tandems under a tenth free")
+                .call(1002, 0, 1);
         desk.reads("overflow");
     }
 
@@ -159,7 +172,8 @@
 
     @Test
     void aFreshExchangeGetsThisRoutersPartOnly() {
-        Desk desk = new Desk(4, 4).roster(READY, 0, 0, 1, 2, 3).circuits(1, 50, 50).circuits(2, 50, 50);
+        Desk desk =
+                new Desk(4, 4).roster(READY, 0, 0, 1, 2, 3).circuits(1, 50, 50).circuits(2, 50, 50);
         desk.load(1, 100, 0, 2, 100);
         desk.roster(READY, desk.now(), 1).note("1 started just now");
         desk.load(200, 40, 0, 1, 100).load(300, 80, 0, 1, 100);
@@ -169,7 +183,11 @@
 
     @Test
     void inALargeFleetAFreshExchangeGetsLessThanOneSetUpAWindowFromEach() {
-        Desk desk = new Desk(4, 90).roster(READY, 0, 0, 1, 2, 3).circuits(1, 50, 50).circuits(2, 50, 50);
+        Desk desk =
+                new Desk(4, 90)
+                        .roster(READY, 0, 0, 1, 2, 3)
+                        .circuits(1, 50, 50)
+                        .circuits(2, 50, 50);
         desk.load(1, 100, 0, 2, 100);
         desk.roster(READY, desk.now(), 1).load(200, 95, 0, 1, 100);
         desk.load(300, 20, 0, 1, 100).reads("fresh-large");
@@ -272,7 +290,10 @@
         Desk desk = three().circuits(1, 5, 50).circuits(2, 0, 50).circuits(3, 0, 50);
         desk.load(1, 100, 0, 1, 100).circuits(1, 0, 50);
         desk.dial(500, 77, false, false);
-        desk.pass(500).circuits(1, 5, 50).note("5 of 50 free: room for what may be in time").dial(501, 77, true, false);
+        desk.pass(500)
+                .circuits(1, 5, 50)
+                .note("5 of 50 free: room for what may be in time")
+                .dial(501, 77, true, false);
         desk.pass(500).circuits(1, 0, 50).note("past the target").dial(502, 77, true, false);
         desk.note("cut and come again").circuits(1, 5, 50).dial(503, 0, true, true);
         desk.note("another caller of the same number").dial(504, 77, false, false);
@@ -314,9 +335,16 @@
         desk.note("2 tells that it has no way to 1").peer(2, 0, 0xfd).call(2, 0, 1);
         desk.note("and 3 too").peer(3, 0, 0xfd).call(3, 0, 1);
         desk.after(1, STANDS, NONE, 50);
-        desk.note("2 has a way again; odd messages say nothing").peer(2, 0, 2).peer(3).peer().peer(9, 9, 1).call(4, 0, 1);
+        desk.note("2 has a way again; odd messages say nothing")
+                .peer(2, 0, 2)
+                .peer(3)
+                .peer()
+                .peer(9, 9, 1)
+                .call(4, 0, 1);
         desk.after(4, STANDS, NONE, 50);
-        desk.pass(6000).note("old news holds nothing back, but the way it told of goes first").call(5, 0, 1);
+        desk.pass(6000)
+                .note("old news holds nothing back, but the way it told of goes first")
+                .call(5, 0, 1);
         desk.reads("peers");
     }
 
@@ -335,7 +363,17 @@
 
     @Test
     void aDirectoryThatFailsIsAskedAgainAfterAWhile() {
-        new Desk().tells().tells().lost().tells().pass(999).tells().pass(1001).tells().tells().reads("directory");
+        new Desk()
+                .tells()
+                .tells()
+                .lost()
+                .tells()
+                .pass(999)
+                .tells()
+                .pass(1001)
+                .tells()
+                .tells()
+                .reads("directory");
     }
 
     @Test
@@ -351,7 +389,8 @@
 
     @Test
     void aNumberThatIsCalledAgainAtOnceIsRefusedAndIsNoLoad() {
-        // Strangers called one number 200 times in 0.2 s; counted, they left no room in the targets for callers.
+        // Strangers called one number 200 times in 0.2 s; counted, they left no room in the targets
+        // for callers.
         Desk desk = three();
         desk.circuits(1, 0, 50).circuits(2, 0, 50).circuits(3, 0, 50);
         desk.note("full: refused, and told when to come back");
@@ -361,7 +400,9 @@
         desk.circuits(1, 50, 50).note("there is room: callers of other numbers get it");
         desk.dial(6, 8, false, false);
         desk.dial(7, 7, false, false);
-        desk.pass(300).note("the one told to come back is served when it does").dial(8, 7, true, false);
+        desk.pass(300)
+                .note("the one told to come back is served when it does")
+                .dial(8, 7, true, false);
         desk.reads("called-again");
     }
 
@@ -392,13 +433,35 @@
     @Test
     void exchangesThatAreReplacedAllDayAreNotKept() throws Exception {
         // Each was, with its rings: a router's memory grew with the replacements.
-        Choice choice = new Choice(new Settings(2, 0, false, List.of(new Settings.Service(1_000_000, 1, 0.1, 1, 10_000_000,
-                true, List.of())), 4, true, true, 2_000_000, true, true, 300_000, 2, 2_000_000, 0.3, 10_000_000),
-                new SplittableRandom(1));
+        Choice choice =
+                new Choice(
+                        new Settings(
+                                2,
+                                0,
+                                false,
+                                List.of(
+                                        new Settings.Service(
+                                                1_000_000, 1, 0.1, 1, 10_000_000, true, List.of())),
+                                4,
+                                true,
+                                true,
+                                2_000_000,
+                                true,
+                                true,
+                                300_000,
+                                2,
+                                2_000_000,
+                                0.3,
+                                10_000_000),
+                        new SplittableRandom(1));
         for (long id = 1; id <= 500; id++) {
             choice.roster(id, false, List.of(new Exchange(id, 1, READY, id)));
-            choice.roster(id, id % 2 == 0, id % 2 == 0 ? List.of(new Exchange(id, 1, READY, id))
-                    : List.of(new Exchange(id, 1, GONE, id)));
+            choice.roster(
+                    id,
+                    id % 2 == 0,
+                    id % 2 == 0
+                            ? List.of(new Exchange(id, 1, READY, id))
+                            : List.of(new Exchange(id, 1, GONE, id)));
         }
         Field kept = Choice.class.getDeclaredField("exchanges");
         kept.setAccessible(true);
--- a/src/test/java/coralcove/ColdFleetTest.java
+++ b/src/test/java/coralcove/ColdFleetTest.java
@@ -11,10 +11,11 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * All routers of a fleet together towards one exchange that starts cold: beyond its budget of N set-ups a window only
- * 2 root N + 2 are chance. Each pair of exchanges has the same load, a processor is used to 0.7 by it (a set-up is work at both
- * ends), and the exchange carries its first share, then more, as the settings say. Routers are told at different moments, and
- * one in five has just been restarted.
+ * All routers of a fleet together towards one exchange that starts cold: beyond its budget of N
+ * set-ups a window only 2 root N + 2 are chance. Each pair of exchanges has the same load, a
+ * processor is used to 0.7 by it (a set-up is work at both ends), and the exchange carries its
+ * first share, then more, as the settings say. Routers are told at different moments, and one in
+ * five has just been restarted.
  */
 class ColdFleetTest {
     private static final long SECOND = 1_000_000;
@@ -24,11 +25,13 @@
     private static final long WARM_UP = 12 * SECOND;
     private static final double USE = 0.7;
     private static final long TOLD_WITHIN = SECOND;
+
     /** Sessions a second of each router when nothing happens. */
     private static final double RATE = 10;
 
     /** Set-ups a second: all others ring it, and it rings all others. */
     private static final double CAPACITY = 2 * RATE / USE;
+
     private static final long MOST_QUEUED = 1_400_000;
 
     private record Due(long at, long order, LongConsumer act) {}
@@ -36,7 +39,8 @@
     @Test
     void aColdExchangeIsNotPushedOverByAllRoutersTogether() {
         for (int routers : new int[] {5, 20, 30, 48}) {
-            // From nothing special to six times the load, as when callers try again after an outage.
+            // From nothing special to six times the load, as when callers try again after an
+            // outage.
             for (double load : new double[] {1, 2.5, 6, 10}) {
                 for (int seed = 1; seed <= 3; seed++) {
                     new Fleet(routers, load, seed).play();
@@ -51,8 +55,12 @@
         private final SplittableRandom random;
         private final Choice[] choices;
         private final long[] restarted;
-        private final PriorityQueue<Due> due = new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at)
-                : Long.compare(a.order, b.order));
+        private final PriorityQueue<Due> due =
+                new PriorityQueue<>(
+                        (a, b) ->
+                                a.at != b.at
+                                        ? Long.compare(a.at, b.at)
+                                        : Long.compare(a.order, b.order));
         private final ArrayDeque<Long> sends = new ArrayDeque<>();
         private final String where;
         private long order;
@@ -103,13 +111,46 @@
 
         private void start(int router, long now) {
             restarted[router] = now;
-            choices[router] = new Choice(new Settings(routers, router, false, List.of(new Settings.Service(1_500_000, 1, 0.1,
-                    1, 10 * SECOND, true, List.of()), new Settings.Service(1_500_000, 2, 0.1, 1, 15 * SECOND, true, List.of())),
-                    4, true, true, 2 * SECOND, false, false, 300_000, MULTIPLE, WINDOW, COLD_FROM, WARM_UP),
-                    new SplittableRandom(router));
+            choices[router] =
+                    new Choice(
+                            new Settings(
+                                    routers,
+                                    router,
+                                    false,
+                                    List.of(
+                                            new Settings.Service(
+                                                    1_500_000,
+                                                    1,
+                                                    0.1,
+                                                    1,
+                                                    10 * SECOND,
+                                                    true,
+                                                    List.of()),
+                                            new Settings.Service(
+                                                    1_500_000,
+                                                    2,
+                                                    0.1,
+                                                    1,
+                                                    15 * SECOND,
+                                                    true,
+                                                    List.of())),
+                                    4,
+                                    true,
+                                    true,
+                                    2 * SECOND,
+                                    false,
+                                    false,
+                                    300_000,
+                                    MULTIPLE,
+                                    WINDOW,
+                                    COLD_FROM,
+                                    WARM_UP),
+                            new SplittableRandom(router));
             List<Exchange> all = new ArrayList<>();
             for (int i = 0; i < routers; i++) {
-                all.add(new Exchange(i, i, Exchange.Phase.READY, i == 1 && now >= coldAt ? coldAt : 0));
+                all.add(
+                        new Exchange(
+                                i, i, Exchange.Phase.READY, i == 1 && now >= coldAt ? coldAt : 0));
             }
             choices[router].roster(now, true, all);
             for (int i = 0; i < routers; i++) {
@@ -118,7 +159,8 @@
         }
 
         private void told(long now, int router) {
-            choices[router].roster(now, false, List.of(new Exchange(1, 1, Exchange.Phase.READY, coldAt)));
+            choices[router].roster(
+                    now, false, List.of(new Exchange(1, 1, Exchange.Phase.READY, coldAt)));
         }
 
         private void session(long now, int router) {
@@ -127,8 +169,22 @@
             farEnd += farEnd >= router ? 1 : 0;
             long id = ++calls;
             Choice choice = choices[router];
-            Answer answer = choice.route(now, new Session(id, id % 5 == 0 ? 1 : 0, 0, farEnd, 1, -1, false, id, false, false,
-                    now, now + 9 * SECOND));
+            Answer answer =
+                    choice.route(
+                            now,
+                            new Session(
+                                    id,
+                                    id % 5 == 0 ? 1 : 0,
+                                    0,
+                                    farEnd,
+                                    1,
+                                    -1,
+                                    false,
+                                    id,
+                                    false,
+                                    false,
+                                    now,
+                                    now + 9 * SECOND));
             if (answer.kind() == Answer.Kind.SEND) {
                 if (answer.exchange() == 1 && now >= coldAt) {
                     count(now);
@@ -136,23 +192,42 @@
                 long since = restarted[router];
                 long took = 60_000 + (answer.exchange() == 1 ? queue(now) : 0);
                 boolean full = took > MOST_QUEUED;
-                at(now + (full ? 60_000 : took), then -> {
-                    if (restarted[router] == since) {
-                        choice.after(then, id, full ? Ending.BUSY : Ending.STANDS, full ? Cause.PROCESSOR_FULL : Cause.NONE,
-                                answer.exchange(), full ? 60_000 : took, full ? 700_000 : 0, true);
-                    }
-                });
+                at(
+                        now + (full ? 60_000 : took),
+                        then -> {
+                            if (restarted[router] == since) {
+                                choice.after(
+                                        then,
+                                        id,
+                                        full ? Ending.BUSY : Ending.STANDS,
+                                        full ? Cause.PROCESSOR_FULL : Cause.NONE,
+                                        answer.exchange(),
+                                        full ? 60_000 : took,
+                                        full ? 700_000 : 0,
+                                        true);
+                            }
+                        });
             }
         }
 
-        /** How long a set-up waits at the processor that starts cold; what it turns away is work too. */
+        /**
+         * How long a set-up waits at the processor that starts cold; what it turns away is work
+         * too.
+         */
         private long queue(long now) {
-            freeAt = Math.max(freeAt, now) + (long) (SECOND / (present(now) * CAPACITY) * (freeAt - now > MOST_QUEUED ? 0.2 : 1));
+            freeAt =
+                    Math.max(freeAt, now)
+                            + (long)
+                                    (SECOND
+                                            / (present(now) * CAPACITY)
+                                            * (freeAt - now > MOST_QUEUED ? 0.2 : 1));
             return freeAt - now;
         }
 
         private double present(long now) {
-            return now < coldAt ? 1 : Math.min(1, COLD_FROM + (1 - COLD_FROM) * (now - coldAt) / WARM_UP);
+            return now < coldAt
+                    ? 1
+                    : Math.min(1, COLD_FROM + (1 - COLD_FROM) * (now - coldAt) / WARM_UP);
         }
 
         private void count(long now) {
@@ -162,7 +237,8 @@
                 sends.poll();
             }
             double budget = MULTIPLE * present(now) * CAPACITY * WINDOW / SECOND;
-            assertThat((double) sends.size()).as(where + " at " + (now - coldAt) / 1000 + " ms")
+            assertThat((double) sends.size())
+                    .as(where + " at " + (now - coldAt) / 1000 + " ms")
                     .isLessThanOrEqualTo(budget + 2 * Math.sqrt(budget) + 2);
         }
     }
--- a/src/test/java/coralcove/Desk.java
+++ b/src/test/java/coralcove/Desk.java
@@ -12,7 +12,10 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 
-/** One router at its desk: exchanges 101, 102, ... carry the numbers 1, 2, ...; the own one is number 0, id 100. */
+/**
+ * One router at its desk: exchanges 101, 102, ... carry the numbers 1, 2, ...; the own one is
+ * number 0, id 100.
+ */
 final class Desk {
     static final long MS = 1000;
     private final CallRouter router;
@@ -24,18 +27,38 @@
         this(4, 2);
     }
 
-    /** Two services: 0 plain (value 1, hold 10 s), 1 dear (value 4, hold 5 s); both one circuit, target 1 s. */
+    /**
+     * Two services: 0 plain (value 1, hold 10 s), 1 dear (value 4, hold 5 s); both one circuit,
+     * target 1 s.
+     */
     Desk(int inviteLimit, int routers) {
         this(inviteLimit, routers, false);
     }
 
     Desk(int inviteLimit, int routers, boolean pools) {
-        List<Settings.Service> services = List.of(
-                new Settings.Service(1_000_000, 1, 0.1, 1, 10_000_000, true, List.of(1, 2)),
-                new Settings.Service(1_000_000, 4, 0.1, 1, 5_000_000, true, List.of()));
-        router = new Choice(new Settings(routers, pools ? -1 : 0, pools, services, inviteLimit, true, true,
-                2_000_000, true, true, 300_000, 2, 2_000_000, 0.3, 10_000_000),
-                new SplittableRandom(1));
+        List<Settings.Service> services =
+                List.of(
+                        new Settings.Service(1_000_000, 1, 0.1, 1, 10_000_000, true, List.of(1, 2)),
+                        new Settings.Service(1_000_000, 4, 0.1, 1, 5_000_000, true, List.of()));
+        router =
+                new Choice(
+                        new Settings(
+                                routers,
+                                pools ? -1 : 0,
+                                pools,
+                                services,
+                                inviteLimit,
+                                true,
+                                true,
+                                2_000_000,
+                                true,
+                                true,
+                                300_000,
+                                2,
+                                2_000_000,
+                                0.3,
+                                10_000_000),
+                        new SplittableRandom(1));
     }
 
     Desk roster(Phase phase, long since, int... numbers) {
@@ -60,16 +83,33 @@
     }
 
     Answer call(long id, int service, int farEnd) {
-        return call(new Session(id, service, 0, farEnd, 1, -1, false, 0, false, false, now, now + 3_000_000));
+        return call(
+                new Session(
+                        id,
+                        service,
+                        0,
+                        farEnd,
+                        1,
+                        -1,
+                        false,
+                        0,
+                        false,
+                        false,
+                        now,
+                        now + 3_000_000));
     }
 
     /** A session to far end 1 that names the number it calls. */
     Answer dial(long id, long number, boolean redialled, boolean cut) {
-        return call(new Session(id, 0, 0, 1, 1, -1, false, number, redialled, cut, now, now + 3_000_000));
+        return call(
+                new Session(
+                        id, 0, 0, 1, 1, -1, false, number, redialled, cut, now, now + 3_000_000));
     }
 
     Answer advised(long id, int farEnd, int tandem) {
-        return call(new Session(id, 0, 0, farEnd, 1, tandem, false, 0, false, false, now, now + 3_000_000));
+        return call(
+                new Session(
+                        id, 0, 0, farEnd, 1, tandem, false, 0, false, false, now, now + 3_000_000));
     }
 
     Desk peer(int... body) {
@@ -84,7 +124,8 @@
 
     Desk tells() {
         Waiting waiting = router.waiting(now);
-        waiting.broadcasts().forEach(body -> note("tells all others " + HexFormat.of().formatHex(body)));
+        waiting.broadcasts()
+                .forEach(body -> note("tells all others " + HexFormat.of().formatHex(body)));
         return waiting.subscribe() ? note("subscribes") : this;
     }
 
@@ -97,13 +138,22 @@
     }
 
     Answer transit(long id, int service, int farEnd) {
-        return call(new Session(id, service, 0, farEnd, 1, 7, true, 0, false, false, now, now + 3_000_000));
+        return call(
+                new Session(
+                        id, service, 0, farEnd, 1, 7, true, 0, false, false, now, now + 3_000_000));
     }
 
     Answer call(Session session) {
         sessions.put(session.id(), session);
-        return say("session " + session.id() + " service " + session.service() + " to " + session.farEnd()
-                + (session.transit() ? " in transit" : ""), router.route(now, session));
+        return say(
+                "session "
+                        + session.id()
+                        + " service "
+                        + session.service()
+                        + " to "
+                        + session.farEnd()
+                        + (session.transit() ? " in transit" : ""),
+                router.route(now, session));
     }
 
     Answer again(long id) {
@@ -115,7 +165,8 @@
     }
 
     Answer after(long id, Ending ending, Cause cause, long took, boolean over) {
-        return say("session " + id + " " + ending + " " + cause + (over ? " over" : ""),
+        return say(
+                "session " + id + " " + ending + " " + cause + (over ? " over" : ""),
                 router.after(now, id, ending, cause, 0, took * MS, 0, over));
     }
 
@@ -124,7 +175,10 @@
         return this;
     }
 
-    /** Offers sessions evenly and notes how many were sent; each sent one stands at once, after 50 ms as told. */
+    /**
+     * Offers sessions evenly and notes how many were sent; each sent one stands at once, after 50
+     * ms as told.
+     */
     Desk load(long from, int count, int service, int farEnd, long gapMillis) {
         return load(from, count, service, farEnd, gapMillis, 0);
     }
@@ -141,7 +195,15 @@
             }
             trace.setLength(before);
         }
-        return note(count + " sessions of service " + service + " to " + farEnd + ": " + sent + " sent");
+        return note(
+                count
+                        + " sessions of service "
+                        + service
+                        + " to "
+                        + farEnd
+                        + ": "
+                        + sent
+                        + " sent");
     }
 
     Desk note(String text) {
@@ -150,13 +212,19 @@
     }
 
     private Answer say(String what, Answer answer) {
-        String out = switch (answer.kind()) {
-            case SEND -> "send to " + answer.exchange() + ", limit " + answer.time() / MS + " ms";
-            case LATER -> "later, at " + answer.time() / MS + " ms";
-            case REFUSE -> "refuse, come back after " + answer.time() / MS + " ms";
-            case FAIL -> "fail";
-            case NOTHING -> "nothing";
-        };
+        String out =
+                switch (answer.kind()) {
+                    case SEND ->
+                            "send to "
+                                    + answer.exchange()
+                                    + ", limit "
+                                    + answer.time() / MS
+                                    + " ms";
+                    case LATER -> "later, at " + answer.time() / MS + " ms";
+                    case REFUSE -> "refuse, come back after " + answer.time() / MS + " ms";
+                    case FAIL -> "fail";
+                    case NOTHING -> "nothing";
+                };
         note(what + " -> " + out);
         return answer;
     }
--- a/src/test/java/coralcove/PlanKeeperTest.java
+++ b/src/test/java/coralcove/PlanKeeperTest.java
@@ -12,10 +12,27 @@
 
 /** Which plans are taken, what they keep, and how they lose their say. */
 class PlanKeeperTest {
-    static final Settings SETTINGS = new Settings(3, 7, false, List.of(
-            new Settings.Service(1_500_000, 2, 0.25, 2, 16_500_000, true, List.of()),
-            new Settings.Service(1_500_000, 1, 0.1, 1, 11_000_000, true, List.of())), 4, true, true, 2_000_000, true,
-            true, 300_000, 3, 1_500_000, 0.3, 10_000_000);
+    static final Settings SETTINGS =
+            new Settings(
+                    3,
+                    7,
+                    false,
+                    List.of(
+                            new Settings.Service(
+                                    1_500_000, 2, 0.25, 2, 16_500_000, true, List.of()),
+                            new Settings.Service(
+                                    1_500_000, 1, 0.1, 1, 11_000_000, true, List.of())),
+                    4,
+                    true,
+                    true,
+                    2_000_000,
+                    true,
+                    true,
+                    300_000,
+                    3,
+                    1_500_000,
+                    0.3,
+                    10_000_000);
     private static final int CLASSES = 4;
     private final List<GroupFacts> told = new ArrayList<>();
     private final PlanKeeper keeper = new PlanKeeper(SETTINGS, told::add);
@@ -45,7 +62,8 @@
             for (int i = 0; now != null && i < CLASSES; i++) {
                 trace.append(String.format(" %.2f/%.2f", now.c0()[i], now.c1()[i]));
             }
-            trace.append(now == null ? " no targets" : String.format(" beta %.4f", now.beta())).append('\n');
+            trace.append(now == null ? " no targets" : String.format(" beta %.4f", now.beta()))
+                    .append('\n');
         }
         assertThat(trace.toString()).isEqualTo(Kept.trace("plan-ages"));
         assertThat(told).hasSize(8);
@@ -57,28 +75,36 @@
         long now = 101_000_000;
         assertThat(keeper.offer(now, plan(5, good))).isEqualTo(PlanKeeper.Refusal.NONE);
         assertThat(keeper.offer(now, plan(5, good))).isEqualTo(PlanKeeper.Refusal.OLDER_VERSION);
-        assertThat(keeper.offer(now, new Plan(8, 6, List.of()))).isEqualTo(PlanKeeper.Refusal.OTHER_ROUTER);
+        assertThat(keeper.offer(now, new Plan(8, 6, List.of())))
+                .isEqualTo(PlanKeeper.Refusal.OTHER_ROUTER);
         assertThat(keeper.offer(now, plan(6, good, facts(now - 60_000_000, 4, 20, 1, 0, 0, 0))))
                 .isEqualTo(PlanKeeper.Refusal.OLD_FACTS);
         assertThat(keeper.offer(now, plan(6, facts(now + 1_000_001, 4, 20, 1, 0, 0, 0))))
                 .isEqualTo(PlanKeeper.Refusal.FUTURE_FACTS);
         GroupPlan bad = planner.of(now, good);
         bad.c0()[0] = Double.NaN;
-        assertThat(keeper.offer(now, new Plan(7, 6, List.of(bad)))).isEqualTo(PlanKeeper.Refusal.OUT_OF_RANGE);
+        assertThat(keeper.offer(now, new Plan(7, 6, List.of(bad))))
+                .isEqualTo(PlanKeeper.Refusal.OUT_OF_RANGE);
         assertThat(keeper.version()).isEqualTo(5);
         assertThat(keeper.age(now, 4)).isEqualTo(PlanKeeper.Age.STALE);
-        GroupPlan far = new GroupPlan(now, 100_000, 1, bad.c0(), bad.c1(), bad.seen(), bad.phantoms());
-        assertThat(keeper.offer(now, new Plan(7, 6, List.of(far)))).isEqualTo(PlanKeeper.Refusal.OUT_OF_RANGE);
+        GroupPlan far =
+                new GroupPlan(now, 100_000, 1, bad.c0(), bad.c1(), bad.seen(), bad.phantoms());
+        assertThat(keeper.offer(now, new Plan(7, 6, List.of(far))))
+                .isEqualTo(PlanKeeper.Refusal.OUT_OF_RANGE);
     }
 
-    /** What a session looks at: whether a plan has come, and the plan of its group while it is fresh. */
+    /**
+     * What a session looks at: whether a plan has come, and the plan of its group while it is
+     * fresh.
+     */
     @Test
     void aLookAtAFreshPlanMakesNothing() {
         for (int group = 0; group < 300; group++) {
             keeper.offer(10_000_000, plan(1 + group, facts(9_000_000, group, 20, 5, 0, 12, 4)));
         }
-        com.sun.management.ThreadMXBean threads = (com.sun.management.ThreadMXBean)
-                java.lang.management.ManagementFactory.getThreadMXBean();
+        com.sun.management.ThreadMXBean threads =
+                (com.sun.management.ThreadMXBean)
+                        java.lang.management.ManagementFactory.getThreadMXBean();
         long me = Thread.currentThread().getId();
         long seen = 0;
         long before = 0;
@@ -99,11 +125,15 @@
     void olderFactsInANewerPlanDoNotReplaceNewerOnes() {
         keeper.offer(10_000_000, plan(1, facts(9_000_000, 3, 20, 5, 0, 12, 4)));
         double c0 = keeper.of(10_000_000, facts(10_000_000, 3, 20, 0, 0, 0, 0)).c0()[2];
-        assertThat(keeper.offer(10_000_000, plan(2, facts(1_000_000, 3, 20, 1, 0, 1, 0)))).isEqualTo(PlanKeeper.Refusal.NONE);
-        assertThat(keeper.of(10_000_000, facts(10_000_000, 3, 20, 0, 0, 0, 0)).c0()[2]).isEqualTo(c0);
+        assertThat(keeper.offer(10_000_000, plan(2, facts(1_000_000, 3, 20, 1, 0, 1, 0))))
+                .isEqualTo(PlanKeeper.Refusal.NONE);
+        assertThat(keeper.of(10_000_000, facts(10_000_000, 3, 20, 0, 0, 0, 0)).c0()[2])
+                .isEqualTo(c0);
     }
 
-    /** Whatever is offered, what the decisions then go by is within the design's bounds, at any age. */
+    /**
+     * Whatever is offered, what the decisions then go by is within the design's bounds, at any age.
+     */
     @Property(tries = 2000, seed = "17")
     void everyPlanTakenKeepsTheBounds(@ForAll @LongRange(min = 0) long seed) {
         SplittableRandom chance = new SplittableRandom(seed);
@@ -122,16 +152,28 @@
                 case 1 -> group.c1()[at] = value;
                 case 2 -> group.phantoms()[at] = value;
                 case 3 -> group.seen()[at] = !group.seen()[at];
-                default -> group = new GroupPlan(0, 1, value, group.c0(), group.c1(), group.seen(), group.phantoms());
+                default ->
+                        group =
+                                new GroupPlan(
+                                        0,
+                                        1,
+                                        value,
+                                        group.c0(),
+                                        group.c1(),
+                                        group.seen(),
+                                        group.phantoms());
             }
         }
-        PlanKeeper.Refusal refusal = keeper.offer(0, new Plan(7, keeper.version() + 1, List.of(group)));
+        PlanKeeper.Refusal refusal =
+                keeper.offer(0, new Plan(7, keeper.version() + 1, List.of(group)));
         assertThat(spoilt || refusal == PlanKeeper.Refusal.NONE).isTrue();
         if (refusal != PlanKeeper.Refusal.NONE) {
             return;
         }
         GroupPlan now = keeper.of(0, facts(0, 1, 1, calls));
-        for (long age = 0; now != null; age += 5_000_000, now = keeper.of(age, facts(0, 1, 1, calls))) {
+        for (long age = 0;
+                now != null;
+                age += 5_000_000, now = keeper.of(age, facts(0, 1, 1, calls))) {
             double least = Double.POSITIVE_INFINITY;
             double sum = 0;
             for (int i = 0; i < CLASSES; i++) {
@@ -139,8 +181,14 @@
                 assertThat(now.c1()[i]).isBetween(0.0, Double.MAX_VALUE);
                 assertThat(now.c0()[i] + now.c1()[i] > 0).isEqualTo(now.seen()[i]);
                 sum += now.c0()[i];
-                least = now.c0()[i] > 0 ? Math.min(least, now.c1()[i] > 0 ? Math.min(now.c0()[i], now.c1()[i])
-                        : now.c0()[i]) : least;
+                least =
+                        now.c0()[i] > 0
+                                ? Math.min(
+                                        least,
+                                        now.c1()[i] > 0
+                                                ? Math.min(now.c0()[i], now.c1()[i])
+                                                : now.c0()[i])
+                                : least;
             }
             assertThat(now.beta()).isPositive();
             if (sum > 0) {
@@ -153,51 +201,93 @@
     private static int sent(Choice choice, long now, long first) {
         int sent = 0;
         for (int i = 0; i < 60; i++) {
-            Session session = new Session(first + i, 1, 0, 1, 1, -1, false, 1000 + first + i, false, false, now,
-                    now + 9_000_000);
+            Session session =
+                    new Session(
+                            first + i,
+                            1,
+                            0,
+                            1,
+                            1,
+                            -1,
+                            false,
+                            1000 + first + i,
+                            false,
+                            false,
+                            now,
+                            now + 9_000_000);
             sent += choice.route(now, session).kind() == Answer.Kind.SEND ? 1 : 0;
         }
         return sent;
     }
 
-    /** A plan from before an exchange's restart, or its drain, undoes neither the cold guard nor the drain. */
+    /**
+     * A plan from before an exchange's restart, or its drain, undoes neither the cold guard nor the
+     * drain.
+     */
     @Test
     void aPlanFromBeforeARestartUndoesNoGuard() {
         long now = 100_000_000;
-        PlanKeeper planned = new PlanKeeper(SETTINGS, f -> { });
+        PlanKeeper planned = new PlanKeeper(SETTINGS, f -> {});
         assertThat(planned.offer(now, plan(1, facts(now - 10_000_000, 1, 1000, 0, 0, 400, 0))))
                 .isEqualTo(PlanKeeper.Refusal.NONE);
         int[] cold = new int[2];
         int[] drained = new int[2];
         for (int i = 0; i < 2; i++) {
-            Choice choice = new Choice(SETTINGS, new SplittableRandom(1), i == 0 ? planner : planned);
-            choice.roster(now, true, List.of(new Exchange(101, 1, Exchange.Phase.READY, now - 1000)));
+            Choice choice =
+                    new Choice(SETTINGS, new SplittableRandom(1), i == 0 ? planner : planned);
+            choice.roster(
+                    now, true, List.of(new Exchange(101, 1, Exchange.Phase.READY, now - 1000)));
             choice.circuits(now, 101, 1000, 1000);
             cold[i] = sent(choice, now, 1);
-            choice.roster(now + 1000, true, List.of(new Exchange(101, 1, Exchange.Phase.DRAINING, now - 1000)));
+            choice.roster(
+                    now + 1000,
+                    true,
+                    List.of(new Exchange(101, 1, Exchange.Phase.DRAINING, now - 1000)));
             drained[i] = sent(choice, now + 1000, 100);
         }
         assertThat(cold[1]).isEqualTo(cold[0]).isBetween(1, 5);
         assertThat(drained).containsExactly(0, 0);
     }
 
-    /** A plan that comes between a session's INVITE and its retry changes targets, not where the session goes on. */
+    /**
+     * A plan that comes between a session's INVITE and its retry changes targets, not where the
+     * session goes on.
+     */
     @Test
     void aPlanInTheMiddleOfARetry() {
         for (boolean comes : new boolean[] {false, true}) {
-            PlanKeeper planned = new PlanKeeper(SETTINGS, f -> { });
+            PlanKeeper planned = new PlanKeeper(SETTINGS, f -> {});
             Choice choice = new Choice(SETTINGS, new SplittableRandom(1), planned);
-            choice.roster(1, true, List.of(new Exchange(101, 1, Exchange.Phase.READY, 0),
-                    new Exchange(102, 2, Exchange.Phase.READY, 0)));
+            choice.roster(
+                    1,
+                    true,
+                    List.of(
+                            new Exchange(101, 1, Exchange.Phase.READY, 0),
+                            new Exchange(102, 2, Exchange.Phase.READY, 0)));
             choice.circuits(1, 101, 50, 50);
             choice.circuits(1, 102, 50, 50);
             Session session = new Session(1, 1, 0, 1, 1, -1, false, 55, false, false, 1, 9_000_000);
             assertThat(choice.route(1, session)).isEqualTo(Answer.send(101, 8_999_999));
             if (comes) {
-                assertThat(planned.offer(100_000, plan(1, facts(1, 1, 50, 0, 0, 400, 0), facts(1, 2, 50, 0, 0, 10, 0))))
+                assertThat(
+                                planned.offer(
+                                        100_000,
+                                        plan(
+                                                1,
+                                                facts(1, 1, 50, 0, 0, 400, 0),
+                                                facts(1, 2, 50, 0, 0, 10, 0))))
                         .isEqualTo(PlanKeeper.Refusal.NONE);
             }
-            assertThat(choice.after(200_000, 1, Ending.NOT_SENT, Cause.NO_CIRCUIT, 101, 199_999, 0, false))
+            assertThat(
+                            choice.after(
+                                    200_000,
+                                    1,
+                                    Ending.NOT_SENT,
+                                    Cause.NO_CIRCUIT,
+                                    101,
+                                    199_999,
+                                    0,
+                                    false))
                     .isEqualTo(Answer.send(102, 8_800_000));
         }
     }
--- a/src/test/java/coralcove/bench/EdgeFootprint.java
+++ b/src/test/java/coralcove/bench/EdgeFootprint.java
@@ -14,8 +14,9 @@
 import java.util.List;
 
 /**
- * Not a test: what one call router's core costs a session, without sockets. Every message in is parsed from bytes and
- * every message out is written to bytes. Prints µs of CPU a whole session, and bytes of heap a standing one.
+ * Not a test: what one call router's core costs a session, without sockets. Every message in is
+ * parsed from bytes and every message out is written to bytes. Prints µs of CPU a whole session,
+ * and bytes of heap a standing one.
  */
 public final class EdgeFootprint implements Out {
     private static final Hop SELF = new Hop(false, "127.0.0.1", 1);
@@ -28,10 +29,38 @@
     private long now = 1_000_000;
 
     private EdgeFootprint() {
-        Settings module = new Settings(2, 0, false, List.of(new Settings.Service(1_500_000, 1, 0.1, 1, 10_000_000, true,
-                List.of())), 4, true, true, 2_000_000, false, true, 300_000, 3, 1_500_000, 0.3, 10_000_000);
-        core = new EdgeCore(new EdgeSettings(0, SELF, EXCHANGE, List.of(DIRECTORY), module, 20_000, 1_000_000, 1, "s"),
-                new Direct(module, Direct.Kind.ALONE));
+        Settings module =
+                new Settings(
+                        2,
+                        0,
+                        false,
+                        List.of(
+                                new Settings.Service(
+                                        1_500_000, 1, 0.1, 1, 10_000_000, true, List.of())),
+                        4,
+                        true,
+                        true,
+                        2_000_000,
+                        false,
+                        true,
+                        300_000,
+                        3,
+                        1_500_000,
+                        0.3,
+                        10_000_000);
+        core =
+                new EdgeCore(
+                        new EdgeSettings(
+                                0,
+                                SELF,
+                                EXCHANGE,
+                                List.of(DIRECTORY),
+                                module,
+                                20_000,
+                                1_000_000,
+                                1,
+                                "s"),
+                        new Direct(module, Direct.Kind.ALONE));
         core.start(now, this);
         for (byte[] bytes : List.copyOf(sent)) {
             SipMessage asked;
@@ -41,20 +70,33 @@
                 throw new IllegalStateException(e);
             }
             String event = asked.header("Event");
-            read(event.equals("exchanges") ? DIRECTORY : EXCHANGE, request("NOTIFY", asked.callId(), 1, "")
-                    .set("To", asked.header("From")).add("Event", event).add("Subscription-State", "active;expires=3600")
-                    .body("text/plain", (event.equals("exchanges")
-                            ? "epoch e version 1 whole\n101 1 ready 1 1 - udp:127.0.0.1:4\n" : "1 10000000\n")
-                            .getBytes(StandardCharsets.UTF_8)));
+            read(
+                    event.equals("exchanges") ? DIRECTORY : EXCHANGE,
+                    request("NOTIFY", asked.callId(), 1, "")
+                            .set("To", asked.header("From"))
+                            .add("Event", event)
+                            .add("Subscription-State", "active;expires=3600")
+                            .body(
+                                    "text/plain",
+                                    (event.equals("exchanges")
+                                                    ? "epoch e version 1 whole\n"
+                                                            + "101 1 ready 1 1 - udp:127.0.0.1:4\n"
+                                                    : "1 10000000\n")
+                                            .getBytes(StandardCharsets.UTF_8)));
         }
         sent.clear();
     }
 
     private static SipMessage request(String method, String call, int sequence, String toTag) {
-        return SipMessage.request(method, "sip:123456@127.0.0.1:1").add("Via", "SIP/2.0/UDP 127.0.0.1:2;rport;branch="
-                + "z9hG4bK" + call + method).add("Max-Forwards", "70").add("From", "<sip:127.0.0.1:2>;tag=f" + call)
-                .add("To", "<sip:123456@127.0.0.1:1>" + (toTag.isEmpty() ? "" : ";tag=" + toTag)).add("Call-ID", call)
-                .add("CSeq", sequence + " " + method).add("Contact", "<sip:127.0.0.1:2>").add("Session-ID", call);
+        return SipMessage.request(method, "sip:123456@127.0.0.1:1")
+                .add("Via", "SIP/2.0/UDP 127.0.0.1:2;rport;branch=" + "z9hG4bK" + call + method)
+                .add("Max-Forwards", "70")
+                .add("From", "<sip:127.0.0.1:2>;tag=f" + call)
+                .add("To", "<sip:123456@127.0.0.1:1>" + (toTag.isEmpty() ? "" : ";tag=" + toTag))
+                .add("Call-ID", call)
+                .add("CSeq", sequence + " " + method)
+                .add("Contact", "<sip:127.0.0.1:2>")
+                .add("Session-ID", call);
     }
 
     private void read(Hop from, SipMessage message) {
@@ -69,11 +111,19 @@
     /** Sets one session up and acknowledges it; returns the tag its caller was answered with. */
     private String setUp(int id) {
         String call = String.format("%032x", id);
-        read(EXCHANGE, request("INVITE", call, 1, "").add("X-Service", "0;value=1;width=1").add("X-Far-End", "1")
-                .add("Expires", "4").add("X-Time-Left", "3150000"));
+        read(
+                EXCHANGE,
+                request("INVITE", call, 1, "")
+                        .add("X-Service", "0;value=1;width=1")
+                        .add("X-Far-End", "1")
+                        .add("Expires", "4")
+                        .add("X-Time-Left", "3150000"));
         SipMessage invite = find("INVITE", 0);
         read(EXCHANGE, SipMessage.reply(invite, 100, "Trying", ""));
-        read(EXCHANGE, SipMessage.reply(invite, 200, "OK", "far" + id).add("Contact", "<sip:127.0.0.1:2>"));
+        read(
+                EXCHANGE,
+                SipMessage.reply(invite, 200, "OK", "far" + id)
+                        .add("Contact", "<sip:127.0.0.1:2>"));
         String tag = find("", 200).toTag();
         read(EXCHANGE, request("ACK", call, 1, tag));
         sent.clear();
@@ -128,8 +178,9 @@
                 int id = (round + 1) * 10_000_000 + i;
                 edge.end(id, edge.setUp(id));
             }
-            System.out.printf("round %d: %.1f us a session, set up and ended, with the test's own messages%n", round,
-                    (System.nanoTime() - start) / 50_000e3);
+            System.out.printf(
+                    "round %d: %.1f us a session, set up and ended, with the test's own messages%n",
+                    round, (System.nanoTime() - start) / 50_000e3);
         }
         edge = new EdgeFootprint();
         long before = used();
@@ -140,7 +191,8 @@
         edge.core.tick(edge.now, edge);
         edge.sent.clear();
         long after = used();
-        System.out.printf("%d standing sessions (two dialogs each): %d bytes a session%n", edge.core.sessions(),
-                (after - before) / count);
+        System.out.printf(
+                "%d standing sessions (two dialogs each): %d bytes a session%n",
+                edge.core.sessions(), (after - before) / count);
     }
 }
--- a/src/test/java/coralcove/bench/NumbersBench.java
+++ b/src/test/java/coralcove/bench/NumbersBench.java
@@ -24,7 +24,10 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** The trie against two plain structures; {@code main} measures heap, edits and ten million look-ups held equal. */
+/**
+ * The trie against two plain structures; {@code main} measures heap, edits and ten million look-ups
+ * held equal.
+ */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -43,7 +46,10 @@
     private final long[] asked = new long[ASKED];
     private int next;
 
-    /** Of 3 to 10 digits below some hundred areas, as tables of ported blocks are; sorted, each once. */
+    /**
+     * Of 3 to 10 digits below some hundred areas, as tables of ported blocks are; sorted, each
+     * once.
+     */
     static long[] keys(int count, SplittableRandom chance) {
         long[] keys = new long[count];
         int n = 0;
@@ -72,8 +78,11 @@
     }
 
     static long number(long[] keys, SplittableRandom chance) {
-        StringBuilder text = new StringBuilder(chance.nextInt(8) == 0 ? "81" + (100 + chance.nextInt(200))
-                : Digits.text(keys[chance.nextInt(keys.length)]));
+        StringBuilder text =
+                new StringBuilder(
+                        chance.nextInt(8) == 0
+                                ? "81" + (100 + chance.nextInt(200))
+                                : Digits.text(keys[chance.nextInt(keys.length)]));
         while (text.length() < 13) {
             text.append((char) ('0' + chance.nextInt(10)));
         }
@@ -131,7 +140,10 @@
         return length == 0 ? 0 : number & -1L << 60 - 4 * length;
     }
 
-    /** The greatest key not above the number is a prefix of it, or the longest part they share has to be tried. */
+    /**
+     * The greatest key not above the number is a prefix of it, or the longest part they share has
+     * to be tried.
+     */
     private static int floor(TreeMap<Long, Integer> map, long number) {
         long at = number;
         while (true) {
@@ -180,8 +192,13 @@
             }
             long ofTree = used() - before;
             // Asked for after the measurement, or the tree would be collected before it.
-            System.out.printf("%d prefixes: bytes a prefix: trie %.1f with its room for edits, HashMap %.1f, TreeMap %.1f%n",
-                    tree.size(), trie.bytes() / (double) count, ofMap / (double) count, ofTree / (double) count);
+            System.out.printf(
+                    "%d prefixes: bytes a prefix: trie %.1f with its room for edits, HashMap %.1f,"
+                            + " TreeMap %.1f%n",
+                    tree.size(),
+                    trie.bytes() / (double) count,
+                    ofMap / (double) count,
+                    ofTree / (double) count);
             int unlike = 0;
             for (int i = 0; i < 10_000_000; i++) {
                 long number = number(keys, chance);
@@ -192,7 +209,9 @@
         }
     }
 
-    /** 100 changes to the table at once, some new, some changed, some gone; the slowest of 50 such. */
+    /**
+     * 100 changes to the table at once, some new, some changed, some gone; the slowest of 50 such.
+     */
     private static void edits(PrefixTrie trie, long[] keys, SplittableRandom chance) {
         Destination[] to = new Destination[95];
         Arrays.fill(to, new Destination.FarEnd(1, List.of()));
@@ -202,8 +221,13 @@
         for (int round = 0; round < 50; round++) {
             List<NumberTable.Change> changes = new ArrayList<>();
             for (int i = 0; i < 100; i++) {
-                long key = i % 2 == 0 ? keys[chance.nextInt(keys.length)] : head(number(keys, chance), 12);
-                changes.add(new NumberTable.Change(key, i % 4 == 0 ? null : new Destination.FarEnd(2, List.of())));
+                long key =
+                        i % 2 == 0
+                                ? keys[chance.nextInt(keys.length)]
+                                : head(number(keys, chance), 12);
+                changes.add(
+                        new NumberTable.Change(
+                                key, i % 4 == 0 ? null : new Destination.FarEnd(2, List.of())));
             }
             long start = System.nanoTime();
             table = table.edited(table.version() + 1, changes);
--- a/src/test/java/coralcove/bench/QueueBench.java
+++ b/src/test/java/coralcove/bench/QueueBench.java
@@ -5,7 +5,10 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 
-/** The ladder queue against java.util.PriorityQueue in the hold model: one event taken, one added, so many standing. */
+/**
+ * The ladder queue against java.util.PriorityQueue in the hold model: one event taken, one added,
+ * so many standing.
+ */
 public final class QueueBench {
     private static final int STEPS = 4_000_000;
     private static final int ROUNDS = 5;
@@ -36,8 +39,12 @@
 
     private static double plain(int standing) {
         SplittableRandom chance = new SplittableRandom(1);
-        PriorityQueue<Event> queue = new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at)
-                : Long.compare(a.order, b.order));
+        PriorityQueue<Event> queue =
+                new PriorityQueue<>(
+                        (a, b) ->
+                                a.at != b.at
+                                        ? Long.compare(a.at, b.at)
+                                        : Long.compare(a.order, b.order));
         for (int i = 0; i < standing; i++) {
             queue.add(new Event(ahead(chance), i));
         }
@@ -51,7 +58,8 @@
     }
 
     public static void main(String[] args) {
-        System.out.println("ns for one event taken and one added, best of " + ROUNDS + " rounds of " + STEPS);
+        System.out.println(
+                "ns for one event taken and one added, best of " + ROUNDS + " rounds of " + STEPS);
         for (int standing : new int[] {100, 1_000, 10_000, 100_000, 1_000_000}) {
             double ladder = Double.MAX_VALUE;
             double plain = Double.MAX_VALUE;
@@ -59,7 +67,12 @@
                 ladder = Math.min(ladder, ladder(standing));
                 plain = Math.min(plain, plain(standing));
             }
-            System.out.printf(Locale.ROOT, "%,9d standing: ladder %.0f, PriorityQueue %.0f%n", standing, ladder, plain);
+            System.out.printf(
+                    Locale.ROOT,
+                    "%,9d standing: ladder %.0f, PriorityQueue %.0f%n",
+                    standing,
+                    ladder,
+                    plain);
         }
     }
 }
--- a/src/test/java/coralcove/bench/SipBench.java
+++ b/src/test/java/coralcove/bench/SipBench.java
@@ -23,7 +23,10 @@
 import org.openjdk.jmh.annotations.TearDown;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** Parse and write of an INVITE as the routers send it; timers at 100,000 standing. Not run by the tests. */
+/**
+ * Parse and write of an INVITE as the routers send it; timers at 100,000 standing. Not run by the
+ * tests.
+ */
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
 @Warmup(iterations = 2, time = 1)
@@ -40,14 +43,27 @@
 
         @Setup
         public void make() throws BadMessage {
-            bytes = ("INVITE sip:123456@127.0.0.1:5060 SIP/2.0\r\n"
-                    + "Via: SIP/2.0/UDP 127.0.0.1:5062;rport;branch=z9hG4bKs1.77\r\nMax-Forwards: 69\r\n"
-                    + "From: <sip:127.0.0.1:5062>;tag=s1a9\r\nTo: <sip:123456@127.0.0.1:5060>\r\nCall-ID: s1-a9\r\n"
-                    + "CSeq: 1 INVITE\r\nContact: <sip:127.0.0.1:5062>\r\nX-Service: 0;value=1.0;width=1\r\n"
-                    + "X-Far-End: 5\r\nX-Origin: 3\r\nExpires: 4\r\nX-Time-Left: 3148200\r\n"
-                    + "Session-ID: 000000030000000193fd51efc1b84f00\r\nSupported: timer\r\n"
-                    + "Session-Expires: 90;refresher=uac\r\nMin-SE: 90\r\nRoute: <sip:5@127.0.0.1:5070;lr>\r\n"
-                    + "Content-Length: 0\r\n\r\n").getBytes(StandardCharsets.UTF_8);
+            bytes =
+                    ("INVITE sip:123456@127.0.0.1:5060 SIP/2.0\r\n"
+                         + "Via: SIP/2.0/UDP 127.0.0.1:5062;rport;branch=z9hG4bKs1.77\r\n"
+                         + "Max-Forwards: 69\r\n"
+                         + "From: <sip:127.0.0.1:5062>;tag=s1a9\r\n"
+                         + "To: <sip:123456@127.0.0.1:5060>\r\n"
+                         + "Call-ID: s1-a9\r\n"
+                         + "CSeq: 1 INVITE\r\n"
+                         + "Contact: <sip:127.0.0.1:5062>\r\n"
+                         + "X-Service: 0;value=1.0;width=1\r\n"
+                         + "X-Far-End: 5\r\n"
+                         + "X-Origin: 3\r\n"
+                         + "Expires: 4\r\n"
+                         + "X-Time-Left: 3148200\r\n"
+                         + "Session-ID: 000000030000000193fd51efc1b84f00\r\n"
+                         + "Supported: timer\r\n"
+                         + "Session-Expires: 90;refresher=uac\r\n"
+                         + "Min-SE: 90\r\n"
+                         + "Route: <sip:5@127.0.0.1:5070;lr>\r\n"
+                         + "Content-Length: 0\r\n\r\n")
+                            .getBytes(StandardCharsets.UTF_8);
             message = SipParser.parse(bytes, 0, bytes.length);
         }
     }
@@ -68,7 +84,10 @@
         return it.message.bytes();
     }
 
-    /** 100,000 timers within 32 s; each step sets one and cancels another, as a transaction that is answered does. */
+    /**
+     * 100,000 timers within 32 s; each step sets one and cancels another, as a transaction that is
+     * answered does.
+     */
     @State(Scope.Benchmark)
     public static class Standing {
         final SplittableRandom chance = new SplittableRandom(1);
@@ -87,10 +106,10 @@
             pool.setRemoveOnCancelPolicy(true);
             for (int i = 0; i < STANDING; i++) {
                 long due = now + 20_000_000 + chance.nextLong(32_000_000);
-                timers[i] = wheel.set(due, (n, o) -> { });
+                timers[i] = wheel.set(due, (n, o) -> {});
                 entries[i] = new long[] {due};
                 heap.add(entries[i]);
-                futures[i] = pool.schedule(() -> { }, due - now, TimeUnit.MICROSECONDS);
+                futures[i] = pool.schedule(() -> {}, due - now, TimeUnit.MICROSECONDS);
             }
         }
 
@@ -109,10 +128,13 @@
     public void timersWheel(Standing it) {
         long due = it.next();
         it.wheel.cancel(it.timers[it.at]);
-        it.timers[it.at] = it.wheel.set(due, (n, o) -> { });
+        it.timers[it.at] = it.wheel.set(due, (n, o) -> {});
     }
 
-    /** A binary heap finds a timer to cancel by looking at all, so it marks it and lets it stand, as is usual. */
+    /**
+     * A binary heap finds a timer to cancel by looking at all, so it marks it and lets it stand, as
+     * is usual.
+     */
     @Benchmark
     public void timersHeap(Standing it) {
         long due = it.next();
@@ -125,6 +147,6 @@
     public void timersExecutor(Standing it) {
         long due = it.next();
         it.futures[it.at].cancel(false);
-        it.futures[it.at] = it.pool.schedule(() -> { }, due - it.now, TimeUnit.MICROSECONDS);
+        it.futures[it.at] = it.pool.schedule(() -> {}, due - it.now, TimeUnit.MICROSECONDS);
     }
 }
--- a/src/test/java/coralcove/bound/BoundTest.java
+++ b/src/test/java/coralcove/bound/BoundTest.java
@@ -10,18 +10,25 @@
 import org.junit.jupiter.api.Test;
 
 class BoundTest {
-    /** Three exchanges whose best can be seen: the direct group first, then the way round as far as both legs have room. */
+    /**
+     * Three exchanges whose best can be seen: the direct group first, then the way round as far as
+     * both legs have room.
+     */
     @Test
     void theBestOfThree() {
         int[][] circuits = {{0, 10, 10}, {10, 0, 5}, {10, 5, 0}};
         // So short a hold beside the slice that it ends in it.
-        List<Demand> demands = List.of(new Demand(0, 1, 0, 1, 0.01, 3000, 2), new Demand(0, 1, 0, 1, 0.01, 3000, 1));
+        List<Demand> demands =
+                List.of(
+                        new Demand(0, 1, 0, 1, 0.01, 3000, 2),
+                        new Demand(0, 1, 0, 1, 0.01, 3000, 1));
         Network network = new Network(circuits, 1, 1, demands);
         double use = network.use(0.01, 0);
         assertThat(use).isCloseTo(0.0099, within(1e-6));
         // Direct and over the tandem: 15 circuits for a second, all of it for the calls of value 2.
         assertThat(ExactBound.of(network)).isCloseTo(2 * 15 / use, within(1e-3));
-        assertThat(new PricedBound(network).value()).isBetween(2 * 15 / use - 1e-6, 1.01 * 2 * 15 / use);
+        assertThat(new PricedBound(network).value())
+                .isBetween(2 * 15 / use - 1e-6, 1.01 * 2 * 15 / use);
         assertThat(network.offered()).isEqualTo(9000);
     }
 
@@ -42,11 +49,14 @@
                 double from = 10 * chance.nextDouble();
                 double to = from - Math.log(1 - chance.nextDouble()) * hold;
                 for (int later = 0; later < 3; later++) {
-                    seen[later] += Math.max(0, Math.min(to, 10 * later + 10) - Math.max(from, 10 * later)) / count;
+                    seen[later] +=
+                            Math.max(0, Math.min(to, 10 * later + 10) - Math.max(from, 10 * later))
+                                    / count;
                 }
             }
             for (int later = 0; later < 3; later++) {
-                assertThat(seen[later]).isCloseTo(network.use(hold, later), within(0.03 * hold / 3));
+                assertThat(seen[later])
+                        .isCloseTo(network.use(hold, later), within(0.03 * hold / 3));
             }
         }
     }
@@ -62,7 +72,9 @@
             for (int j = 0; j < n; j++) {
                 for (int slice = 0; i != j && slice < 3; slice++) {
                     demands.add(new Demand(i, j, slice, 1, 11, chance.nextInt(50), 1));
-                    demands.add(new Demand(i, j, slice, 1 + chance.nextInt(2), 16, chance.nextInt(15), 2));
+                    demands.add(
+                            new Demand(
+                                    i, j, slice, 1 + chance.nextInt(2), 16, chance.nextInt(15), 2));
                 }
             }
         }
@@ -86,6 +98,7 @@
     @Test
     void tooLargeForTheProgramme() {
         Network network = random(new SplittableRandom(1), ExactBound.MOST + 1);
-        assertThatThrownBy(() -> ExactBound.of(network)).hasMessage("17 exchanges, and at most 16 are solved exactly");
+        assertThatThrownBy(() -> ExactBound.of(network))
+                .hasMessage("17 exchanges, and at most 16 are solved exactly");
     }
 }
--- a/src/test/java/coralcove/cli/NumbersCommandTest.java
+++ b/src/test/java/coralcove/cli/NumbersCommandTest.java
@@ -22,8 +22,12 @@
             System.setOut(both);
             System.setErr(both);
             int code = Commands.run(args);
-            told.append("$ numbers ").append(String.join(" ", java.util.Arrays.asList(args).subList(1, args.length)))
-                    .append("  # exit ").append(code).append('\n').append(bytes.toString(StandardCharsets.UTF_8));
+            told.append("$ numbers ")
+                    .append(String.join(" ", java.util.Arrays.asList(args).subList(1, args.length)))
+                    .append("  # exit ")
+                    .append(code)
+                    .append('\n')
+                    .append(bytes.toString(StandardCharsets.UTF_8));
         } finally {
             System.setOut(out);
             System.setErr(err);
@@ -39,7 +43,8 @@
         Path first = folder.resolve("a.table");
         Path second = folder.resolve("b.table");
         Path changes = folder.resolve("ab.changes");
-        String text = """
+        String text =
+                """
                 table 1
                 calendar day Asia/Tokyo 08:00-18:00
                 calendar late Asia/Tokyo 17:00-22:00
@@ -51,8 +56,11 @@
                 end 4
                 """;
         Files.writeString(first, text);
-        Files.writeString(second, text.replace("table 1", "table 2").replace("811 to 0", "811 to 1 services 0,2")
-                .replace("819 ported 1", "8191 ported 0"));
+        Files.writeString(
+                second,
+                text.replace("table 1", "table 2")
+                        .replace("811 to 0", "811 to 1 services 0,2")
+                        .replace("819 ported 1", "8191 ported 0"));
         runs(folder, "numbers", "build", first.toString(), "--far-ends", "0-0");
         runs(folder, "numbers", "look", first.toString(), "02-555", "--at", "2026-11-30T10:00:00Z");
         runs(folder, "numbers", "look", first.toString(), "095", "--routing", "8115");
@@ -63,7 +71,9 @@
         runs(folder, "numbers", "stats", second.toString());
         assertThat(told.toString()).isEqualTo(Kept.trace("numbers-command"));
         runs(folder, "numbers", "build", first.toString(), "--changes", changes.toString());
-        assertThat(told.toString()).contains("table 2: 3 changes,")
-                .contains("overlap of day and late, the first counts").contains("gap: no calendar is open");
+        assertThat(told.toString())
+                .contains("table 2: 3 changes,")
+                .contains("overlap of day and late, the first counts")
+                .contains("gap: no calendar is open");
     }
 }
--- a/src/test/java/coralcove/cli/SourcesCommandTest.java
+++ b/src/test/java/coralcove/cli/SourcesCommandTest.java
@@ -36,55 +36,96 @@
         int directory = free();
         int names = free();
         int dead = free();
-        ServiceZone zone = new ServiceZone("example.org", 60).srv("_sip._udp.ex1.example.org", 1, 1, "h.example.org", 5099)
-                .srv("_sip._udp.ex2.example.org", 1, 1, "h.example.org", 5062).a("h.example.org", 127, 0, 0, 1);
+        ServiceZone zone =
+                new ServiceZone("example.org", 60)
+                        .srv("_sip._udp.ex1.example.org", 1, 1, "h.example.org", 5099)
+                        .srv("_sip._udp.ex2.example.org", 1, 1, "h.example.org", 5062)
+                        .a("h.example.org", 127, 0, 0, 1);
         Path config = folder.resolve("edge.toml");
-        Files.writeString(config, Files.readString(Path.of("deploy/examples/edge-0.toml"))
-                .replace("directory = \"udp:127.0.0.1:15080\"", "directory = [\"udp:127.0.0.1:" + directory
-                        + "\", \"udp:127.0.0.1:" + dead + "\"]")
-                .replace("[limits]", "[dns]\nservers = \"127.0.0.1:" + names + "\"\nname = \"ex%d.example.org\"\n"
-                        + "numbers = [0, 1, 2]\n\n[limits]"));
+        Files.writeString(
+                config,
+                Files.readString(Path.of("deploy/examples/edge-0.toml"))
+                        .replace(
+                                "directory = \"udp:127.0.0.1:15080\"",
+                                "directory = [\"udp:127.0.0.1:"
+                                        + directory
+                                        + "\", \"udp:127.0.0.1:"
+                                        + dead
+                                        + "\"]")
+                        .replace(
+                                "[limits]",
+                                "[dns]\nservers = \"127.0.0.1:"
+                                        + names
+                                        + "\"\nname = \"ex%d.example.org\"\n"
+                                        + "numbers = [0, 1, 2]\n\n[limits]"));
         PrintStream out = System.out;
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (LiveNetwork network = new LiveNetwork(null);
-                DnsServer server = new DnsServer("127.0.0.1", names, new DnsStandIn(zone, 1000, new SplittableRandom(1)))) {
+                DnsServer server =
+                        new DnsServer(
+                                "127.0.0.1",
+                                names,
+                                new DnsStandIn(zone, 1000, new SplittableRandom(1)))) {
             assertThat(server).isNotNull();
             Hop at = new Hop(false, "127.0.0.1", directory);
-            network.add("directory", at, new DirectoryCore(at, new DirectoryCore.Late(0, 60_000_000, 0), "e"), false);
+            network.add(
+                    "directory",
+                    at,
+                    new DirectoryCore(at, new DirectoryCore.Late(0, 60_000_000, 0), "e"),
+                    false);
             register(directory);
             System.setOut(new PrintStream(bytes, true, StandardCharsets.UTF_8));
-            assertThat(Commands.run(new String[] {"sources", config.toString(), "--wait", "4000"})).isZero();
+            assertThat(Commands.run(new String[] {"sources", config.toString(), "--wait", "4000"}))
+                    .isZero();
         } finally {
             System.setOut(out);
         }
-        assertThat(bytes.toString(StandardCharsets.UTF_8).replace(Integer.toString(directory), "DIRECTORY")
-                .replace(Integer.toString(dead), "DEAD")
-                // The directory's list may come before or after DNS's word on number 1, which takes an id of its own.
-                .replaceAll("is -[12] READY", "is -N READY")).isEqualTo("""
-                udp:127.0.0.1:DIRECTORY says
-                  101 number 1 READY start 7 sign 1 at udp:127.0.0.1:5061
-                udp:127.0.0.1:DEAD says nothing
-                believed
-                  number 1 is 101 READY at udp:127.0.0.1:5061: LISTED
-                  number 2 is -N READY at udp:127.0.0.1:5062: DNS_ONLY
-                """);
+        assertThat(
+                        bytes.toString(StandardCharsets.UTF_8)
+                                .replace(Integer.toString(directory), "DIRECTORY")
+                                .replace(Integer.toString(dead), "DEAD")
+                                // The directory's list may come before or after DNS's word on
+                                // number 1, which takes an id of its own.
+                                .replaceAll("is -[12] READY", "is -N READY"))
+                .isEqualTo(
+                        """
+                        udp:127.0.0.1:DIRECTORY says
+                          101 number 1 READY start 7 sign 1 at udp:127.0.0.1:5061
+                        udp:127.0.0.1:DEAD says nothing
+                        believed
+                          number 1 is 101 READY at udp:127.0.0.1:5061: LISTED
+                          number 2 is -N READY at udp:127.0.0.1:5062: DNS_ONLY
+                        """);
     }
 
     /** Sent until it is answered: the directory's thread may not read yet. */
     private static void register(int directory) throws Exception {
         try (DatagramSocket socket = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"))) {
             socket.setSoTimeout(200);
-            byte[] text = SipMessage.request("REGISTER", "sip:127.0.0.1:" + directory).add("Via", "SIP/2.0/UDP 127.0.0.1:"
-                    + socket.getLocalPort() + ";rport;branch=z9hG4bKr").add("Max-Forwards", "70").add("From", "<sip:x>;tag=f")
-                    .add("To", "<sip:d>").add("Call-ID", "r").add("CSeq", "1 REGISTER")
-                    .add("X-Exchange", "101 1 ready 7 1 - udp:127.0.0.1:5061").bytes();
+            byte[] text =
+                    SipMessage.request("REGISTER", "sip:127.0.0.1:" + directory)
+                            .add(
+                                    "Via",
+                                    "SIP/2.0/UDP 127.0.0.1:"
+                                            + socket.getLocalPort()
+                                            + ";rport;branch=z9hG4bKr")
+                            .add("Max-Forwards", "70")
+                            .add("From", "<sip:x>;tag=f")
+                            .add("To", "<sip:d>")
+                            .add("Call-ID", "r")
+                            .add("CSeq", "1 REGISTER")
+                            .add("X-Exchange", "101 1 ready 7 1 - udp:127.0.0.1:5061")
+                            .bytes();
             byte[] read = new byte[2000];
             for (int i = 0; i < 50; i++) {
-                socket.send(new DatagramPacket(text, text.length, InetAddress.getByName("127.0.0.1"), directory));
+                socket.send(
+                        new DatagramPacket(
+                                text, text.length, InetAddress.getByName("127.0.0.1"), directory));
                 try {
                     DatagramPacket answer = new DatagramPacket(read, read.length);
                     socket.receive(answer);
-                    assertThat(SipParser.parse(read, 0, answer.getLength()).status()).isEqualTo(200);
+                    assertThat(SipParser.parse(read, 0, answer.getLength()).status())
+                            .isEqualTo(200);
                     return;
                 } catch (java.net.SocketTimeoutException e) {
                     // Once more.
--- a/src/test/java/coralcove/config/TomlTest.java
+++ b/src/test/java/coralcove/config/TomlTest.java
@@ -31,29 +31,52 @@
     @Test
     void namesFileLineKeyAndReason() throws IOException {
         String day = Files.readString(Path.of("days/bad-day.toml"));
-        String[][] changes = {{"length_s = 30", "length_s = 0"}, {"length_s = 30", "length_s = \"x\""},
-            {"exchanges = 7", "exchanges = 7.5"}, {"exchanges = 7\n", ""}, {"seed = 1", "seed = 1\nsead = 2"},
-            {"limit_ms = 9000", "limit_ms = 900"}, {"on = [5]", "on = [7]"}, {"on = [5]", "on = 5"},
-            {"on = [5]\n", ""}, {"kind = \"drain\"", "kind = \"drian\""}, {"at_s = 19", "at_s = 30"},
-            {"[callers]", "[caller]"}, {"transport = \"mixed\"", "transport = mixed"}, {"[[service]]", "[service]"},
-            {"redials = 2", "redials = true"}};
+        String[][] changes = {
+            {"length_s = 30", "length_s = 0"},
+            {"length_s = 30", "length_s = \"x\""},
+            {"exchanges = 7", "exchanges = 7.5"},
+            {"exchanges = 7\n", ""},
+            {"seed = 1", "seed = 1\nsead = 2"},
+            {"limit_ms = 9000", "limit_ms = 900"},
+            {"on = [5]", "on = [7]"},
+            {"on = [5]", "on = 5"},
+            {"on = [5]\n", ""},
+            {"kind = \"drain\"", "kind = \"drian\""},
+            {"at_s = 19", "at_s = 30"},
+            {"[callers]", "[caller]"},
+            {"transport = \"mixed\"", "transport = mixed"},
+            {"[[service]]", "[service]"},
+            {"redials = 2", "redials = true"}
+        };
         for (String[] change : changes) {
             assertThat(day).contains(change[0]);
             int at = day.indexOf(change[0]);
-            bad("day.toml", day.substring(0, at) + change[1] + day.substring(at + change[0].length()),
+            bad(
+                    "day.toml",
+                    day.substring(0, at) + change[1] + day.substring(at + change[0].length()),
                     toml -> DayFile.of(toml, 1).name());
         }
         String edge = Files.readString(Path.of("deploy/examples/edge-0.toml"));
-        String[][] more = {{"udp:127.0.0.1:15060", "127.0.0.1:15060"}, {"udp:127.0.0.1:15060", "udp:127.0.0.1:0"},
-            {"release_ms = 300", "release_ms = 9000"}, {"answer_margin_ms = 20", "answer_margin_ms = 5000"},
-            {"exchange = \"udp:127.0.0.1:15061\"", "exchange = \"udp:127.0.0.1:15060\""}, {"routers = 2\n", ""}};
+        String[][] more = {
+            {"udp:127.0.0.1:15060", "127.0.0.1:15060"},
+            {"udp:127.0.0.1:15060", "udp:127.0.0.1:0"},
+            {"release_ms = 300", "release_ms = 9000"},
+            {"answer_margin_ms = 20", "answer_margin_ms = 5000"},
+            {"exchange = \"udp:127.0.0.1:15061\"", "exchange = \"udp:127.0.0.1:15060\""},
+            {"routers = 2\n", ""}
+        };
         for (String[] change : more) {
             assertThat(edge).contains(change[0]);
-            bad("edge.toml", edge.replace(change[0], change[1]).replace("limit_ms = 9000", "limit_ms = 5000"),
+            bad(
+                    "edge.toml",
+                    edge.replace(change[0], change[1])
+                            .replace("limit_ms = 9000", "limit_ms = 5000"),
                     toml -> EdgeFile.of(toml).policy());
         }
         String exchange = Files.readString(Path.of("deploy/examples/exchange-0.toml"));
-        bad("exchange.toml", exchange.replace("limit_ms = 9000", "limit_ms = 900"),
+        bad(
+                "exchange.toml",
+                exchange.replace("limit_ms = 9000", "limit_ms = 900"),
                 toml -> ExchangeFile.of(toml).cold());
         assertThat(told.toString()).isEqualTo(Kept.trace("bad-settings"));
     }
@@ -61,17 +84,19 @@
     /** A planner's store was read through a second table, and its key refused as not known. */
     @Test
     void takesAPlannerAndNumbersWithAllTheirKeys() throws Exception {
-        String edge = Files.readString(Path.of("deploy/examples/edge-0.toml")) + """
+        String edge =
+                Files.readString(Path.of("deploy/examples/edge-0.toml"))
+                        + """
 
-                [planner]
-                listen = "tcp:127.0.0.1:15970"
-                store = "planner-0.store"
+                        [planner]
+                        listen = "tcp:127.0.0.1:15970"
+                        store = "planner-0.store"
 
-                [numbers]
-                table = "numbers.table"
-                servers = "127.0.0.1:53, ns.example:5353"
-                budget_ms = 200
-                """;
+                        [numbers]
+                        table = "numbers.table"
+                        servers = "127.0.0.1:53, ns.example:5353"
+                        budget_ms = 200
+                        """;
         EdgeFile file = EdgeFile.of(Toml.of("edge.toml", edge));
         assertThat(file.store()).hasToString("planner-0.store");
         assertThat(file.planner().port()).isEqualTo(15970);
