--- a/src/test/java/coralcove/sip/SipFuzz.java
+++ b/src/test/java/coralcove/sip/SipFuzz.java
@@ -7,9 +7,9 @@
 import java.util.SplittableRandom;
 
 /**
- * The fuzz target of parser and stream framing, in the form that Jazzer calls. What holds for any bytes: only
- * {@link BadMessage} is thrown, a good message is written and read again without a loss, and a stream cut anywhere
- * gives the same messages.
+ * The fuzz target of parser and stream framing, in the form that Jazzer calls. What holds for any
+ * bytes: only {@link BadMessage} is thrown, a good message is written and read again without a
+ * loss, and a stream cut anywhere gives the same messages.
  */
 public final class SipFuzz {
     private SipFuzz() {}
@@ -32,7 +32,8 @@
         try {
             byte[] bytes = message.bytes();
             if (message.length() != bytes.length) {
-                throw new IllegalStateException("a message of " + bytes.length + " bytes says " + message.length());
+                throw new IllegalStateException(
+                        "a message of " + bytes.length + " bytes says " + message.length());
             }
             if (bytes.length <= SipParser.MOST_BYTES) {
                 SipMessage again = SipParser.parse(bytes, 0, bytes.length);
@@ -60,7 +61,8 @@
             equal = Arrays.equals(whole.get(i), parts.get(i));
         }
         if (!equal) {
-            throw new IllegalStateException("a stream cut every " + cut + " bytes gives other messages");
+            throw new IllegalStateException(
+                    "a stream cut every " + cut + " bytes gives other messages");
         }
     }
 
@@ -82,7 +84,11 @@
         String odd = "\r\n \t:;,<>\"\\@=/0\u0000[]";
         for (int i = chance.nextInt(8); i > 0 && bytes.length > 0; i--) {
             int at = chance.nextInt(bytes.length);
-            bytes[at] = (byte) (chance.nextBoolean() ? odd.charAt(chance.nextInt(odd.length())) : chance.nextInt(256));
+            bytes[at] =
+                    (byte)
+                            (chance.nextBoolean()
+                                    ? odd.charAt(chance.nextInt(odd.length()))
+                                    : chance.nextInt(256));
             int to = chance.nextInt(bytes.length);
             int length = Math.min(chance.nextInt(40), bytes.length - Math.max(at, to));
             if (chance.nextInt(3) == 0) {
@@ -92,7 +98,10 @@
         return bytes;
     }
 
-    /** Runs without Jazzer: {@code main(seconds)} mutates the torture messages for so long and counts. */
+    /**
+     * Runs without Jazzer: {@code main(seconds)} mutates the torture messages for so long and
+     * counts.
+     */
     public static void main(String[] args) throws java.io.IOException {
         long end = System.nanoTime() + Long.parseLong(args[0]) * 1_000_000_000L;
         List<byte[]> corpus = corpus();
@@ -114,7 +123,8 @@
     static List<byte[]> corpus() throws java.io.IOException {
         List<byte[]> corpus = new ArrayList<>();
         try (java.io.InputStream in = SipFuzz.class.getResourceAsStream("/sip/torture.txt")) {
-            for (String each : new String(in.readAllBytes(), StandardCharsets.UTF_8).split("(?m)^=== .*\n")) {
+            for (String each :
+                    new String(in.readAllBytes(), StandardCharsets.UTF_8).split("(?m)^=== .*\n")) {
                 if (!each.isBlank()) {
                     corpus.add(TortureTest.wire(each));
                 }
--- a/src/test/java/coralcove/sip/SipParserTest.java
+++ b/src/test/java/coralcove/sip/SipParserTest.java
@@ -12,9 +12,11 @@
 
 class SipParserTest {
     private static final String HEAD = "INVITE sip:77@h:5061;transport=tcp SIP/2.0\r\n";
-    private static final String REST = "f: \"A; <b>, \\\"c\\\"\" <sip:a@h>;tag=1\r\nt: <sip:b@h>\r\ni: x@y\r\n"
-            + "CSeq: 7 INVITE\r\n";
-    private static final String VIA = "v: SIP/2.0/UDP a:5062;branch=z9hG4bKq;rport, SIP/2.0/TCP [::1];branch=z9hG4bKr\r\n";
+    private static final String REST =
+            "f: \"A; <b>, \\\"c\\\"\" <sip:a@h>;tag=1\r\nt: <sip:b@h>\r\ni: x@y\r\n"
+                    + "CSeq: 7 INVITE\r\n";
+    private static final String VIA =
+            "v: SIP/2.0/UDP a:5062;branch=z9hG4bKq;rport, SIP/2.0/TCP [::1];branch=z9hG4bKr\r\n";
 
     static SipMessage parse(String text) throws BadMessage {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
@@ -23,7 +25,16 @@
 
     @Test
     void readsFoldingCompactNamesListsAndQuotes() throws BadMessage {
-        SipMessage message = parse(HEAD + VIA + REST + "Subject: one\r\n  two\r\n\tthree\r\nX-Odd: kept;as=is\r\n\r\nbody");
+        SipMessage message =
+                parse(
+                        HEAD
+                                + VIA
+                                + REST
+                                + "Subject: one\r\n"
+                                + "  two\r\n"
+                                + "\tthree\r\n"
+                                + "X-Odd: kept;as=is\r\n\r\n"
+                                + "body");
         assertThat(message.headers("Via")).hasSize(2);
         Via via = Via.of(message.header("Via"));
         assertThat(via.branch()).isEqualTo("z9hG4bKq");
@@ -40,27 +51,49 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"", "INVITE sip:a SIP/2.0", "INVITE  SIP/2.0\r\n\r\n", "SIP/2.0 99 x\r\n\r\n",
-        "SIP/2.0 20\r\n\r\n", "INV(TE sip:a@b SIP/2.0\r\n\r\n", "INVITE sip:a b SIP/2.0\r\n\r\n"})
+    @ValueSource(
+            strings = {
+                "",
+                "INVITE sip:a SIP/2.0",
+                "INVITE  SIP/2.0\r\n\r\n",
+                "SIP/2.0 99 x\r\n\r\n",
+                "SIP/2.0 20\r\n\r\n",
+                "INV(TE sip:a@b SIP/2.0\r\n\r\n",
+                "INVITE sip:a b SIP/2.0\r\n\r\n"
+            })
     void namesNoPartOfWhatHasNoStartLine(String text) {
-        assertThatThrownBy(() -> parse(text)).isInstanceOfSatisfying(BadMessage.class,
-                e -> assertThat(e.partial()).isNull());
+        assertThatThrownBy(() -> parse(text))
+                .isInstanceOfSatisfying(BadMessage.class, e -> assertThat(e.partial()).isNull());
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"CSeq: 7 BYE\r\n", "CSeq: x INVITE\r\n", "CSeq: 99999999999 INVITE\r\n",
-        "CSeq: 7 INVITE\r\nMax-Forwards: 256\r\n", "CSeq: 7 INVITE\r\nContent-Length: 9\r\n",
-        "CSeq: 7 INVITE\r\nContent-Length: -1\r\n", "CSeq: 7 INVITE\r\nno colon\r\n"})
+    @ValueSource(
+            strings = {
+                "CSeq: 7 BYE\r\n",
+                "CSeq: x INVITE\r\n",
+                "CSeq: 99999999999 INVITE\r\n",
+                "CSeq: 7 INVITE\r\nMax-Forwards: 256\r\n",
+                "CSeq: 7 INVITE\r\nContent-Length: 9\r\n",
+                "CSeq: 7 INVITE\r\nContent-Length: -1\r\n",
+                "CSeq: 7 INVITE\r\nno colon\r\n"
+            })
     void keepsWhatA400Needs(String wrong) {
-        String text = HEAD + VIA + "From: <sip:a@h>;tag=1\r\nTo: <sip:b@h>\r\nCall-ID: x\r\n" + wrong + "\r\n";
-        assertThatThrownBy(() -> parse(text)).isInstanceOfSatisfying(BadMessage.class,
-                e -> assertThat(e.partial().callId()).isEqualTo("x"));
+        String text =
+                HEAD
+                        + VIA
+                        + "From: <sip:a@h>;tag=1\r\nTo: <sip:b@h>\r\nCall-ID: x\r\n"
+                        + wrong
+                        + "\r\n";
+        assertThatThrownBy(() -> parse(text))
+                .isInstanceOfSatisfying(
+                        BadMessage.class, e -> assertThat(e.partial().callId()).isEqualTo("x"));
     }
 
     @Test
     void cutsAStreamAtAnyPointIntoTheSameMessages() throws BadMessage {
         byte[] one = (HEAD + VIA + REST + "l: 4\r\n\r\nbody").getBytes(StandardCharsets.UTF_8);
-        byte[] two = (HEAD + VIA + REST + "Content-Length : 0\r\n\r\n").getBytes(StandardCharsets.UTF_8);
+        byte[] two =
+                (HEAD + VIA + REST + "Content-Length : 0\r\n\r\n").getBytes(StandardCharsets.UTF_8);
         byte[] both = new byte[one.length + 4 + two.length];
         System.arraycopy(one, 0, both, 0, one.length);
         System.arraycopy("\r\n\r\n".getBytes(StandardCharsets.UTF_8), 0, both, one.length, 4);
@@ -83,11 +116,13 @@
     @Test
     void endsAStreamThatCannotBeCut() {
         byte[] none = (HEAD + VIA + REST + "\r\n").getBytes(StandardCharsets.UTF_8);
-        assertThatThrownBy(() -> new StreamFramer().take(none, 0, none.length, m -> { }))
-                .isInstanceOf(BadMessage.class).hasMessageContaining("Content-Length");
+        assertThatThrownBy(() -> new StreamFramer().take(none, 0, none.length, m -> {}))
+                .isInstanceOf(BadMessage.class)
+                .hasMessageContaining("Content-Length");
         byte[] endless = new byte[SipParser.MOST_BYTES + 1];
         java.util.Arrays.fill(endless, (byte) 'a');
-        assertThatThrownBy(() -> new StreamFramer().take(endless, 0, endless.length, m -> { }))
-                .isInstanceOf(BadMessage.class).hasMessageContaining("longer");
+        assertThatThrownBy(() -> new StreamFramer().take(endless, 0, endless.length, m -> {}))
+                .isInstanceOf(BadMessage.class)
+                .hasMessageContaining("longer");
     }
 }
--- a/src/test/java/coralcove/sip/TimersTest.java
+++ b/src/test/java/coralcove/sip/TimersTest.java
@@ -9,7 +9,10 @@
 import org.junit.jupiter.api.Test;
 
 class TimersTest {
-    /** The wheel against a sorted map, over any mix of setting, cancelling and running, near and far. */
+    /**
+     * The wheel against a sorted map, over any mix of setting, cancelling and running, near and
+     * far.
+     */
     @Test
     void firesAsASortedMapWould() {
         for (int seed = 0; seed < 60; seed++) {
@@ -24,7 +27,8 @@
                 if (what < 6) {
                     long at = now - 5 + chance.nextLong(1L << chance.nextInt(3, 40));
                     int id = step;
-                    plain.computeIfAbsent(at, t -> new TreeMap<>()).put(id, timers.set(at, (n, o) -> fired.add(id)));
+                    plain.computeIfAbsent(at, t -> new TreeMap<>())
+                            .put(id, timers.set(at, (n, o) -> fired.add(id)));
                 } else if (what < 8 && !plain.isEmpty()) {
                     Long at = plain.ceilingKey(now + chance.nextLong(1 << 20));
                     at = at == null ? plain.firstKey() : at;
@@ -37,10 +41,12 @@
                         wanted.addAll(plain.pollFirstEntry().getValue().keySet());
                     }
                 }
-                assertThat(timers.due()).isEqualTo(plain.isEmpty() ? Long.MAX_VALUE : plain.firstKey());
+                assertThat(timers.due())
+                        .isEqualTo(plain.isEmpty() ? Long.MAX_VALUE : plain.firstKey());
             }
             assertThat(fired).as("seed %d", seed).isEqualTo(wanted);
-            assertThat(timers.size()).isEqualTo(plain.values().stream().mapToInt(TreeMap::size).sum());
+            assertThat(timers.size())
+                    .isEqualTo(plain.values().stream().mapToInt(TreeMap::size).sum());
         }
     }
 
@@ -49,11 +55,13 @@
         Timers timers = new Timers();
         List<String> fired = new ArrayList<>();
         Timers.Timer[] second = new Timers.Timer[1];
-        timers.set(10, (now, out) -> {
-            fired.add("first");
-            timers.cancel(second[0]);
-            timers.set(now, (n, o) -> fired.add("third"));
-        });
+        timers.set(
+                10,
+                (now, out) -> {
+                    fired.add("first");
+                    timers.cancel(second[0]);
+                    timers.set(now, (n, o) -> fired.add("third"));
+                });
         second[0] = timers.set(10, (now, out) -> fired.add("second"));
         timers.run(10, null);
         assertThat(fired).containsExactly("first", "third");
--- a/src/test/java/coralcove/sip/TortureTest.java
+++ b/src/test/java/coralcove/sip/TortureTest.java
@@ -14,7 +14,10 @@
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.TestFactory;
 
-/** Malformed and odd but legal messages in the manner of RFC 4475, each with the verdict it must get. */
+/**
+ * Malformed and odd but legal messages in the manner of RFC 4475, each with the verdict it must
+ * get.
+ */
 class TortureTest implements Out, Agent.User {
     private final List<String> sent = new ArrayList<>();
 
@@ -27,7 +30,9 @@
                 if (!each.isBlank()) {
                     int line = each.indexOf('\n');
                     String[] title = each.substring(0, line).split(" \\| ");
-                    tests.add(DynamicTest.dynamicTest(title[0], () -> check(title[1], each.substring(line + 1))));
+                    tests.add(
+                            DynamicTest.dynamicTest(
+                                    title[0], () -> check(title[1], each.substring(line + 1))));
                 }
             }
         }
@@ -57,9 +62,15 @@
             assertThat(second.body()).isEqualTo(message.body());
         } catch (BadMessage e) {
             agent.malformed(0, new Hop(false, "h", 2), e, this);
-            found = sent.isEmpty() ? e.partial() == null || e.partial().header("Via") == null
-                    || Via.of(e.partial().header("Via")) == null || !e.partial().isRequest() ? "drop" : "400-short"
-                    : String.join(",", sent);
+            found =
+                    sent.isEmpty()
+                            ? e.partial() == null
+                                            || e.partial().header("Via") == null
+                                            || Via.of(e.partial().header("Via")) == null
+                                            || !e.partial().isRequest()
+                                    ? "drop"
+                                    : "400-short"
+                            : String.join(",", sent);
         }
         assertThat(found).isEqualTo(verdict);
     }
--- a/src/test/java/coralcove/sip/dialog/DialogTest.java
+++ b/src/test/java/coralcove/sip/dialog/DialogTest.java
@@ -37,7 +37,8 @@
 
     @Test
     void the200IsDoubled() {
-        Wire wire = wire((what, nth) -> what.equals("b 200 INVITE") ? new int[] {10, 15} : Wire.FAIR);
+        Wire wire =
+                wire((what, nth) -> what.equals("b 200 INVITE") ? new int[] {10, 15} : Wire.FAIR);
         wire.a.call(wire.b);
         wire.pass(2000).reads("dialog-200-doubled");
     }
@@ -106,7 +107,8 @@
         wire.b.agent.change(wire.now, wire.b.call, "text/plain", "y".getBytes(), wire.b);
         wire.pass(500);
         wire.a.agent.change(wire.now, wire.a.call, "text/plain", "z".getBytes(), wire.a);
-        assertThat(wire.a.agent.change(wire.now, wire.a.call, "text/plain", "q".getBytes(), wire.a)).isFalse();
+        assertThat(wire.a.agent.change(wire.now, wire.a.call, "text/plain", "q".getBytes(), wire.a))
+                .isFalse();
         wire.pass(500).reads("dialog-glare");
     }
 
@@ -121,10 +123,14 @@
         assertThat(wire.a.agent.calls() + wire.b.agent.calls()).isZero();
     }
 
-    /** A refresh that met a change under way waited half an interval more, and the other side ended the session. */
+    /**
+     * A refresh that met a change under way waited half an interval more, and the other side ended
+     * the session.
+     */
     @Test
     void aRefreshThatMeetsAChangeComesALittleLater() {
-        Wire wire = wire((what, nth) -> what.equals("a INVITE") && nth == 2 ? Wire.LOST : Wire.FAIR);
+        Wire wire =
+                wire((what, nth) -> what.equals("a INVITE") && nth == 2 ? Wire.LOST : Wire.FAIR);
         wire.a.call(wire.b);
         wire.pass(44_900);
         wire.a.agent.change(wire.now, wire.a.call, "text/plain", "x".getBytes(), wire.a);
@@ -147,7 +153,9 @@
         Wire wire = fair();
         wire.a.call(wire.b);
         wire.pass(100);
-        SipMessage second = SipMessage.reply(wire.a.call.invite, 200, "OK", "other").add("Contact", "<sip:hc:3>");
+        SipMessage second =
+                SipMessage.reply(wire.a.call.invite, 200, "OK", "other")
+                        .add("Contact", "<sip:hc:3>");
         wire.deliver(new Hop(false, "hb", 2), new Hop(false, "ha", 1), second.bytes());
         wire.pass(100).reads("dialog-fork");
     }
@@ -159,21 +167,32 @@
         wire.b.answers = false;
         wire.a.call(wire.b);
         wire.pass(20);
-        SipMessage ok = SipMessage.reply(wire.a.call.invite, 200, "OK", "t").add("Contact", "<sip:9@hc:3>")
-                .add("Record-Route", "<sip:hb:2;lr>").add("Record-Route", "<sip:hp:4;lr>");
+        SipMessage ok =
+                SipMessage.reply(wire.a.call.invite, 200, "OK", "t")
+                        .add("Contact", "<sip:9@hc:3>")
+                        .add("Record-Route", "<sip:hb:2;lr>")
+                        .add("Record-Route", "<sip:hp:4;lr>");
         wire.deliver(new Hop(false, "hb", 2), new Hop(false, "ha", 1), ok.bytes());
         Call call = wire.a.call;
-        wire.a.agent.bye(wire.now, call, null, new coralcove.sip.Out() {
-            @Override
-            public void send(Hop to, SipMessage message) {
-                seen.append(to).append(' ').append(message.uri()).append(' ').append(message.headers("Route"));
-            }
-
-            @Override
-            public void log(String event, String session, String detail) {
-                seen.append(event);
-            }
-        });
+        wire.a.agent.bye(
+                wire.now,
+                call,
+                null,
+                new coralcove.sip.Out() {
+                    @Override
+                    public void send(Hop to, SipMessage message) {
+                        seen.append(to)
+                                .append(' ')
+                                .append(message.uri())
+                                .append(' ')
+                                .append(message.headers("Route"));
+                    }
+
+                    @Override
+                    public void log(String event, String session, String detail) {
+                        seen.append(event);
+                    }
+                });
         assertThat(seen.toString()).isEqualTo("udp:hp:4 sip:9@hc:3 [<sip:hp:4;lr>, <sip:hb:2;lr>]");
     }
 
--- a/src/test/java/coralcove/sip/dialog/InviteModelTest.java
+++ b/src/test/java/coralcove/sip/dialog/InviteModelTest.java
@@ -7,13 +7,14 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Explores the INVITE client and server machines with CANCEL: every order of deliveries, losses, copies, time-outs and
- * what the two users do, to a depth; then the network is fair until all is quiet. Each path is played from its start,
- * as the machines are the real ones and keep no undo.
+ * Explores the INVITE client and server machines with CANCEL: every order of deliveries, losses,
+ * copies, time-outs and what the two users do, to a depth; then the network is fair until all is
+ * quiet. Each path is played from its start, as the machines are the real ones and keep no undo.
  */
 class InviteModelTest {
     /** Steps that are chosen freely; the rest is fair. */
     private static final int DEPTH = Integer.getInteger("coralcove.model.depth", 6);
+
     private static final int MOST_LOST = 2;
     private static final int MOST_COPIES = 1;
 
@@ -24,14 +25,24 @@
     @Test
     void everyOrderLeadsToOneFinalAnswer() {
         explore(new ArrayList<>());
-        System.out.println("INVITE model: " + paths + " paths to depth " + DEPTH + ", " + stood + " stand, " + refused
-                + " do not");
+        System.out.println(
+                "INVITE model: "
+                        + paths
+                        + " paths to depth "
+                        + DEPTH
+                        + ", "
+                        + stood
+                        + " stand, "
+                        + refused
+                        + " do not");
         assertThat(paths).isGreaterThan(10_000);
         assertThat(stood).isPositive();
         assertThat(refused).isPositive();
     }
 
-    /** Plays a prefix; where it was used up before the depth, goes on with each of its next steps. */
+    /**
+     * Plays a prefix; where it was used up before the depth, goes on with each of its next steps.
+     */
     private void explore(List<Integer> prefix) {
         Run run = new Run();
         for (int choice : prefix) {
@@ -72,8 +83,12 @@
         /** Deliver any, lose any, copy any, let a timer fire, cancel, answer, refuse. */
         int choices() {
             int messages = wire.inFlight();
-            return messages + (lost < MOST_LOST ? messages : 0) + (copies < MOST_COPIES ? messages : 0) + 1
-                    + (mayCancel() ? 1 : 0) + (mayDecide() ? 2 : 0);
+            return messages
+                    + (lost < MOST_LOST ? messages : 0)
+                    + (copies < MOST_COPIES ? messages : 0)
+                    + 1
+                    + (mayCancel() ? 1 : 0)
+                    + (mayDecide() ? 2 : 0);
         }
 
         void step(int choice) {
@@ -137,10 +152,15 @@
             boolean answered = trace.contains("b 200 INVITE");
             boolean turnedDown = trace.contains("b 486 INVITE") || trace.contains("b 487 INVITE");
             assertThat(answered && turnedDown).as("two final answers%n%s", trace).isFalse();
-            assertThat(wire.a.call.stands()).as("both sides agree%n%s", trace)
+            assertThat(wire.a.call.stands())
+                    .as("both sides agree%n%s", trace)
                     .isEqualTo(wire.b.call != null && wire.b.call.stands());
-            assertThat(cancelled && wire.a.call.stands()).as("nothing stays held after a CANCEL%n%s", trace).isFalse();
-            assertThat(count(trace, "b: invited")).as("one INVITE taken%n%s", trace).isLessThanOrEqualTo(1);
+            assertThat(cancelled && wire.a.call.stands())
+                    .as("nothing stays held after a CANCEL%n%s", trace)
+                    .isFalse();
+            assertThat(count(trace, "b: invited"))
+                    .as("one INVITE taken%n%s", trace)
+                    .isLessThanOrEqualTo(1);
             stood += wire.a.call.stands() ? 1 : 0;
             refused += wire.a.call.stands() ? 0 : 1;
         }
--- a/src/test/java/coralcove/sip/dialog/Wire.java
+++ b/src/test/java/coralcove/sip/dialog/Wire.java
@@ -15,9 +15,15 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** Two user agents on a wire that a test drops, doubles and delays messages on; all that crosses it is printed. */
+/**
+ * Two user agents on a wire that a test drops, doubles and delays messages on; all that crosses it
+ * is printed.
+ */
 final class Wire {
-    /** What becomes of the n-th message of this kind ("INVITE", "200 INVITE"): lost, or how often and how late in ms. */
+    /**
+     * What becomes of the n-th message of this kind ("INVITE", "200 INVITE"): lost, or how often
+     * and how late in ms.
+     */
     interface Fate {
         int[] of(String what, int nth);
     }
@@ -32,6 +38,7 @@
         final Agent agent;
         Call call;
         boolean answers = true;
+
         /** Answers a change with this status. */
         int changeStatus = 200;
 
@@ -48,14 +55,23 @@
 
         @Override
         public void send(Hop to, SipMessage message) {
-            String what = message.isRequest() ? message.method() : message.status() + " " + message.cseqMethod();
+            String what =
+                    message.isRequest()
+                            ? message.method()
+                            : message.status() + " " + message.cseqMethod();
             int nth = 1;
             for (String each : sent) {
                 nth += each.equals(name + what) ? 1 : 0;
             }
             sent.add(name + what);
             int[] delays = fate.of(name + " " + what, nth);
-            note(name + " " + what + (delays.length == 0 ? " (lost)" : delays.length > 1 ? " (doubled)" : ""));
+            note(
+                    name
+                            + " "
+                            + what
+                            + (delays.length == 0
+                                    ? " (lost)"
+                                    : delays.length > 1 ? " (doubled)" : ""));
             for (int delay : delays) {
                 flights.add(new Flight(now + delay * 1000L, orders++, this, to, message.bytes()));
             }
@@ -154,8 +170,12 @@
     Wire pass(long millis) {
         long end = now + millis * 1000;
         while (true) {
-            Flight next = flights.stream().min(Comparator.comparingLong(Flight::at).thenComparingLong(Flight::order))
-                    .orElse(null);
+            Flight next =
+                    flights.stream()
+                            .min(
+                                    Comparator.comparingLong(Flight::at)
+                                            .thenComparingLong(Flight::order))
+                            .orElse(null);
             long timer = Math.min(a.timers.due(), b.timers.due());
             long at = Math.min(timer, next == null ? Long.MAX_VALUE : next.at);
             if (at > end) {
--- a/src/test/java/coralcove/sip/event/SubscriptionTest.java
+++ b/src/test/java/coralcove/sip/event/SubscriptionTest.java
@@ -15,13 +15,16 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** One subscriber, its notifier played by the test message by message; all that it says is printed. */
+/**
+ * One subscriber, its notifier played by the test message by message; all that it says is printed.
+ */
 class SubscriptionTest implements Out, Subscriber.User, Agent.User {
     private static final Hop SELF = new Hop(false, "127.0.0.1", 1);
     private static final Hop NOTIFIER = new Hop(false, "127.0.0.1", 3);
     private final Timers timers = new Timers();
     private final Agent agent = new Agent(SELF, timers, "s", this);
-    private final Subscriber subscriber = new Subscriber(agent, timers, new SplittableRandom(1), this);
+    private final Subscriber subscriber =
+            new Subscriber(agent, timers, new SplittableRandom(1), this);
     private final StringBuilder trace = new StringBuilder();
     private SipMessage asked;
     private Subscriber.News next = Subscriber.News.WHOLE;
@@ -61,10 +64,17 @@
     private SipMessage notice(String state) {
         ids++;
         cseq++;
-        return SipMessage.request("NOTIFY", "sip:127.0.0.1:1").add("Via", "SIP/2.0/UDP 127.0.0.1:3;branch=z9hG4bKn" + ids)
-                .add("Max-Forwards", "70").add("From", "<sip:d>;tag=d").add("To", asked.header("From"))
-                .add("Call-ID", asked.callId()).add("CSeq", cseq + " NOTIFY").add("Contact", "<sip:127.0.0.1:3>")
-                .add("Event", "exchanges").add("Subscription-State", state).add("SIP-ETag", "t" + cseq)
+        return SipMessage.request("NOTIFY", "sip:127.0.0.1:1")
+                .add("Via", "SIP/2.0/UDP 127.0.0.1:3;branch=z9hG4bKn" + ids)
+                .add("Max-Forwards", "70")
+                .add("From", "<sip:d>;tag=d")
+                .add("To", asked.header("From"))
+                .add("Call-ID", asked.callId())
+                .add("CSeq", cseq + " NOTIFY")
+                .add("Contact", "<sip:127.0.0.1:3>")
+                .add("Event", "exchanges")
+                .add("Subscription-State", state)
+                .add("SIP-ETag", "t" + cseq)
                 .body("text/plain", "x".getBytes(StandardCharsets.UTF_8));
     }
 
@@ -83,8 +93,14 @@
 
     @Test
     void renewsBeforeItsEndAndTakesNoAnswerForUnchanged() {
-        ask().answered(200, "Expires", "12").told("active;expires=12").pass(6000).answered(204, "Expires", "12").pass(6000)
-                .note("no answer comes any more").pass(14_000).reads("subscription-renewed");
+        ask().answered(200, "Expires", "12")
+                .told("active;expires=12")
+                .pass(6000)
+                .answered(204, "Expires", "12")
+                .pass(6000)
+                .note("no answer comes any more")
+                .pass(14_000)
+                .reads("subscription-renewed");
     }
 
     @Test
@@ -100,7 +116,9 @@
         take(NOTIFIER, notice("")).note("no state");
         next = Subscriber.News.BAD;
         told("active;expires=12").note("a body that cannot be read");
-        assertThat(agent.counters()).containsEntry("notify-no-dialog", 2L).containsEntry("notify-elsewhere", 3L)
+        assertThat(agent.counters())
+                .containsEntry("notify-no-dialog", 2L)
+                .containsEntry("notify-elsewhere", 3L)
                 .containsEntry("notify-order", 1L);
         reads("subscription-forged");
     }
@@ -110,14 +128,18 @@
         ask().answered(200).told("active;expires=12").pass(5700).note("a renewal is under way");
         next = Subscriber.News.GAP;
         told("active;expires=6");
-        // The user asks, as it does after a gap; the answer to the renewal would be 204 and bring nothing.
+        // The user asks, as it does after a gap; the answer to the renewal would be 204 and bring
+        // nothing.
         subscriber.refresh(now, lastTold, true, this);
         answered(204, "Expires", "12").reads("subscription-gap");
     }
 
     @Test
     void endsWhenTheNotifierSaysSoOrKnowsNothingOfIt() {
-        ask().answered(200).told("active;expires=12").told("terminated;reason=deactivated").told("active");
+        ask().answered(200)
+                .told("active;expires=12")
+                .told("terminated;reason=deactivated")
+                .told("active");
         ask().answered(200);
         cseq = 0;
         told("active;expires=12").pass(6000).answered(481).pass(20_000).reads("subscription-ended");
@@ -125,7 +147,10 @@
 
     @Test
     void takesALongerLifeWhereTheNotifierWantsOne() {
-        ask().answered(423, "Min-Expires", "30").answered(200, "Expires", "30").told("active;expires=30").pass(14_000)
+        ask().answered(423, "Min-Expires", "30")
+                .answered(200, "Expires", "30")
+                .told("active;expires=30")
+                .pass(14_000)
                 .reads("subscription-brief");
     }
 
@@ -153,13 +178,21 @@
         if (message.isRequest()) {
             asked = message.copy();
         }
-        note("-> " + (message.isRequest() ? message.method() + " " + message.sequence() + (message.toTag().isEmpty() ? ""
-                : " in dialog") : message.status() + " to " + message.cseqMethod())
-                + (message.header("Suppress-If-Match") == null ? "" : " unless " + message.header("Suppress-If-Match")));
+        note(
+                "-> "
+                        + (message.isRequest()
+                                ? message.method()
+                                        + " "
+                                        + message.sequence()
+                                        + (message.toTag().isEmpty() ? "" : " in dialog")
+                                : message.status() + " to " + message.cseqMethod())
+                        + (message.header("Suppress-If-Match") == null
+                                ? ""
+                                : " unless " + message.header("Suppress-If-Match")));
     }
 
     @Override
-    public void log(String event, String session, String detail) { }
+    public void log(String event, String session, String detail) {}
 
     @Override
     public void request(long at, ServerTx tx, Hop from, Out out) {
@@ -172,20 +205,20 @@
     }
 
     @Override
-    public void invited(long at, Call call, Hop from, Out out) { }
+    public void invited(long at, Call call, Hop from, Out out) {}
 
     @Override
-    public void progressed(long at, Call call, SipMessage response, Out out) { }
+    public void progressed(long at, Call call, SipMessage response, Out out) {}
 
     @Override
-    public void answered(long at, Call call, SipMessage response, Out out) { }
+    public void answered(long at, Call call, SipMessage response, Out out) {}
 
     @Override
-    public void rejected(long at, Call call, SipMessage response, Agent.Lost lost, Out out) { }
+    public void rejected(long at, Call call, SipMessage response, Agent.Lost lost, Out out) {}
 
     @Override
-    public void cancelled(long at, Call call, Out out) { }
+    public void cancelled(long at, Call call, Out out) {}
 
     @Override
-    public void hungUp(long at, Call call, SipMessage bye, Out out) { }
+    public void hungUp(long at, Call call, SipMessage bye, Out out) {}
 }
--- a/src/test/java/coralcove/sources/LifeTest.java
+++ b/src/test/java/coralcove/sources/LifeTest.java
@@ -11,18 +11,28 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 
-/** What is known of a machine is a join-semilattice, and only a newer start takes a drain or an end back. */
+/**
+ * What is known of a machine is a join-semilattice, and only a newer start takes a drain or an end
+ * back.
+ */
 class LifeTest {
     @Provide
     Arbitrary<Life> lives() {
         Arbitrary<Long> small = Arbitraries.longs().between(0, 3);
-        return Combinators.combine(small, small, Arbitraries.of(true, false), Arbitraries.longs().between(-1, 3),
-                Arbitraries.of(true, false), Arbitraries.integers().between(1, 2), Arbitraries.of("udp:a:1", "tcp:b:2"))
+        return Combinators.combine(
+                        small,
+                        small,
+                        Arbitraries.of(true, false),
+                        Arbitraries.longs().between(-1, 3),
+                        Arbitraries.of(true, false),
+                        Arbitraries.integers().between(1, 2),
+                        Arbitraries.of("udp:a:1", "tcp:b:2"))
                 .as(Life::new);
     }
 
     @Property
-    void orderAndDoublingDoNotMatter(@ForAll("lives") Life a, @ForAll("lives") Life b, @ForAll("lives") Life c) {
+    void orderAndDoublingDoNotMatter(
+            @ForAll("lives") Life a, @ForAll("lives") Life b, @ForAll("lives") Life c) {
         assertThat(a.join(b)).isEqualTo(b.join(a));
         assertThat(a.join(b).join(c)).isEqualTo(a.join(b.join(c)));
         assertThat(a.join(a)).isEqualTo(a);
@@ -30,7 +40,8 @@
     }
 
     @Property
-    void aDrainOrAnEndIsTakenBackByANewerStartOnly(@ForAll("lives") Life a, @ForAll("lives") Life b) {
+    void aDrainOrAnEndIsTakenBackByANewerStartOnly(
+            @ForAll("lives") Life a, @ForAll("lives") Life b) {
         Life joined = a.join(b);
         if (b.start() <= a.start()) {
             assertThat(!a.drains() || joined.drains()).isTrue();
@@ -40,7 +51,8 @@
     }
 
     @Property
-    void silenceIsTakenBackByALaterSignOfLifeOnly(@ForAll("lives") Life a, @ForAll("lives") Life b) {
+    void silenceIsTakenBackByALaterSignOfLifeOnly(
+            @ForAll("lives") Life a, @ForAll("lives") Life b) {
         Life joined = a.join(b);
         if (a.silent() && !joined.silent()) {
             assertThat(b.start() > a.start() || b.beat() > a.quiet()).isTrue();
@@ -48,7 +60,8 @@
     }
 
     @Property
-    void aRosterBelievesTheSameWhateverOrderItsLinesComeIn(@ForAll List<@net.jqwik.api.From("lives") Life> lives) {
+    void aRosterBelievesTheSameWhateverOrderItsLinesComeIn(
+            @ForAll List<@net.jqwik.api.From("lives") Life> lives) {
         List<Life> back = new java.util.ArrayList<>(lives);
         java.util.Collections.reverse(back);
         assertThat(believed(back)).isEqualTo(believed(lives));
@@ -58,8 +71,15 @@
         Roster roster = new Roster(List.of("d"));
         long version = 1;
         for (Life life : lives) {
-            roster.listed(1000, 0, new Listing("e", version, Listing.Kind.CHANGES, version, List.of(
-                    new Listing.Line(7, life, Listing.LONG_AGO))));
+            roster.listed(
+                    1000,
+                    0,
+                    new Listing(
+                            "e",
+                            version,
+                            Listing.Kind.CHANGES,
+                            version,
+                            List.of(new Listing.Line(7, life, Listing.LONG_AGO))));
             roster.news(1000);
             version++;
         }
--- a/src/test/java/coralcove/sources/store/RosterStoreTest.java
+++ b/src/test/java/coralcove/sources/store/RosterStoreTest.java
@@ -16,7 +16,12 @@
     private final List<String> told = new ArrayList<>();
 
     private static Roster.Said said(long id, long beat) {
-        return new Roster.Said("udp:d:3", id, new Life(7, beat, id == 2, Life.HEARD, false, (int) id, "udp:a:1"), 5, 1000 + beat);
+        return new Roster.Said(
+                "udp:d:3",
+                id,
+                new Life(7, beat, id == 2, Life.HEARD, false, (int) id, "udp:a:1"),
+                5,
+                1000 + beat);
     }
 
     @Test
@@ -48,7 +53,8 @@
         byte[] bytes = Files.readAllBytes(path);
         for (int i = 0; i < bytes.length - 12; i++) {
             // The address within the entry: its checksum is of another text then.
-            if (new String(bytes, i, 7, java.nio.charset.StandardCharsets.ISO_8859_1).equals("udp:a:1")) {
+            if (new String(bytes, i, 7, java.nio.charset.StandardCharsets.ISO_8859_1)
+                    .equals("udp:a:1")) {
                 bytes[i + 4] = 'b';
             }
         }
@@ -59,7 +65,9 @@
         }
         assertThat(told).isNotEmpty();
         Path nonsense = folder.resolve("nonsense");
-        Files.write(nonsense, "nonsense".repeat(2000).getBytes(java.nio.charset.StandardCharsets.UTF_8));
+        Files.write(
+                nonsense,
+                "nonsense".repeat(2000).getBytes(java.nio.charset.StandardCharsets.UTF_8));
         told.clear();
         try (RosterStore store = new RosterStore(nonsense, told::add)) {
             assertThat(store.read()).isEmpty();
--- a/src/test/java/coralcove/theory/TheoryTest.java
+++ b/src/test/java/coralcove/theory/TheoryTest.java
@@ -7,7 +7,10 @@
 
 /** Against published and closed-form values. */
 class TheoryTest {
-    /** Erlang's tables: 10 circuits lose 1% at 4.461 erlangs, 100 lose 1% at 84.06, 20 lose 5% at 15.25. */
+    /**
+     * Erlang's tables: 10 circuits lose 1% at 4.461 erlangs, 100 lose 1% at 84.06, 20 lose 5% at
+     * 15.25.
+     */
     @Test
     void erlangsTables() {
         assertThat(Erlang.blocking(4.461, 10)).isCloseTo(0.01, within(1e-5));
@@ -16,7 +19,10 @@
         assertThat(Erlang.blocking(0, 5)).isZero();
     }
 
-    /** One class of width 1 is Erlang B; of width 2 it is Erlang B of half the circuits; two kinds by enumeration. */
+    /**
+     * One class of width 1 is Erlang B; of width 2 it is Erlang B of half the circuits; two kinds
+     * by enumeration.
+     */
     @Test
     void kaufmanRobertsInCasesThatCanBeCounted() {
         assertThat(Erlang.blocking(20, new int[] {1}, new double[] {15.25})[0])
@@ -34,7 +40,8 @@
         }
         double[] blocked = Erlang.blocking(6, new int[] {1, 3}, new double[] {2.5, 0.7});
         assertThat(blocked[0]).isCloseTo(weights[6] / sum, within(1e-12));
-        assertThat(blocked[1]).isCloseTo((weights[4] + weights[5] + weights[6]) / sum, within(1e-12));
+        assertThat(blocked[1])
+                .isCloseTo((weights[4] + weights[5] + weights[6]) / sum, within(1e-12));
     }
 
     private static double factorial(int n) {
@@ -57,11 +64,14 @@
             Symmetric open = new Symmetric(1000, 0);
             apart += open.lost(erlangs, 1) - open.lost(erlangs, 0) > 0.02 ? 1 : 0;
             Symmetric reserved = new Symmetric(1000, 50);
-            assertThat(reserved.lost(erlangs, 1)).isCloseTo(reserved.lost(erlangs, 0), within(1e-6));
+            assertThat(reserved.lost(erlangs, 1))
+                    .isCloseTo(reserved.lost(erlangs, 0), within(1e-6));
         }
         // Only in a range: below it both starts end in the same, and above it in the bad solution.
         assertThat(apart).isBetween(2, 11);
-        assertThat(new Symmetric(1000, 0).lost(880, 1)).isCloseTo(new Symmetric(1000, 0).lost(880, 0), within(1e-6));
-        assertThat(new Symmetric(1000, 50).lost(1000, 0)).isLessThan(new Symmetric(1000, 0).lost(1000, 0));
+        assertThat(new Symmetric(1000, 0).lost(880, 1))
+                .isCloseTo(new Symmetric(1000, 0).lost(880, 0), within(1e-6));
+        assertThat(new Symmetric(1000, 50).lost(1000, 0))
+                .isLessThan(new Symmetric(1000, 0).lost(1000, 0));
     }
 }
