--- a/src/main/java/coralcove/baseline/Direct.java
+++ b/src/main/java/coralcove/baseline/Direct.java
@@ -17,178 +17,198 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Baselines to hold the module against: a session goes direct if a circuit is free, and else over a
- * tandem as its kind has it. They keep drains, one INVITE and the release wait.
+ * Baselines to compare the routing policy with. A session takes its direct trunk group if that has
+ * a free circuit, and otherwise a tandem as the overflow policy says. Baselines observe drains, the
+ * limit of one INVITE at a time and the wait after a release.
  */
 public final class Direct implements CallRouter {
-    /**
-     * What a session whose direct group is full does: nothing; the first tandem with room, in the
-     * order of the list; the same where each leg keeps circuits for direct calls; of those tandems
-     * the one with most circuits free; one tandem drawn by chance, and no other if that has no
-     * room.
-     */
+    /** What happens to a session whose direct trunk group is full. */
     public enum Kind {
+        /** It is rejected. */
         ALONE,
+        /** It takes the first tandem with a free circuit, in the order of the exchange list. */
         FIRST_TANDEM,
-        RESERVED,
+        /**
+         * As {@link #FIRST_TANDEM}, with circuits of each trunk group reserved for direct calls.
+         */
+        TRUNK_RESERVATION,
+        /** As {@link #TRUNK_RESERVATION}, with the tandem that has the most free circuits. */
         LEAST_BUSY,
-        ONE_TANDEM
+        /** It takes a random tandem, and is rejected if that one has no free circuit. */
+        RANDOM_TANDEM
     }
 
     /**
-     * Share of a group kept for direct calls, and circuits at least: the figure that ends
-     * bistability in theory.Symmetric.
+     * Share of a trunk group that is reserved for direct calls: the share that removes bistability
+     * in the model of a symmetric network ({@link coralcove.theory.Symmetric}).
      */
-    private static final double RESERVED = 0.05;
+    private static final double RESERVED_SHARE = 0.05;
 
-    private static final int RESERVED_LEAST = 1;
+    /** Circuits of a trunk group that are reserved at least. */
+    private static final int MIN_RESERVED_CIRCUITS = 1;
 
-    private static final class Held {
+    private static final class PendingSession {
         final Session session;
-        int sent;
+        int invitesSent;
         long notBefore;
-        final List<Long> tried = new ArrayList<>();
+        final List<Long> triedExchanges = new ArrayList<>();
 
-        Held(Session session) {
+        PendingSession(Session session) {
             this.session = session;
         }
     }
 
     private final Settings settings;
-    private final Kind kind;
-    private final RandomGenerator chance;
-    private final Map<Long, Exchange> list = new LinkedHashMap<>();
-    private final Map<Long, Integer> free = new HashMap<>();
-    private final Map<Long, Integer> sizes = new HashMap<>();
-    private final Map<Long, Held> held = new HashMap<>();
+    private final Kind overflowPolicy;
+    private final RandomGenerator random;
+    private final Map<Long, Exchange> exchanges = new LinkedHashMap<>();
+    private final Map<Long, Integer> freeCircuits = new HashMap<>();
+    private final Map<Long, Integer> groupSizes = new HashMap<>();
+    private final Map<Long, PendingSession> pendingSessions = new HashMap<>();
     private boolean subscribe = true;
     private long subscribeAt;
 
-    public Direct(Settings settings, Kind kind) {
-        this(settings, kind, 1);
+    public Direct(Settings settings, Kind overflowPolicy) {
+        this(settings, overflowPolicy, 1);
     }
 
-    public Direct(Settings settings, Kind kind, long seed) {
-        chance = new SplittableRandom(seed);
+    public Direct(Settings settings, Kind overflowPolicy, long seed) {
+        random = new SplittableRandom(seed);
         this.settings = settings;
-        this.kind = kind;
+        this.overflowPolicy = overflowPolicy;
     }
 
     @Override
     public Answer route(long now, Session session) {
-        return choose(now, held.computeIfAbsent(session.id(), id -> new Held(session)));
+        return choose(
+                now,
+                pendingSessions.computeIfAbsent(session.id(), id -> new PendingSession(session)));
     }
 
-    private Answer choose(long now, Held it) {
-        if (now < it.notBefore) {
-            return Answer.later(it.notBefore);
+    private Answer choose(long now, PendingSession pending) {
+        if (now < pending.notBefore) {
+            return Answer.later(pending.notBefore);
         }
-        Session session = it.session;
-        if (it.sent < settings.inviteLimit() && session.limit() > now) {
-            for (Exchange each : list.values()) {
-                if (each.number() == session.farEnd()
-                        && fits(each, it, session.transit() ? kept(each) : 0)) {
-                    return send(now, it, each);
+        Session session = pending.session;
+        if (pending.invitesSent < settings.inviteLimit() && session.limit() > now) {
+            for (Exchange exchange : exchanges.values()) {
+                if (exchange.number() == session.farEnd()
+                        && accepts(
+                                exchange,
+                                pending,
+                                session.transit() ? reservedCircuits(exchange) : 0)) {
+                    return send(now, pending, exchange);
                 }
             }
-            if (kind == Kind.ONE_TANDEM) {
-                Exchange drawn = it.tried.isEmpty() ? drawn(session) : null;
-                return drawn == null || !fits(drawn, it, 0) ? refuse(it) : send(now, it, drawn);
+            if (overflowPolicy == Kind.RANDOM_TANDEM) {
+                Exchange drawn = pending.triedExchanges.isEmpty() ? drawTandem(session) : null;
+                return drawn == null || !accepts(drawn, pending, 0)
+                        ? refuse(pending)
+                        : send(now, pending, drawn);
             }
             Exchange best = null;
-            for (Exchange each : list.values()) {
-                boolean open =
-                        kind != Kind.ALONE && tandem(each, session) && fits(each, it, kept(each));
-                if (open
+            for (Exchange exchange : exchanges.values()) {
+                boolean eligible =
+                        overflowPolicy != Kind.ALONE
+                                && isTandem(exchange, session)
+                                && accepts(exchange, pending, reservedCircuits(exchange));
+                if (eligible
                         && (best == null
-                                || kind == Kind.LEAST_BUSY
-                                        && free.get(each.id()) > free.get(best.id()))) {
-                    best = each;
+                                || overflowPolicy == Kind.LEAST_BUSY
+                                        && freeCircuits.get(exchange.id())
+                                                > freeCircuits.get(best.id()))) {
+                    best = exchange;
                 }
             }
             if (best != null) {
-                return send(now, it, best);
+                return send(now, pending, best);
             }
         }
-        return refuse(it);
+        return refuse(pending);
     }
 
-    private Answer refuse(Held it) {
-        held.remove(it.session.id());
+    private Answer refuse(PendingSession pending) {
+        pendingSessions.remove(pending.session.id());
         return Answer.refuse(settings.longestComeBack());
     }
 
-    private boolean tandem(Exchange each, Session session) {
+    private boolean isTandem(Exchange exchange, Session session) {
         return !session.transit()
-                && each.number() != settings.ownNumber()
-                && each.number() != session.farEnd();
+                && exchange.number() != settings.ownNumber()
+                && exchange.number() != session.farEnd();
     }
 
-    private Exchange drawn(Session session) {
+    private Exchange drawTandem(Session session) {
         List<Exchange> tandems =
-                list.values().stream().filter(each -> tandem(each, session)).toList();
-        return tandems.isEmpty() ? null : tandems.get(chance.nextInt(tandems.size()));
+                exchanges.values().stream()
+                        .filter(exchange -> isTandem(exchange, session))
+                        .toList();
+        return tandems.isEmpty() ? null : tandems.get(random.nextInt(tandems.size()));
     }
 
-    private boolean fits(Exchange each, Held it, int kept) {
-        return each.phase() == Exchange.Phase.READY
-                && !it.tried.contains(each.id())
-                && free.getOrDefault(each.id(), 0) >= it.session.width() + kept;
+    private boolean accepts(Exchange exchange, PendingSession pending, int reserved) {
+        return exchange.phase() == Exchange.Phase.READY
+                && !pending.triedExchanges.contains(exchange.id())
+                && freeCircuits.getOrDefault(exchange.id(), 0)
+                        >= pending.session.width() + reserved;
     }
 
-    /** Circuits of this group that only direct calls may have. */
-    private int kept(Exchange each) {
-        return kind != Kind.RESERVED && kind != Kind.LEAST_BUSY
+    /** Circuits of this trunk group that only direct calls may use. */
+    private int reservedCircuits(Exchange exchange) {
+        return overflowPolicy != Kind.TRUNK_RESERVATION && overflowPolicy != Kind.LEAST_BUSY
                 ? 0
                 : Math.max(
-                        RESERVED_LEAST,
-                        (int) Math.round(RESERVED * sizes.getOrDefault(each.id(), 0)));
+                        MIN_RESERVED_CIRCUITS,
+                        (int)
+                                Math.round(
+                                        RESERVED_SHARE
+                                                * groupSizes.getOrDefault(exchange.id(), 0)));
     }
 
-    private Answer send(long now, Held it, Exchange to) {
-        it.sent++;
-        it.tried.add(to.id());
-        return Answer.send(to.id(), it.session.limit() - now);
+    private Answer send(long now, PendingSession pending, Exchange exchange) {
+        pending.invitesSent++;
+        pending.triedExchanges.add(exchange.id());
+        return Answer.send(exchange.id(), pending.session.limit() - now);
     }
 
     @Override
     public Answer after(
             long now,
             long session,
-            Ending ending,
+            Ending outcome,
             Cause cause,
             long exchange,
-            long took,
-            long namedWait,
+            long elapsed,
+            long retryAfter,
             boolean over) {
-        Held it = held.get(session);
-        if (ending == Ending.STANDS || over || it == null) {
-            held.remove(session);
+        PendingSession pending = pendingSessions.get(session);
+        if (outcome == Ending.STANDS || over || pending == null) {
+            pendingSessions.remove(session);
             return Answer.NOTHING;
         }
-        if (ending == Ending.TIMED_OUT || ending == Ending.RESET || ending == Ending.CANCELLED) {
-            it.notBefore = now + settings.releaseWait();
+        if (outcome == Ending.TIMED_OUT || outcome == Ending.RESET || outcome == Ending.CANCELLED) {
+            pending.notBefore = now + settings.releaseWait();
         }
-        if (it.notBefore >= it.session.limit()) {
-            held.remove(session);
+        if (pending.notBefore >= pending.session.limit()) {
+            pendingSessions.remove(session);
             return Answer.refuse(settings.longestComeBack());
         }
-        return choose(now, it);
+        return choose(now, pending);
     }
 
     @Override
     public Waiting waiting(long now) {
-        boolean ask = subscribe && now >= subscribeAt;
-        subscribe &= !ask;
-        return new Waiting(subscribe ? subscribeAt : 0, List.of(), List.of(), ask);
+        boolean subscribeNow = subscribe && now >= subscribeAt;
+        subscribe &= !subscribeNow;
+        return new Waiting(subscribe ? subscribeAt : 0, List.of(), List.of(), subscribeNow);
     }
 
     @Override
-    public void roster(long now, boolean whole, List<Exchange> exchanges) {
-        if (whole) {
-            list.clear();
+    public void roster(long now, boolean complete, List<Exchange> update) {
+        if (complete) {
+            exchanges.clear();
         }
-        exchanges.forEach(each -> list.put(each.id(), each));
+        update.forEach(exchange -> exchanges.put(exchange.id(), exchange));
     }
 
     @Override
@@ -198,23 +218,23 @@
     }
 
     @Override
-    public void circuits(long now, long exchange, int circuits, int size) {
-        free.put(exchange, circuits);
-        sizes.put(exchange, size);
+    public void circuits(long now, long exchange, int free, int size) {
+        freeCircuits.put(exchange, free);
+        groupSizes.put(exchange, size);
     }
 
     @Override
-    public void report(long now, long exchange, boolean passed, long took, float[] columns) {
+    public void report(long now, long exchange, boolean passed, long elapsed, float[] columns) {
         // Baselines do not probe.
     }
 
     @Override
     public void peer(long now, int rank, byte[] body) {
-        // Baselines do not listen to peers.
+        // Baselines ignore messages of peers.
     }
 
     @Override
     public void ended(long now, long session) {
-        held.remove(session);
+        pendingSessions.remove(session);
     }
 }
--- a/src/main/java/coralcove/boot/Boot.java
+++ b/src/main/java/coralcove/boot/Boot.java
@@ -10,8 +10,9 @@
 import java.util.Map;
 
 /**
- * A router's settings, as the simulator's first message and the platform's configuration both give
- * them: paths and values. Reads them into this project's words. Nothing is decided here.
+ * Reads a router's settings from pairs of path and value, as both the simulator's first message and
+ * the platform's configuration contain them. Durations are given in nanoseconds and converted to
+ * µs.
  */
 public final class Boot {
     private final Map<String, String> pairs;
@@ -20,60 +21,61 @@
         this.pairs = pairs;
     }
 
-    /** From lines of path=value. */
+    /** Reads lines of the form path=value; other lines are ignored. */
     public static Boot read(String text) {
         Map<String, String> pairs = new HashMap<>();
         text.lines()
                 .forEach(
                         line -> {
-                            int at = line.indexOf('=');
-                            if (at > 0) {
+                            int equalsAt = line.indexOf('=');
+                            if (equalsAt > 0) {
                                 pairs.put(
-                                        line.substring(0, at).strip(),
-                                        line.substring(at + 1).strip());
+                                        line.substring(0, equalsAt).strip(),
+                                        line.substring(equalsAt + 1).strip());
                             }
                         });
         return new Boot(pairs);
     }
 
-    /** From paths that are taken apart already. */
+    /** Takes pairs that are already split into path and value. */
     public static Boot of(Map<String, String> pairs) {
         return new Boot(Map.copyOf(pairs));
     }
 
+    /** The settings of the routing policy; fails if one is missing or out of range. */
     public Settings settings() throws BadConfig {
         try {
-            return read();
+            return readSettings();
         } catch (NumberFormatException e) {
             throw new BadConfig("settings: not a number: " + e.getMessage());
         }
     }
 
-    private Settings read() throws BadConfig {
+    private Settings readSettings() throws BadConfig {
         List<Settings.Service> services = new ArrayList<>();
-        List<String> holds = list("family_info.call_length");
+        List<String> holdTimes = list("family_info.call_length");
         List<String> widths = list("family_info.class_width");
         int count = Integer.parseInt(need("classes.count"));
-        if (count < 1 || holds.size() < count || widths.size() < count) {
+        if (count < 1 || holdTimes.size() < count || widths.size() < count) {
             throw new BadConfig(
                     "settings: call_length or class_width is shorter than classes.count=" + count);
         }
         for (int i = 0; i < count; i++) {
-            String at = "classes." + i + ".";
+            String prefix = "classes." + i + ".";
             services.add(
                     new Settings.Service(
-                            down(need(at + "aim")),
-                            Double.parseDouble(need(at + "credit")),
-                            number(at + "late_worth", 0),
+                            microsRoundedDown(need(prefix + "aim")),
+                            Double.parseDouble(need(prefix + "credit")),
+                            decimal(prefix + "late_worth", 0),
                             (int) Double.parseDouble(widths.get(i)),
-                            Math.max(1, down(holds.get(i))),
-                            get(at + "effect", "repeatable").equals("repeatable"),
-                            pools(i)));
+                            Math.max(1, microsRoundedDown(holdTimes.get(i))),
+                            get(prefix + "effect", "repeatable").equals("repeatable"),
+                            allowedPools(i)));
         }
-        atLeast("balancers", 1);
-        atLeast("limits.try_limit", 1);
-        atLeast("contract.fall_multiple", Double.MIN_VALUE);
-        atLeast("contract.cold_from", Double.MIN_VALUE);
+        requireAtLeast("balancers", 1);
+        requireAtLeast("limits.try_limit", 1);
+        requireAtLeast("contract.fall_multiple", Double.MIN_VALUE);
+        requireAtLeast("contract.cold_from", Double.MIN_VALUE);
         return new Settings(
                 Integer.parseInt(need("balancers")),
                 Integer.parseInt(need("family_info.this_node")),
@@ -82,27 +84,26 @@
                 Integer.parseInt(need("limits.try_limit")),
                 flag("clients.marks_retry"),
                 flag("limits.retry_after"),
-                down(get("limits.max_retry_after", "0")),
+                microsRoundedDown(get("limits.max_retry_after", "0")),
                 flag("limits.peers"),
                 get("discovery", "pushed").equals("on_request"),
-                up(need("family_info.release_guard")),
+                microsRoundedUp(need("family_info.release_guard")),
                 Double.parseDouble(need("contract.fall_multiple")),
-                Math.max(1, up(need("contract.overload_for"))),
+                Math.max(1, microsRoundedUp(need("contract.overload_for"))),
                 Double.parseDouble(need("contract.cold_from")),
-                up(need("contract.warm_up")));
+                microsRoundedUp(need("contract.warm_up")));
     }
 
-    /**
-     * The pools of service i; the list of lists comes flat per service, or as one path per service.
-     */
-    private List<Integer> pools(int i) {
-        List<Integer> found = new ArrayList<>();
-        for (String each : list("family_info.allowed_pools." + i)) {
-            found.add(Integer.parseInt(each));
+    /** The pools that this service may use; a nested list is given as one path for each service. */
+    private List<Integer> allowedPools(int service) {
+        List<Integer> pools = new ArrayList<>();
+        for (String pool : list("family_info.allowed_pools." + service)) {
+            pools.add(Integer.parseInt(pool));
         }
-        return found;
+        return pools;
     }
 
+    /** The value of a required path; fails if it is missing or empty. */
     public String need(String path) throws BadConfig {
         String value = pairs.get(path);
         if (value == null || value.isEmpty()) {
@@ -111,12 +112,13 @@
         return value;
     }
 
-    public String get(String path, String otherwise) {
+    /** The value of a path, or {@code defaultValue} if it is missing or empty. */
+    public String get(String path, String defaultValue) {
         String value = pairs.get(path);
-        return value == null || value.isEmpty() ? otherwise : value;
+        return value == null || value.isEmpty() ? defaultValue : value;
     }
 
-    /** True or false; what is not told is not allowed, what is neither is no setting. */
+    /** A boolean, false if missing; fails on any value other than true and false. */
     public boolean flag(String path) throws BadConfig {
         String value = get(path, "false");
         if (!value.equals("true") && !value.equals("false")) {
@@ -125,48 +127,52 @@
         return value.equals("true");
     }
 
-    private void atLeast(String path, double least) throws BadConfig {
+    private void requireAtLeast(String path, double minimum) throws BadConfig {
         double value = Double.parseDouble(need(path));
-        if (!(value >= least) || Double.isInfinite(value)) {
+        if (!(value >= minimum) || Double.isInfinite(value)) {
             throw new BadConfig("settings: " + path + " cannot be " + need(path));
         }
     }
 
-    private double number(String path, double otherwise) {
-        return Double.parseDouble(get(path, Double.toString(otherwise)));
+    private double decimal(String path, double defaultValue) {
+        return Double.parseDouble(get(path, Double.toString(defaultValue)));
     }
 
+    /** The elements of a comma-separated list, empty if it is missing. */
     public List<String> list(String path) {
         String value = get(path, "");
         return value.isEmpty() ? List.of() : Arrays.asList(value.split(","));
     }
 
-    /** Nanoseconds to microseconds: an allowance is never lengthened. */
-    private static long down(String nanos) {
+    /** Converts nanoseconds to µs, rounded down so that an allowance is never lengthened. */
+    private static long microsRoundedDown(String nanos) {
         return Micros.down(Long.parseLong(nanos));
     }
 
-    /** Nanoseconds to microseconds: a wait is never shortened. */
-    private static long up(String nanos) {
+    /** Converts nanoseconds to µs, rounded up so that a wait is never shortened. */
+    private static long microsRoundedUp(String nanos) {
         return Micros.up(Long.parseLong(nanos));
     }
 
-    /** The same for one setting; {@code otherwise} is in µs. */
-    public long up(String path, long otherwise) throws BadConfig {
+    /**
+     * A duration in nanoseconds as µs, rounded up; {@code defaultMicros} if it is missing. Fails if
+     * it is not an integer.
+     */
+    public long up(String path, long defaultMicros) throws BadConfig {
         try {
             String value = get(path, "");
-            return value.isEmpty() ? otherwise : up(value);
+            return value.isEmpty() ? defaultMicros : microsRoundedUp(value);
         } catch (NumberFormatException e) {
             throw new BadConfig("settings: " + path + " is not a number: " + e.getMessage());
         }
     }
 
-    /** A whole number that counts something. */
-    public long whole(String path, long otherwise) throws BadConfig {
+    /** An integer, {@code defaultValue} if it is missing; fails on any other value. */
+    public long whole(String path, long defaultValue) throws BadConfig {
         try {
-            return Long.parseLong(get(path, Long.toString(otherwise)));
+            return Long.parseLong(get(path, Long.toString(defaultValue)));
         } catch (NumberFormatException e) {
-            throw new BadConfig("settings: " + path + " is no whole number: " + e.getMessage());
+            throw new BadConfig("settings: " + path + " is not an integer: " + e.getMessage());
         }
     }
 }
--- a/src/main/java/coralcove/drill/BadFrame.java
+++ b/src/main/java/coralcove/drill/BadFrame.java
@@ -1,6 +1,6 @@
 package coralcove.drill;
 
-/** Input that is not the wire's; the message says what and where. */
+/** A malformed input of the simulator; the message says what is wrong and where. */
 public final class BadFrame extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/coralcove/drill/Drill.java
+++ b/src/main/java/coralcove/drill/Drill.java
@@ -21,22 +21,24 @@
 import java.util.Set;
 
 /**
- * The simulator's wire: batches in, replies out, one {@link Line} for each instance. It decides
- * nothing.
+ * Adapter between the simulator's binary protocol and the routing policy. Reads frames with batches
+ * of events, passes each event to the {@link RouterInstance} it is for, and writes one reply frame
+ * per batch. All numbers are little-endian. Makes no routing decision itself.
  */
 public final class Drill {
-    private static final int HEADER = 16;
-    private static final int RECORD = 48;
-    private static final int ENTRY = 22;
-    private static final int LARGEST = 1 << 30;
+    private static final int HEADER_BYTES = 16;
+    private static final int RECORD_BYTES = 48;
+    private static final int LEDGER_ENTRY_BYTES = 22;
+    private static final int MAX_FRAME_BYTES = 1 << 30;
 
-    private final Map<Integer, Line> lines = new HashMap<>();
+    private final Map<Integer, RouterInstance> instances = new HashMap<>();
     private final Map<Integer, List<Exchange>> ledgers = new HashMap<>();
 
     private Drill() {}
 
+    /** Answers frames until the input ends between two of them. */
     public static void run(InputStream in, OutputStream out) throws IOException, BadFrame {
-        Drill drill = new Drill();
+        Drill adapter = new Drill();
         InputStream input = new BufferedInputStream(in, 1 << 16);
         while (true) {
             byte[] length = input.readNBytes(4);
@@ -47,96 +49,102 @@
                 throw new BadFrame("frame: input ends inside the length");
             }
             int size = ByteBuffer.wrap(length).order(ByteOrder.LITTLE_ENDIAN).getInt();
-            if (size < HEADER || size > LARGEST) {
-                throw new BadFrame(
-                        "frame: length " + Integer.toUnsignedString(size) + " cannot be");
+            if (size < HEADER_BYTES || size > MAX_FRAME_BYTES) {
+                throw new BadFrame("frame: invalid length " + Integer.toUnsignedString(size));
             }
             byte[] body = input.readNBytes(size);
             if (body.length < size) {
                 throw new BadFrame(
                         "frame: " + size + " bytes announced, input ends after " + body.length);
             }
-            out.write(drill.answer(ByteBuffer.wrap(body).order(ByteOrder.LITTLE_ENDIAN)));
+            out.write(adapter.handleBatch(ByteBuffer.wrap(body).order(ByteOrder.LITTLE_ENDIAN)));
             out.flush();
         }
     }
 
-    private byte[] answer(ByteBuffer frame) throws BadFrame {
+    private byte[] handleBatch(ByteBuffer frame) throws BadFrame {
         int count = frame.getInt(0);
         long clock = frame.getLong(4);
         int batch = frame.getInt(12);
-        if (count < 0 || count > (frame.limit() - HEADER) / RECORD) {
+        if (count < 0 || count > (frame.limit() - HEADER_BYTES) / RECORD_BYTES) {
             throw new BadFrame(
                     "batch "
                             + batch
                             + ": "
                             + Integer.toUnsignedString(count)
-                            + " records do not fit");
+                            + " records do not fit into the frame");
         }
-        Reply reply = new Reply();
-        Set<Line> woken = new LinkedHashSet<>();
+        ReplyFrame reply = new ReplyFrame();
+        Set<RouterInstance> active = new LinkedHashSet<>();
         for (int i = 0; i < count; i++) {
-            event(
-                    new Event(
+            handleEvent(
+                    new EventRecord(
                             frame,
-                            HEADER + i * RECORD,
-                            HEADER + count * RECORD,
+                            HEADER_BYTES + i * RECORD_BYTES,
+                            HEADER_BYTES + count * RECORD_BYTES,
                             "batch " + batch + " record " + i),
                     clock,
                     reply,
-                    woken);
+                    active);
         }
-        for (Line line : woken) {
-            if (lines.get(line.who()) == line) {
-                line.rest(clock, reply);
+        for (RouterInstance instance : active) {
+            if (instances.get(instance.number()) == instance) {
+                instance.endBatch(clock, reply);
             }
         }
         return reply.frame(batch);
     }
 
-    private void event(Event event, long clock, Reply reply, Set<Line> woken) throws BadFrame {
+    /**
+     * Handles one event. Code 3 creates an instance, 4 defines a ledger (a numbered list of
+     * exchanges), 5 removes an instance, and 10 passes a ledger to an instance; all others go to
+     * their instance. Events for an unknown instance are ignored.
+     */
+    private void handleEvent(
+            EventRecord event, long clock, ReplyFrame reply, Set<RouterInstance> active)
+            throws BadFrame {
         int code = event.u8(0);
         if (code == 4) {
             ledgers.put(event.u16(1), ledger(event));
             return;
         }
-        int who = event.u16(1);
+        int number = event.u16(1);
         if (code == 3) {
-            Line line = new Line(who, event.i64(3), settings(event));
-            lines.put(who, line);
-            woken.add(line);
+            RouterInstance instance = new RouterInstance(number, event.i64(3), settings(event));
+            instances.put(number, instance);
+            active.add(instance);
             return;
         }
         if (code == 5) {
-            lines.remove(who);
+            instances.remove(number);
             return;
         }
-        Line line = lines.get(who);
+        RouterInstance instance = instances.get(number);
         if (code > 10) {
-            throw new BadFrame(event.where() + ": event code " + code + " cannot be");
+            throw new BadFrame(event.position() + ": unknown event code " + code);
         }
-        if (line == null) {
+        if (instance == null) {
             return;
         }
-        woken.add(line);
+        active.add(instance);
         if (code == 10) {
             int kind = event.u8(3);
-            List<Exchange> list = ledgers.get(event.u16(12));
-            if (kind > 3 || kind < 3 && list == null) {
+            List<Exchange> exchanges = ledgers.get(event.u16(12));
+            if (kind > 3 || kind < 3 && exchanges == null) {
                 throw new BadFrame(
-                        event.where()
-                                + ": list of kind "
+                        event.position()
+                                + ": invalid list of kind "
                                 + kind
-                                + " names ledger "
+                                + ", ledger "
                                 + event.u16(12));
             }
-            line.list(clock, kind, list);
+            instance.exchangeList(clock, kind, exchanges);
         } else {
-            line.event(code, event, clock, reply);
+            instance.event(code, event, clock, reply);
         }
     }
 
-    private static Settings settings(Event event) throws BadFrame {
+    private static Settings settings(EventRecord event) throws BadFrame {
         try {
             return Boot.read(new String(event.tail(11), StandardCharsets.UTF_8)).settings();
         } catch (BadConfig e) {
@@ -144,23 +152,23 @@
         }
     }
 
-    private static List<Exchange> ledger(Event event) throws BadFrame {
+    private static List<Exchange> ledger(EventRecord event) throws BadFrame {
         int entries = event.i32(7);
-        byte[] bytes = event.tail(event.i32(3), (long) entries * ENTRY);
+        byte[] bytes = event.tail(event.i32(3), (long) entries * LEDGER_ENTRY_BYTES);
         ByteBuffer in = ByteBuffer.wrap(bytes).order(ByteOrder.LITTLE_ENDIAN);
-        List<Exchange> list = new ArrayList<>();
-        for (int at = 0; at < bytes.length; at += ENTRY) {
+        List<Exchange> exchanges = new ArrayList<>();
+        for (int at = 0; at < bytes.length; at += LEDGER_ENTRY_BYTES) {
             int phase = in.get(at + 11);
             if (phase < 0 || phase > 2) {
-                throw new BadFrame(event.where() + ": phase " + phase + " cannot be");
+                throw new BadFrame(event.position() + ": unknown phase " + phase);
             }
-            list.add(
+            exchanges.add(
                     new Exchange(
                             in.getInt(at + 12) & 0xffffffffL,
                             in.getShort(at + 16) & 0xffff,
                             Phase.values()[phase],
                             Micros.up(in.getLong(at + 2))));
         }
-        return list;
+        return exchanges;
     }
 }
--- a/src/main/java/coralcove/inhand/InHand.java
+++ b/src/main/java/coralcove/inhand/InHand.java
@@ -10,27 +10,31 @@
 import java.util.Map;
 
 /**
- * The sessions that one router has in hand, between its module and a protocol: asks the module, and
- * has carried out what it decides. The simulator's wire and the platform's protocol both go through
- * here. It decides nothing.
+ * The pending sessions of one router. Queries the routing policy about them and has its decisions
+ * carried out by a protocol. Both the simulator adapter and the platform's router use this class;
+ * it makes no routing decision itself. Times are in µs.
  */
 public final class InHand {
     private final CallRouter router;
-    private final Wire wire;
+    private final Wire executor;
     private final Map<Long, Session> sessions = new HashMap<>();
-    private long wakeAt;
+    private long scheduledWakeUp;
 
-    public InHand(CallRouter router, Wire wire) {
+    public InHand(CallRouter router, Wire executor) {
         this.router = router;
-        this.wire = wire;
+        this.executor = executor;
     }
 
+    /** Adds a new session and carries out the first decision about it. */
     public void take(long now, Session session) {
         sessions.put(session.id(), session);
         carryOut(session, router.route(now, session));
     }
 
-    /** The moment of a "later" has come; a session that ended in the meantime is passed over. */
+    /**
+     * Routes a deferred session again at the time that the policy named; a session that ended in
+     * the meantime is ignored.
+     */
     public void due(long now, long id) {
         Session session = sessions.get(id);
         if (session != null) {
@@ -38,62 +42,70 @@
         }
     }
 
-    public void stands(long now, long id, long exchange, long took) {
-        router.after(now, id, Ending.STANDS, Cause.NONE, exchange, took, 0, true);
+    /** Informs the policy that the call was established {@code elapsed} µs after its INVITE. */
+    public void stands(long now, long id, long exchange, long elapsed) {
+        router.after(now, id, Ending.STANDS, Cause.NONE, exchange, elapsed, 0, true);
     }
 
-    /** An INVITE ended; with {@code over} its session did too, and nothing is owed for it. */
+    /**
+     * Reports the end of an INVITE. If {@code over}, its session has ended too and needs no further
+     * answer.
+     */
     public void ended(
             long now,
             long id,
-            Ending ending,
+            Ending outcome,
             Cause cause,
             long exchange,
-            long took,
-            long namedWait,
+            long elapsed,
+            long retryAfter,
             boolean over) {
         if (over) {
             sessions.remove(id);
         }
         Session session = sessions.get(id);
-        Answer answer =
-                router.after(now, id, ending, cause, exchange, took, namedWait, session == null);
+        Answer decision =
+                router.after(
+                        now, id, outcome, cause, exchange, elapsed, retryAfter, session == null);
         if (session != null) {
-            carryOut(session, answer);
+            carryOut(session, decision);
         }
     }
 
-    /** Its caller left: nothing is owed for it. */
+    /** The caller abandoned the session: it needs no further answer. */
     public void left(long now, long id) {
         sessions.remove(id);
         router.ended(now, id);
     }
 
-    /** At the end of a round: what is to be sent besides sessions, and when to look again. */
+    /**
+     * Called after each batch of inputs: sends what the policy wants sent besides sessions, and
+     * schedules the next wake-up.
+     */
     public void rest(long now) {
-        Waiting waiting = router.waiting(now);
-        if (waiting.subscribe()) {
-            wire.subscribe();
+        Waiting pending = router.waiting(now);
+        if (pending.subscribe()) {
+            executor.subscribe();
         }
-        waiting.probes().forEach(wire::probe);
-        waiting.broadcasts().forEach(wire::broadcast);
-        if (waiting.until() > 0 && waiting.until() != wakeAt) {
-            wakeAt = waiting.until();
-            wire.wake(wakeAt);
+        pending.probes().forEach(executor::probe);
+        pending.broadcasts().forEach(executor::broadcast);
+        if (pending.until() > 0 && pending.until() != scheduledWakeUp) {
+            scheduledWakeUp = pending.until();
+            executor.wake(scheduledWakeUp);
         }
     }
 
-    private void carryOut(Session session, Answer answer) {
-        switch (answer.kind()) {
-            case SEND -> wire.send(session, answer.exchange(), answer.time());
-            case LATER -> wire.later(session, answer.time());
+    private void carryOut(Session session, Answer decision) {
+        switch (decision.kind()) {
+            case SEND -> executor.send(session, decision.exchange(), decision.time());
+            case LATER -> executor.later(session, decision.time());
             case REFUSE -> {
                 sessions.remove(session.id());
-                wire.refuse(session, answer.time());
+                executor.refuse(session, decision.time());
             }
             case FAIL -> {
                 sessions.remove(session.id());
-                wire.fail(session);
+                executor.fail(session);
             }
             case NOTHING -> {}
         }
--- a/src/main/java/coralcove/inhand/Wire.java
+++ b/src/main/java/coralcove/inhand/Wire.java
@@ -2,26 +2,29 @@
 
 import coralcove.Session;
 
-/** Carries out what was decided, in the words of one protocol. Moments and waits are in µs. */
+/** Carries out routing decisions over one protocol. Times and durations are in µs. */
 public interface Wire {
-    /** An INVITE to this exchange that may take {@code allowance}. */
-    void send(Session session, long exchange, long allowance);
+    /** Sends an INVITE to this exchange; its answer may take {@code timeLimit}. */
+    void send(Session session, long exchange, long timeLimit);
 
-    /** {@link InHand#due} is wanted for this session at this moment. */
-    void later(Session session, long at);
+    /** Schedules {@link InHand#due} for this session at this time. */
+    void later(Session session, long time);
 
-    /** The final answer: turned away, to come back after {@code comeBack}; 0 for any time. */
-    void refuse(Session session, long comeBack);
+    /** Rejects the session; the caller may retry after {@code retryAfter}, with 0 at any time. */
+    void refuse(Session session, long retryAfter);
 
-    /** The final answer: failed. */
+    /** Fails the session with a final answer. */
     void fail(Session session);
 
+    /** Subscribes to the exchange list. */
     void subscribe();
 
+    /** Requests a load report from this exchange. */
     void probe(long exchange);
 
+    /** Sends a message to all peer routers. */
     void broadcast(byte[] body);
 
-    /** {@link InHand#rest} is wanted at this moment at the latest. */
-    void wake(long at);
+    /** Schedules {@link InHand#rest} for this time at the latest. */
+    void wake(long time);
 }
--- a/src/test/java/coralcove/drill/DrillTest.java
+++ b/src/test/java/coralcove/drill/SimulatorAdapterTest.java
@@ -12,8 +12,8 @@
 import java.util.HexFormat;
 import org.junit.jupiter.api.Test;
 
-/** Frames in, frames out, on input written here. */
-class DrillTest {
+/** Exchanges hand-written frames with the adapter and compares its replies to the byte. */
+class SimulatorAdapterTest {
     private static final String SETTINGS =
             """
             balancers=2
@@ -45,14 +45,14 @@
         return records.put((byte) code);
     }
 
-    private void create(String settings) {
+    private void createInstance(String settings) {
         byte[] text = settings.getBytes(StandardCharsets.UTF_8);
         record(3).putShort((short) 3).putLong(1).putInt(tail.size()).putInt(text.length);
         tail.writeBytes(text);
     }
 
-    private void ledger(int buffer, int exchange, int number, int phase) {
-        record(4).putShort((short) buffer).putInt(tail.size()).putInt(1);
+    private void ledger(int ledger, int exchange, int number, int phase) {
+        record(4).putShort((short) ledger).putInt(tail.size()).putInt(1);
         tail.writeBytes(
                 ByteBuffer.allocate(22)
                         .order(ByteOrder.LITTLE_ENDIAN)
@@ -66,8 +66,8 @@
                         .array());
     }
 
-    private void list(int kind, int buffer) {
-        record(10).putShort((short) 3).put((byte) kind).putLong(1).putShort((short) buffer);
+    private void exchangeList(int kind, int ledger) {
+        record(10).putShort((short) 3).put((byte) kind).putLong(1).putShort((short) ledger);
     }
 
     private void circuits(int exchange, float free, float size) {
@@ -96,18 +96,18 @@
                 .putShort((short) 0);
     }
 
-    private void verdict(int id, int ending, boolean over) {
+    private void inviteOutcome(int id, int outcome, boolean over) {
         record(2)
                 .putShort((short) 3)
                 .putInt(id)
                 .putShort((short) 0)
                 .putInt(-9)
-                .putShort((short) ending)
+                .putShort((short) outcome)
                 .putLong(1000)
                 .put((byte) (over ? 1 : 0));
     }
 
-    private void batch(long clock) {
+    private void endBatch(long clock) {
         int length = 16 + 48 * count + tail.size();
         ByteBuffer frame = ByteBuffer.allocate(4 + length).order(ByteOrder.LITTLE_ENDIAN);
         frame.putInt(length).putInt(count).putLong(clock).putInt(7);
@@ -124,19 +124,19 @@
         return HexFormat.of().formatHex(out.toByteArray());
     }
 
-    private static String send(String id, String capNanos) {
-        return "400300" + id + capNanos + "f7ffffff" + "0000000000";
+    private static String sendRecord(String id, String timeLimitNanos) {
+        return "400300" + id + timeLimitNanos + "f7ffffff" + "0000000000";
     }
 
     @Test
-    void sessionsAreSentWithAllowancesRoundedDownAndLargeIdsUnchanged() throws Exception {
-        batch(0);
-        create(SETTINGS);
+    void roundsTimeLimitsDownAndKeepsLargeIds() throws Exception {
+        endBatch(0);
+        createInstance(SETTINGS);
         ledger(0, -9, 1, 0);
-        list(2, 0);
+        exchangeList(2, 0);
         circuits(-9, 20, 20);
         session(-2, 1);
-        batch(1_000_000_500L);
+        endBatch(1_000_000_500L);
         assertThat(replies())
                 .isEqualTo(
                         "08000000"
@@ -145,21 +145,21 @@
                                 + "20000000"
                                 + "01000000"
                                 + "07000000"
-                                + send("feffffff", "005ed0b200000000"));
+                                + sendRecord("feffffff", "005ed0b200000000"));
     }
 
     @Test
-    void aReusedLedgerNumberIsReadInOrderAndTheDeadGetNothing() throws Exception {
-        create(SETTINGS);
+    void handlesEventsInOrderAndIgnoresRemovedInstances() throws Exception {
+        createInstance(SETTINGS);
         ledger(0, -9, 1, 0);
-        list(1, 0);
+        exchangeList(1, 0);
         ledger(0, -9, 1, 1);
-        list(0, 0);
+        exchangeList(0, 0);
         circuits(-9, 20, 20);
         session(8, 1);
         record(5).putShort((short) 3);
         session(9, 1);
-        batch(1_000_000_000L);
+        endBatch(1_000_000_000L);
         assertThat(replies())
                 .isEqualTo(
                         "20000000"
@@ -172,18 +172,18 @@
     }
 
     @Test
-    void anOutcomeAndADepartureInOneBatchAreNoSecondAnswer() throws Exception {
-        create(SETTINGS);
+    void answersOnceWhenOutcomeAndAbandonmentShareABatch() throws Exception {
+        createInstance(SETTINGS);
         ledger(0, -9, 1, 0);
-        list(1, 0);
+        exchangeList(1, 0);
         circuits(-9, 20, 20);
         session(8, 1);
-        batch(1_000_000_000L);
-        verdict(8, 3, false);
+        endBatch(1_000_000_000L);
+        inviteOutcome(8, 3, false);
         record(9).putShort((short) 3).putInt(8);
-        verdict(8, 5, true);
+        inviteOutcome(8, 5, true);
         record(0).putShort((short) 3).putInt(55);
-        batch(4_000_000_000L);
+        endBatch(4_000_000_000L);
         assertThat(replies())
                 .endsWith(
                         "20000000"
@@ -196,20 +196,20 @@
     }
 
     @Test
-    void badInputIsNamed() {
-        create(SETTINGS.replace("limits.try_limit=4\n", ""));
-        batch(0);
+    void reportsWhatIsMalformedAndWhere() {
+        createInstance(SETTINGS.replace("limits.try_limit=4\n", ""));
+        endBatch(0);
         assertThatThrownBy(this::replies)
                 .isInstanceOf(BadFrame.class)
                 .hasMessage("settings: limits.try_limit is missing");
         input.reset();
-        create(SETTINGS);
+        createInstance(SETTINGS);
         record(11).putShort((short) 3);
-        batch(0);
-        assertThatThrownBy(this::replies).hasMessage("batch 7 record 1: event code 11 cannot be");
+        endBatch(0);
+        assertThatThrownBy(this::replies).hasMessage("batch 7 record 1: unknown event code 11");
         input.reset();
         record(3).putShort((short) 3).putLong(1).putInt(0).putInt(999);
-        batch(0);
+        endBatch(0);
         assertThatThrownBy(this::replies)
                 .hasMessage("batch 7 record 0: tail 0+999 lies outside the frame");
         input.reset();
@@ -218,6 +218,6 @@
                 .hasMessage("frame: 99 bytes announced, input ends after 1");
         input.reset();
         input.writeBytes(new byte[] {1, 0, 0, 0, 1});
-        assertThatThrownBy(this::replies).hasMessage("frame: length 1 cannot be");
+        assertThatThrownBy(this::replies).hasMessage("frame: invalid length 1");
     }
 }
