--- a/src/main/java/coralcove/platform/bulletin/Bulletin.java
+++ b/src/main/java/coralcove/platform/bulletin/Bulletin.java
@@ -7,37 +7,44 @@
 import java.util.List;
 
 /**
- * The bulletin's words: events numbered from 1, each a list of exchanges, the whole one or what has
- * changed.
+ * A response of the discovery service: events numbered from 1, each with the complete exchange list
+ * or its changes. {@code lastEvent} is the number of the newest event.
  */
 public record Bulletin(long last, List<Event> events) {
     private static final ObjectMapper JSON = new ObjectMapper();
 
+    /** State of an exchange in the list. */
     public enum State {
         IN_SERVICE,
         TERMINATING,
         TERMINATED
     }
 
-    /** One exchange; {@code startedMs} is 0, or the Unix millisecond of a late start. */
+    /**
+     * One exchange; {@code startedMs} is the time of a late start in ms since the Unix epoch, or 0.
+     */
     public record Entry(String id, String address, int number, State state, long startedMs) {}
 
+    /**
+     * One event; with {@code complete} its entries are the complete list, else the changed
+     * exchanges.
+     */
     public record Event(long no, boolean whole, List<Entry> entries) {}
 
-    /** Reads an answer; what breaks off or is no list is told, and none of it is used. */
+    /** Parses a response; one that is truncated or malformed fails as a whole. */
     public static Bulletin read(byte[] text) throws IOException {
         return of(JSON.readTree(text));
     }
 
-    /** The same from the configuration's {@code known}. */
+    /** Converts JSON of the same form, as in the configuration's {@code known}. */
     public static Bulletin of(JsonNode node) throws IOException {
         if (node == null || !node.path("no").isIntegralNumber() || !node.path("items").isArray()) {
-            throw new IOException("bulletin: no is no number or items no list");
+            throw new IOException("bulletin: no is not an integer or items is not an array");
         }
         List<Event> events = new ArrayList<>();
         for (JsonNode item : node.path("items")) {
             if (!item.path("no").isIntegralNumber()) {
-                throw new IOException("bulletin: an item without a number");
+                throw new IOException("bulletin: an item without an integer no");
             }
             JsonNode roster = item.path("roster");
             List<Entry> entries = new ArrayList<>();
@@ -65,13 +72,13 @@
                     case "terminated" -> State.TERMINATED;
                     default ->
                             throw new IOException(
-                                    "bulletin: " + id + ": state " + server.path("state"));
+                                    "bulletin: " + id + ": unknown state " + server.path("state"));
                 };
         if (id.isEmpty() || address.isEmpty() && state != State.TERMINATED) {
             throw new IOException("bulletin: an exchange without id or address");
         }
         if (!address.isEmpty() && !address.matches("[^:]+:\\d{1,5}")) {
-            throw new IOException("bulletin: " + id + ": no address: " + address);
+            throw new IOException("bulletin: " + id + ": malformed address: " + address);
         }
         return new Entry(
                 id,
--- a/src/main/java/coralcove/platform/bulletin/BulletinPoll.java
+++ b/src/main/java/coralcove/platform/bulletin/BulletinPoll.java
@@ -4,117 +4,121 @@
 import java.net.InetSocketAddress;
 
 /**
- * Asks the bulletin for later events, one question at a time, on a thread of its own. A break, a
- * stop or an answer that cannot be read is asked again: what was told counts as told then, so it is
- * soon.
+ * Polls the discovery service for changes of the exchange list by long polling, one request at a
+ * time, on a thread of its own. A request that breaks off, stops or brings a malformed response is
+ * soon repeated: a change takes effect when the service publishes it, not when it is read.
  */
 public final class BulletinPoll implements Runnable {
     /**
-     * Milliseconds that one question waits for news. The shorter, the sooner a silent bulletin is
-     * noticed.
+     * How long the service may hold a request until there is an event. The shorter this is, the
+     * sooner an unresponsive service is detected.
      */
-    private static final int PATIENCE = 1_000;
+    private static final int POLL_WAIT_MS = 1_000;
 
     /**
-     * The same for the first question and after one that failed: what was missed is wanted now, and
-     * not in a second.
+     * The same for the first request and after a failure: events that were missed are needed at
+     * once, not after a full wait.
      */
-    private static final int NO_PATIENCE = 1;
+    private static final int IMMEDIATE_POLL_WAIT_MS = 1;
 
-    /** Milliseconds past that in which the whole answer must have come, with the connection. */
-    private static final int GRACE = 400;
+    /** Time beyond the poll wait for connecting and for the complete response. */
+    private static final int RESPONSE_GRACE_MS = 400;
 
-    /** Milliseconds before a failed question is put again, doubling up to the longest. */
-    private static final int AGAIN_FIRST = 50;
+    /** Delay before the first retry of a failed request; it doubles with each further one. */
+    private static final int MIN_RETRY_DELAY_MS = 50;
 
-    private static final int AGAIN_LONGEST = 200;
+    private static final int MAX_RETRY_DELAY_MS = 200;
 
-    /** Hears what was told, on the poll's thread. */
+    /** Notified of each poll's result, on the poll's thread. */
     public interface Listener {
-        /** An answer came; it holds no event where there was none. */
-        void told(Bulletin bulletin);
+        /** A response arrived; it contains no events if there were none. */
+        void told(Bulletin update);
 
+        /** A request failed and will be repeated. */
         void failed(String reason);
     }
 
     private final Listener listener;
-    private final BulletinConnection connection = new BulletinConnection();
-    private InetSocketAddress address;
+    private final DiscoveryConnection connection = new DiscoveryConnection();
+    private InetSocketAddress serviceAddress;
     private boolean closed;
-    private long last;
+    private long lastEvent;
 
-    public BulletinPoll(InetSocketAddress address, long last, Listener listener) {
-        this.address = address;
-        this.last = last;
+    /** A poll for the events after {@code lastEvent}. */
+    public BulletinPoll(InetSocketAddress address, long lastEvent, Listener listener) {
+        serviceAddress = address;
+        this.lastEvent = lastEvent;
         this.listener = listener;
     }
 
     /**
-     * From now on another address is asked: the question that waits at the old one is dropped. The
-     * numbers go on.
+     * Continues the poll at another address, with the same event numbers; a pending request to the
+     * old address is cancelled.
      */
-    public synchronized void address(InetSocketAddress now) {
-        if (!now.equals(address)) {
-            address = now;
+    public synchronized void address(InetSocketAddress newAddress) {
+        if (!newAddress.equals(serviceAddress)) {
+            serviceAddress = newAddress;
             connection.close();
             notifyAll();
         }
     }
 
+    /** Ends the poll; a pending request is cancelled. */
     public synchronized void close() {
         closed = true;
         connection.close();
         notifyAll();
     }
 
-    private synchronized InetSocketAddress next() {
-        return closed ? null : address;
+    /** The address to poll, or null once the poll is closed. */
+    private synchronized InetSocketAddress currentAddress() {
+        return closed ? null : serviceAddress;
     }
 
     @Override
     public void run() {
-        int again = AGAIN_FIRST;
-        int patience = NO_PATIENCE;
+        int retryDelayMs = MIN_RETRY_DELAY_MS;
+        int pollWaitMs = IMMEDIATE_POLL_WAIT_MS;
         while (true) {
-            InetSocketAddress asked = next();
-            if (asked == null) {
+            InetSocketAddress polled = currentAddress();
+            if (polled == null) {
                 return;
             }
             try {
-                Bulletin bulletin =
+                Bulletin update =
                         Bulletin.read(
                                 connection.get(
-                                        asked,
-                                        "/bulletins?after=" + last + "&patience=" + patience,
-                                        patience + GRACE,
-                                        () -> asked.equals(next())));
-                listener.told(bulletin);
-                last = Math.max(last, bulletin.last());
-                again = AGAIN_FIRST;
-                patience = PATIENCE;
+                                        polled,
+                                        "/bulletins?after=" + lastEvent + "&patience=" + pollWaitMs,
+                                        pollWaitMs + RESPONSE_GRACE_MS,
+                                        () -> polled.equals(currentAddress())));
+                listener.told(update);
+                lastEvent = Math.max(lastEvent, update.last());
+                retryDelayMs = MIN_RETRY_DELAY_MS;
+                pollWaitMs = POLL_WAIT_MS;
             } catch (IOException | RuntimeException e) {
-                patience = NO_PATIENCE;
-                if (!failed(asked, String.valueOf(e.getMessage()), again)) {
+                pollWaitMs = IMMEDIATE_POLL_WAIT_MS;
+                if (!awaitRetry(polled, String.valueOf(e.getMessage()), retryDelayMs)) {
                     return;
                 }
-                again = Math.min(AGAIN_LONGEST, 2 * again);
+                retryDelayMs = Math.min(MAX_RETRY_DELAY_MS, 2 * retryDelayMs);
             }
         }
     }
 
     /**
-     * Waits before the next question, but not where another address is to be asked; false where the
-     * thread is to end.
+     * Reports a failure and waits before the retry; returns at once if the address has changed.
+     * False if the thread was interrupted and is to end.
      */
-    private synchronized boolean failed(InetSocketAddress asked, String reason, int millis) {
-        if (closed || !asked.equals(address)) {
+    private synchronized boolean awaitRetry(InetSocketAddress polled, String reason, int delayMs) {
+        if (closed || !polled.equals(serviceAddress)) {
             return true;
         }
         listener.failed(reason);
         try {
-            wait(millis);
+            wait(delayMs);
             return true;
-        } catch (InterruptedException stop) {
+        } catch (InterruptedException e) {
             return false;
         }
     }
--- a/src/main/java/coralcove/platform/caller/BadCallerMessage.java
+++ b/src/main/java/coralcove/platform/caller/BadCallerMessage.java
@@ -1,6 +1,6 @@
 package coralcove.platform.caller;
 
-/** What was read from a caller is no message of the protocol. */
+/** Input of a caller that is not a valid message of the protocol. */
 public final class BadCallerMessage extends Exception {
     private static final long serialVersionUID = 1;
 
--- a/src/main/java/coralcove/platform/caller/CallerFramer.java
+++ b/src/main/java/coralcove/platform/caller/CallerFramer.java
@@ -4,54 +4,55 @@
 import java.util.function.Consumer;
 
 /**
- * Cuts a caller's stream into messages by their lengths. Holds at most one message of {@link
- * CallerMessage#MOST_BYTES}: a longer or shorter length than can be ends the stream, before its
- * bytes come.
+ * Splits a caller's stream into messages by their length fields. Buffers at most one message of
+ * {@link CallerMessage#MOST_BYTES} bytes: a length out of range fails before the bytes of its
+ * message have arrived.
  */
 public final class CallerFramer {
-    private byte[] held = new byte[512];
+    private byte[] buffer = new byte[512];
     private int length;
 
-    public void take(byte[] data, Consumer<CallerMessage> whole) throws BadCallerMessage {
+    /** Adds data of the stream and passes on each message that is complete. */
+    public void take(byte[] data, Consumer<CallerMessage> consumer) throws BadCallerMessage {
         int from = 0;
         while (from < data.length) {
             int count = Math.min(data.length - from, CallerMessage.MOST_BYTES);
-            add(data, from, count);
+            append(data, from, count);
             from += count;
-            cut(whole);
+            extractMessages(consumer);
         }
     }
 
-    /** Whether a message has begun and not ended. */
+    /** Whether the last message is still incomplete. */
     public boolean partial() {
         return length > 0;
     }
 
-    private void add(byte[] data, int from, int count) {
-        if (length + count > held.length) {
-            held = Arrays.copyOf(held, Math.max(length + count, 2 * held.length));
+    private void append(byte[] data, int from, int count) {
+        if (length + count > buffer.length) {
+            buffer = Arrays.copyOf(buffer, Math.max(length + count, 2 * buffer.length));
         }
-        System.arraycopy(data, from, held, length, count);
+        System.arraycopy(data, from, buffer, length, count);
         length += count;
     }
 
-    private void cut(Consumer<CallerMessage> whole) throws BadCallerMessage {
+    private void extractMessages(Consumer<CallerMessage> consumer) throws BadCallerMessage {
         int at = 0;
         while (length - at >= 2) {
-            int size = (held[at] & 0xff) << 8 | held[at + 1] & 0xff;
-            if (size < CallerMessage.LEAST || size + 2 > CallerMessage.MOST_BYTES) {
-                throw new BadCallerMessage("a length of " + size);
+            int size = (buffer[at] & 0xff) << 8 | buffer[at + 1] & 0xff;
+            if (size < CallerMessage.MIN_BODY_BYTES || size + 2 > CallerMessage.MOST_BYTES) {
+                throw new BadCallerMessage("invalid message length " + size);
             }
             if (length - at < 2 + size) {
                 break;
             }
-            whole.accept(CallerMessage.read(Arrays.copyOfRange(held, at + 2, at + 2 + size)));
+            consumer.accept(CallerMessage.read(Arrays.copyOfRange(buffer, at + 2, at + 2 + size)));
             at += 2 + size;
         }
-        System.arraycopy(held, at, held, 0, length - at);
+        System.arraycopy(buffer, at, buffer, 0, length - at);
         length -= at;
-        if (length == 0 && held.length > 4096) {
-            held = new byte[512];
+        if (length == 0 && buffer.length > 4096) {
+            buffer = new byte[512];
         }
     }
 }
--- a/src/main/java/coralcove/platform/caller/CallerMessage.java
+++ b/src/main/java/coralcove/platform/caller/CallerMessage.java
@@ -6,67 +6,98 @@
 import java.util.List;
 
 /**
- * One binary message of a caller's connection: a length of two bytes, a type, the call's eight
- * bytes, parameters. All numbers are big-endian; the length counts what follows it.
+ * One binary message of a caller's connection: a length of two bytes, a type of one, a call id of
+ * eight, then parameters. All numbers are big-endian; the length does not count itself.
  */
 public record CallerMessage(int type, long call, List<Parameter> parameters) {
+    /** Message type: a caller requests a call, or reports one that is established already. */
     public static final int SET_UP = 1;
+
+    /** Message type: a call makes progress; ignored. */
     public static final int PROGRESS = 6;
+
+    /** Message type: the call was established. */
     public static final int ANSWER = 9;
+
+    /** Message type: either side ends a call, or the router rejects or fails a set-up. */
     public static final int RELEASE = 12;
+
+    /** Message type: acknowledges a release. */
     public static final int RELEASE_HEARD = 16;
+
+    /** Message type: queries whether the router is ready. */
     public static final int TEST = 52;
+
+    /** Message type: the reply to {@link #TEST}; its cause is 1 if the router is ready, else 0. */
     public static final int TEST_ANSWER = 53;
 
+    /** Parameter: the name of the service. */
     public static final int SERVICE = 64;
+
+    /** Parameter: how long the caller waits for an answer, in ms. */
     public static final int WAIT = 65;
+
+    /** Parameter: whether the caller redials, 0 or 1. */
     public static final int REDIAL = 67;
+
+    /** Parameter: the number called. */
     public static final int NUMBER = 68;
+
+    /** Parameter: the attributes of the call, as {@code name:value} joined by semicolons. */
     public static final int FIGURES = 69;
+
+    /** Parameter: the retry-after delay of a rejected set-up, in ms. */
     public static final int STAY_AWAY = 70;
+
+    /** Parameter: the cause of a release, or the result of a test. */
     public static final int CAUSE = 78;
+
+    /** Parameter: the session description. */
     public static final int DESCRIPTION = 79;
 
-    /** Bytes of the largest message, its length field included. */
+    /** Size of the largest message in bytes, its length field included. */
     public static final int MOST_BYTES = 16 << 10;
 
-    /** Bytes of the smallest: a type and a call, after the length. */
-    static final int LEAST = 9;
+    /** Size of the smallest message in bytes, without its length field: a type and a call id. */
+    static final int MIN_BODY_BYTES = 9;
 
-    /** Parameters of one message: a set-up has seven. */
-    private static final int MOST_PARAMETERS = 64;
+    /** Parameters of one message at most; a set-up has seven. */
+    private static final int MAX_PARAMETERS = 64;
 
     /** One parameter; its value is not copied. */
     public record Parameter(int code, byte[] value) {}
 
+    /** A message without parameters. */
     public static CallerMessage of(int type, long call) {
         return new CallerMessage(type, call, new ArrayList<>(3));
     }
 
-    /** A release, refusal or test's answer: a message with a cause of one byte. */
+    /** A message with a cause of one byte: a release, a rejection or the reply to a test. */
     public static CallerMessage withCause(int type, long call, int cause) {
         return of(type, call).add(CAUSE, new byte[] {(byte) cause});
     }
 
+    /** Adds a parameter and returns this message. */
     public CallerMessage add(int code, byte[] value) {
         parameters.add(new Parameter(code, value));
         return this;
     }
 
+    /** Adds a parameter with a text in UTF-8 and returns this message. */
     public CallerMessage add(int code, String value) {
         return add(code, value.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Reads what follows the length; parameters must fill it to the byte. */
+    /** Decodes a message without its length field; the parameters must fill it to the byte. */
     public static CallerMessage read(byte[] body) throws BadCallerMessage {
-        if (body.length < LEAST) {
-            throw new BadCallerMessage("a message of " + body.length + " bytes");
+        if (body.length < MIN_BODY_BYTES) {
+            throw new BadCallerMessage("message too short: " + body.length + " bytes");
         }
         ByteBuffer in = ByteBuffer.wrap(body);
         CallerMessage message = of(in.get() & 0xff, in.getLong());
         while (in.hasRemaining()) {
             if (in.remaining() < 3) {
-                throw new BadCallerMessage("a parameter is cut off");
+                throw new BadCallerMessage("truncated parameter");
             }
             int code = in.get() & 0xff;
             int length = in.getShort() & 0xffff;
@@ -76,12 +107,12 @@
                                 + code
                                 + " of "
                                 + length
-                                + " bytes, "
+                                + " bytes, only "
                                 + in.remaining()
                                 + " left");
             }
-            if (message.parameters.size() >= MOST_PARAMETERS) {
-                throw new BadCallerMessage("more than " + MOST_PARAMETERS + " parameters");
+            if (message.parameters.size() >= MAX_PARAMETERS) {
+                throw new BadCallerMessage("more than " + MAX_PARAMETERS + " parameters");
             }
             byte[] value = new byte[length];
             in.get(value);
@@ -90,52 +121,56 @@
         return message;
     }
 
+    /** The encoded message, its length field included. */
     public byte[] bytes() {
-        int length = LEAST;
-        for (Parameter each : parameters) {
-            length += 3 + each.value().length;
+        int length = MIN_BODY_BYTES;
+        for (Parameter parameter : parameters) {
+            length += 3 + parameter.value().length;
         }
         ByteBuffer out =
                 ByteBuffer.allocate(2 + length)
                         .putShort((short) length)
                         .put((byte) type)
                         .putLong(call);
-        for (Parameter each : parameters) {
-            out.put((byte) each.code()).putShort((short) each.value().length).put(each.value());
+        for (Parameter parameter : parameters) {
+            out.put((byte) parameter.code())
+                    .putShort((short) parameter.value().length)
+                    .put(parameter.value());
         }
         return out.array();
     }
 
     /**
-     * The value of this parameter, or null; where it stands twice the message says two things and
-     * neither counts.
+     * The value of this parameter, or null if it is absent or repeated: a repeated parameter is
+     * ambiguous, so that none of its values is used.
      */
     public byte[] value(int code) {
         byte[] found = null;
-        for (Parameter each : parameters) {
-            if (each.code() == code) {
+        for (Parameter parameter : parameters) {
+            if (parameter.code() == code) {
                 if (found != null) {
                     return null;
                 }
-                found = each.value();
+                found = parameter.value();
             }
         }
         return found;
     }
 
+    /** Whether the message has this parameter, also if it is repeated. */
     public boolean has(int code) {
-        return parameters.stream().anyMatch(each -> each.code() == code);
+        return parameters.stream().anyMatch(parameter -> parameter.code() == code);
     }
 
-    /** The same as text, or null. */
+    /** The value of this parameter as text, or null if it is absent or repeated. */
     public String text(int code) {
         byte[] value = value(code);
         return value == null ? null : new String(value, StandardCharsets.UTF_8);
     }
 
-    /** The cause, or {@code otherwise} where there is none of one byte. */
-    public int cause(int otherwise) {
+    /** The cause, or {@code defaultCause} if there is none of one byte. */
+    public int cause(int defaultCause) {
         byte[] value = value(CAUSE);
-        return value == null || value.length != 1 ? otherwise : value[0] & 0xff;
+        return value == null || value.length != 1 ? defaultCause : value[0] & 0xff;
     }
 }
--- a/src/main/java/coralcove/platform/caller/SetUp.java
+++ b/src/main/java/coralcove/platform/caller/SetUp.java
@@ -7,9 +7,17 @@
 import java.util.Map;
 
 /**
- * A set-up as its caller sent it, held against the settings' services. Id, service, number and
- * description go on to an exchange unchanged. {@code standsAt} is the exchange of a call that
- * stands already, or null; the wait is in ms.
+ * A caller's request for a call, validated against the services of the settings. Call id, service,
+ * number and description are passed on to an exchange unchanged.
+ *
+ * @param serviceIndex index of the service in the settings
+ * @param waitMs how long the caller waits for an answer, in ms
+ * @param farEnd number of the exchange that the call is for
+ * @param width circuits that the call needs
+ * @param advisedTandem number of the tandem that the caller advises, or -1
+ * @param transit whether the call is in transit, so that its only onward route is to the far end
+ * @param interrupted whether the caller sets the call up again after it was cut
+ * @param establishedExchange id of the exchange with which the call is established already, or null
  */
 public record SetUp(
         long call,
@@ -26,51 +34,56 @@
         String standsAt,
         byte[] description) {
 
-    /** Milliseconds: no caller waits an hour; what says so is no figure of a caller. */
-    private static final long LONGEST_WAIT = 3_600_000;
+    /** No caller waits as long as an hour, so that a longer wait is an error. */
+    private static final long MAX_WAIT_MS = 3_600_000;
 
-    /** Numbers of exchanges and ranks of routers; the module tells them in two bytes. */
-    private static final int MOST_NUMBER = 65_535;
+    /** Numbers of exchanges and ranks of routers; the routing policy encodes them in two bytes. */
+    private static final int MAX_NUMBER = 65_535;
 
     /**
-     * Reads a set-up; {@code services} are the names of the settings, {@code widths} their
-     * circuits.
+     * Reads and validates a request; {@code services} are the names of the services in the settings
+     * and {@code widths} the circuits that a call of each needs.
      */
     public static SetUp of(CallerMessage message, List<String> services, List<Integer> widths)
             throws BadCallerMessage {
         if (message.call() == 0) {
-            // An exchange cannot read it, and closes the leg with all that is out on it.
-            throw new BadCallerMessage("no id");
+            // An exchange rejects the id 0 by closing the connection with all INVITEs on it.
+            throw new BadCallerMessage("the call id is 0");
         }
-        String service = need(message, CallerMessage.SERVICE, "service");
+        String service = required(message, CallerMessage.SERVICE, "service");
         int index = services.indexOf(service);
         if (index < 0) {
-            throw new BadCallerMessage("no such service");
+            throw new BadCallerMessage("unknown service");
         }
-        String number = need(message, CallerMessage.NUMBER, "number");
+        String number = required(message, CallerMessage.NUMBER, "number");
         if (number.length() != 16 || !number.chars().allMatch(HexFormat::isHexDigit)) {
             throw new BadCallerMessage("the number is not 16 hex digits");
         }
         String redial =
                 message.has(CallerMessage.REDIAL)
-                        ? need(message, CallerMessage.REDIAL, "redial")
+                        ? required(message, CallerMessage.REDIAL, "redial")
                         : "0";
         if (!redial.equals("0") && !redial.equals("1")) {
-            throw new BadCallerMessage("the mark of a redial is neither 0 nor 1");
+            throw new BadCallerMessage("redial is neither 0 nor 1");
         }
         byte[] description = message.value(CallerMessage.DESCRIPTION);
-        Map<String, String> figures = figures(need(message, CallerMessage.FIGURES, "figures"));
-        String at = figures.get("at");
-        if (at == null && !Description.readable(description)) {
-            throw new BadCallerMessage("no description, or one that cannot be read");
+        Map<String, String> attributes =
+                attributes(required(message, CallerMessage.FIGURES, "figures"));
+        String establishedExchange = attributes.get("at");
+        if (establishedExchange == null && !Description.readable(description)) {
+            throw new BadCallerMessage("description is missing or malformed");
         }
         long wait =
-                at != null && !message.has(CallerMessage.WAIT)
+                establishedExchange != null && !message.has(CallerMessage.WAIT)
                         ? 1
-                        : whole(need(message, CallerMessage.WAIT, "wait"), 1, LONGEST_WAIT, "wait");
-        int width = (int) whole(figures.getOrDefault("width", ""), 1, MOST_NUMBER, "width");
+                        : integer(
+                                required(message, CallerMessage.WAIT, "wait"),
+                                1,
+                                MAX_WAIT_MS,
+                                "wait");
+        int width = (int) integer(attributes.getOrDefault("width", ""), 1, MAX_NUMBER, "width");
         if (width != widths.get(index)) {
-            throw new BadCallerMessage("width " + width + " is not the service's");
+            throw new BadCallerMessage("width " + width + " differs from that of the service");
         }
         return new SetUp(
                 message.call(),
@@ -79,50 +92,52 @@
                 wait,
                 redial.equals("1"),
                 number,
-                (int) whole(figures.getOrDefault("dest", ""), 0, MOST_NUMBER, "dest"),
+                (int) integer(attributes.getOrDefault("dest", ""), 0, MAX_NUMBER, "dest"),
                 width,
-                (int) whole(figures.getOrDefault("via", "-1"), -1, MOST_NUMBER, "via"),
-                flag(figures, "transit"),
-                flag(figures, "again"),
-                at,
+                (int) integer(attributes.getOrDefault("via", "-1"), -1, MAX_NUMBER, "via"),
+                flag(attributes, "transit"),
+                flag(attributes, "again"),
+                establishedExchange,
                 description);
     }
 
-    private static String need(CallerMessage message, int code, String name)
+    private static String required(CallerMessage message, int code, String name)
             throws BadCallerMessage {
         String text = message.text(code);
         if (text == null || text.isEmpty()) {
-            throw new BadCallerMessage("no " + name + ", or two");
+            throw new BadCallerMessage(name + " is missing, empty or repeated");
         }
         return text;
     }
 
-    private static Map<String, String> figures(String text) throws BadCallerMessage {
-        Map<String, String> found = new HashMap<>();
-        for (String each : text.split(";", -1)) {
-            int colon = each.indexOf(':');
+    private static Map<String, String> attributes(String text) throws BadCallerMessage {
+        Map<String, String> attributes = new HashMap<>();
+        for (String attribute : text.split(";", -1)) {
+            int colon = attribute.indexOf(':');
             if (colon <= 0
-                    || found.put(each.substring(0, colon), each.substring(colon + 1)) != null) {
-                throw new BadCallerMessage("figures that cannot be read");
+                    || attributes.put(attribute.substring(0, colon), attribute.substring(colon + 1))
+                            != null) {
+                throw new BadCallerMessage("malformed figures");
             }
         }
-        return found;
+        return attributes;
     }
 
-    private static boolean flag(Map<String, String> figures, String name) throws BadCallerMessage {
-        return whole(figures.getOrDefault(name, "0"), 0, 1, name) == 1;
+    private static boolean flag(Map<String, String> attributes, String name)
+            throws BadCallerMessage {
+        return integer(attributes.getOrDefault(name, "0"), 0, 1, name) == 1;
     }
 
-    private static long whole(String text, long least, long most, String name)
+    private static long integer(String text, long minimum, long maximum, String name)
             throws BadCallerMessage {
         try {
             long value = Long.parseLong(text);
-            if (value >= least && value <= most) {
+            if (value >= minimum && value <= maximum) {
                 return value;
             }
         } catch (NumberFormatException e) {
-            // Told below, with the name of the figure.
+            // Reported below, together with the name of the attribute.
         }
-        throw new BadCallerMessage(name + " is no whole number from " + least + " to " + most);
+        throw new BadCallerMessage(name + " is not an integer from " + minimum + " to " + maximum);
     }
 }
--- a/src/main/java/coralcove/platform/leg/Description.java
+++ b/src/main/java/coralcove/platform/leg/Description.java
@@ -1,22 +1,24 @@
 package coralcove.platform.leg;
 
 /**
- * What caller and exchange tell each other of a call: a first line of 16 hex digits, then lines of
- * a letter, "=" and text, each ended by CRLF. It passes unchanged; what has another form was spoilt
- * on its way and would only be taken for an answer.
+ * The session description that caller and exchange send each other: a first line of 16 hex digits,
+ * then lines of a lower-case letter, "=" and text, each terminated by CRLF. It is passed on
+ * unchanged; a description of any other form was corrupted in transit and must not be used as an
+ * answer.
  */
 public final class Description {
-    private static final int FIRST = 16;
+    private static final int FIRST_LINE_LENGTH = 16;
 
     private Description() {}
 
+    /** Whether the text is a complete description; false if it is null. */
     public static boolean readable(byte[] text) {
-        if (text == null || text.length < FIRST + 2) {
+        if (text == null || text.length < FIRST_LINE_LENGTH + 2) {
             return false;
         }
-        int from = 0;
-        for (int line = 0; from < text.length; line++) {
-            int end = from;
+        int start = 0;
+        for (int line = 0; start < text.length; line++) {
+            int end = start;
             while (end < text.length && text[end] >= ' ' && text[end] < 0x7f) {
                 end++;
             }
@@ -24,24 +26,24 @@
                 return false;
             }
             if (line == 0
-                    ? !hex(text, from, end)
-                    : end - from < 3
-                            || text[from + 1] != '='
-                            || text[from] < 'a'
-                            || text[from] > 'z') {
+                    ? !isFirstLine(text, start, end)
+                    : end - start < 3
+                            || text[start + 1] != '='
+                            || text[start] < 'a'
+                            || text[start] > 'z') {
                 return false;
             }
-            from = end + 2;
+            start = end + 2;
         }
         return true;
     }
 
-    private static boolean hex(byte[] text, int from, int end) {
-        for (int i = from; i < end; i++) {
+    private static boolean isFirstLine(byte[] text, int start, int end) {
+        for (int i = start; i < end; i++) {
             if (Character.digit(text[i], 16) < 0) {
                 return false;
             }
         }
-        return end - from == FIRST;
+        return end - start == FIRST_LINE_LENGTH;
     }
 }
--- a/src/main/java/coralcove/platform/leg/LegEndings.java
+++ b/src/main/java/coralcove/platform/leg/LegEndings.java
@@ -6,40 +6,41 @@
 import coralcove.sip.SipMessage;
 
 /**
- * The one table from an exchange's words to the module's: how an INVITE that did not stand, or a
- * call, ended.
+ * Maps final responses and releases of an exchange to outcomes as the routing policy knows them.
  */
 public final class LegEndings {
-    /**
-     * Q.850: normal clearing, and temporary failure, with which an exchange releases a call that
-     * was cut.
-     */
+    /** Release cause of Q.850: normal call clearing. */
     public static final int NORMAL = 16;
 
+    /**
+     * Release cause of Q.850: temporary failure, with which an exchange releases a call that was
+     * cut.
+     */
     public static final int CUT = 41;
 
-    /** Milliseconds: no processor's wait is longer than this; more is noise. */
-    private static final long LONGEST_WAIT = 60_000;
+    /** No processor asks for a longer retry-after delay than this; more is a corrupt value. */
+    private static final long MAX_RETRY_AFTER_MS = 60_000;
 
     private LegEndings() {}
 
-    /** Of a final answer other than 200. */
-    public static Outcome of(SipMessage answer) {
-        Cause cause = cause(answer.header("Fail-Word", ""));
-        long wait =
+    /** The outcome of an INVITE by its final response, other than 200. */
+    public static Outcome of(SipMessage response) {
+        Cause cause = cause(response.header("Fail-Word", ""));
+        long retryAfter =
                 cause == Cause.PROCESSOR_FULL
-                        ? Math.max(0, Math.min(LONGEST_WAIT, answer.number("Proc-Wait", 0))) * 1000
+                        ? Math.max(0, Math.min(MAX_RETRY_AFTER_MS, response.number("Proc-Wait", 0)))
+                                * 1000
                         : 0;
-        return switch (answer.status()) {
-            case 503 -> new Outcome(Ending.BUSY, cause, wait);
-            case 480 -> new Outcome(Ending.NOT_SENT, cause, wait);
+        return switch (response.status()) {
+            case 503 -> new Outcome(Ending.BUSY, cause, retryAfter);
+            case 480 -> new Outcome(Ending.NOT_SENT, cause, retryAfter);
             case 504 -> new Outcome(Ending.RESET, Cause.NONE, 0);
             default -> new Outcome(Ending.ERROR, cause == Cause.LINES_BUSY ? cause : Cause.NONE, 0);
         };
     }
 
-    private static Cause cause(String word) {
-        return switch (word) {
+    private static Cause cause(String failWord) {
+        return switch (failWord) {
             case "blocked" -> Cause.NO_CIRCUIT;
             case "bounced" -> Cause.TURNED_BACK;
             case "far_swamped" -> Cause.FULL_BEYOND;
@@ -49,7 +50,7 @@
         };
     }
 
-    /** Of a call that stood, by the cause of its release. */
+    /** The outcome of an established call by the cause of its release. */
     public static Ending released(int cause) {
         return cause == NORMAL ? Ending.OVER : Ending.RESET;
     }
--- a/src/main/java/coralcove/platform/leg/LegMessages.java
+++ b/src/main/java/coralcove/platform/leg/LegMessages.java
@@ -4,19 +4,20 @@
 import java.util.HexFormat;
 
 /**
- * The SIP messages towards an exchange. The Call-ID matches them; the number called stands in the
- * first line.
+ * The SIP messages that are sent to an exchange. Responses are matched by Call-ID alone. The number
+ * called is the user part of the request URI of INVITE, ACK and CANCEL.
  */
 public final class LegMessages {
     private static final String VIA = "SIP/2.0/TCP router";
 
     private LegMessages() {}
 
+    /** The call id as 16 hex digits. */
     public static String callId(long call) {
         return HexFormat.of().toHexDigits(call);
     }
 
-    /** The call of a message, or null where its Call-ID is none of ours. */
+    /** The call id of a message, or null if its Call-ID is not one of this router. */
     public static Long call(SipMessage message) {
         String id = message.callId();
         if (id.length() != 16 || !id.chars().allMatch(HexFormat::isHexDigit)) {
@@ -26,20 +27,20 @@
     }
 
     /**
-     * Id, service, number and description as the caller sent them; {@code withinMs} is how long the
-     * answer is awaited.
+     * An INVITE with call id, service, number and description as the caller sent them; {@code
+     * timeLimitMs} is how long the final response is awaited.
      */
     public static SipMessage invite(
             long call,
             int sequence,
             String number,
             String service,
-            long withinMs,
+            long timeLimitMs,
             byte[] description) {
         SipMessage invite =
                 request("INVITE", "sip:" + number + "@net", call, sequence)
                         .add("Call-Kind", service)
-                        .add("Answer-Within", Long.toString(withinMs));
+                        .add("Answer-Within", Long.toString(timeLimitMs));
         return invite.body("application/sdp", description);
     }
 
@@ -51,28 +52,29 @@
         return request("CANCEL", "sip:" + number + "@net", call, sequence);
     }
 
+    /** A BYE with a release cause of Q.850. */
     public static SipMessage bye(long call, int cause) {
         return request("BYE", "sip:" + callId(call) + "@net", call, 100)
                 .add("Reason", "Q.850;cause=" + cause);
     }
 
-    /** Asks for a report. */
+    /** A request for a load report. */
     public static SipMessage probe(long call) {
         return request("OPTIONS", "sip:load@net", call, 1);
     }
 
-    /** Asks whether the exchange lives. */
+    /** A request that checks whether the exchange responds. */
     public static SipMessage test(long call) {
         return request("OPTIONS", "sip:ping@net", call, 1);
     }
 
-    /** The answer to a request of the exchange. */
+    /** A response to a request of the exchange. */
     public static SipMessage reply(SipMessage request, int status, String reason) {
-        SipMessage reply = SipMessage.status(status, reason);
+        SipMessage response = SipMessage.status(status, reason);
         for (String name : new String[] {"Via", "From", "To", "Call-ID", "CSeq"}) {
-            request.headers(name).forEach(value -> reply.add(name, value));
+            request.headers(name).forEach(value -> response.add(name, value));
         }
-        return reply;
+        return response;
     }
 
     private static SipMessage request(String method, String uri, long call, int sequence) {
--- a/src/main/java/coralcove/platform/leg/Report.java
+++ b/src/main/java/coralcove/platform/leg/Report.java
@@ -3,32 +3,32 @@
 import java.util.List;
 
 /**
- * A report of an exchange, {@code x0:12;x1:40;queue:3}, as values in the order that the settings
- * name.
+ * Reads the load reports of exchanges, such as {@code x0:12;x1:40;queue:3}, into values in the
+ * order of the columns in the settings.
  */
 public final class Report {
     private Report() {}
 
     /**
-     * The values by the settings' names, -1 where one is not told; null where the text is no
-     * report.
+     * The value of each column, -1 if the report does not contain it; null if the text is malformed
+     * or has none of the columns.
      */
-    public static float[] read(String text, List<String> names) {
-        float[] values = new float[names.size()];
+    public static float[] read(String text, List<String> columns) {
+        float[] values = new float[columns.size()];
         java.util.Arrays.fill(values, -1);
         boolean found = false;
-        for (String each : text.split(";")) {
-            int colon = each.indexOf(':');
-            int at = colon < 0 ? -1 : names.indexOf(each.substring(0, colon).strip());
-            if (at < 0) {
+        for (String item : text.split(";")) {
+            int colon = item.indexOf(':');
+            int column = colon < 0 ? -1 : columns.indexOf(item.substring(0, colon).strip());
+            if (column < 0) {
                 continue;
             }
             try {
-                float value = Float.parseFloat(each.substring(colon + 1).strip());
+                float value = Float.parseFloat(item.substring(colon + 1).strip());
                 if (!Float.isFinite(value)) {
                     return null;
                 }
-                values[at] = value;
+                values[column] = value;
                 found = true;
             } catch (NumberFormatException e) {
                 return null;
--- a/src/test/java/coralcove/platform/caller/CallerMessageTest.java
+++ b/src/test/java/coralcove/platform/caller/CallerMessageTest.java
@@ -12,7 +12,7 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** The callers' binary messages: bytes, cuts, bounds, and what is none. */
+/** The callers' binary messages: encoding, framing, bounds and malformed input. */
 class CallerMessageTest {
     private static final String SET_UP =
             "0020"
@@ -25,7 +25,7 @@
                     + "4e000110";
 
     @Test
-    void bytesAreThoseOfThePage() {
+    void encodesAsSpecified() {
         CallerMessage message =
                 CallerMessage.of(CallerMessage.SET_UP, 0x9b1f03aa5c7e2d41L)
                         .add(CallerMessage.SERVICE, "voice")
@@ -36,14 +36,16 @@
     }
 
     @Test
-    void aStreamIsCutHoweverItComes() throws Exception {
-        byte[] two = HexFormat.of().parseHex(SET_UP + SET_UP);
-        for (int piece = 1; piece <= two.length; piece++) {
+    void splitsAStreamThatArrivesInPiecesOfAnySize() throws Exception {
+        byte[] twoMessages = HexFormat.of().parseHex(SET_UP + SET_UP);
+        for (int piece = 1; piece <= twoMessages.length; piece++) {
             CallerFramer framer = new CallerFramer();
             List<CallerMessage> found = new ArrayList<>();
-            for (int at = 0; at < two.length; at += piece) {
+            for (int at = 0; at < twoMessages.length; at += piece) {
                 framer.take(
-                        Arrays.copyOfRange(two, at, Math.min(two.length, at + piece)), found::add);
+                        Arrays.copyOfRange(
+                                twoMessages, at, Math.min(twoMessages.length, at + piece)),
+                        found::add);
             }
             assertThat(found).hasSize(2);
             assertThat(found.get(1).text(CallerMessage.SERVICE)).isEqualTo("voice");
@@ -53,8 +55,8 @@
     }
 
     @Test
-    void whatIsNoMessageEndsTheStreamAtOnce() {
-        for (String bad :
+    void rejectsMalformedMessagesAtOnce() {
+        for (String malformed :
                 new String[] {
                     "0008",
                     "0000",
@@ -64,58 +66,63 @@
                     "000c010000000000000000400001",
                     "000d0100000000000000004000ff31"
                 }) {
-            assertThatThrownBy(() -> new CallerFramer().take(HexFormat.of().parseHex(bad), m -> {}))
-                    .as(bad)
+            assertThatThrownBy(
+                            () ->
+                                    new CallerFramer()
+                                            .take(
+                                                    HexFormat.of().parseHex(malformed),
+                                                    message -> {}))
+                    .as(malformed)
                     .isInstanceOf(BadCallerMessage.class);
         }
     }
 
     @Test
-    void theLargestMessagePasses() throws Exception {
-        CallerMessage large =
+    void acceptsTheLargestMessageAndRejectsALongerOne() throws Exception {
+        CallerMessage largest =
                 CallerMessage.of(1, 1)
                         .add(
                                 CallerMessage.DESCRIPTION,
                                 new byte[CallerMessage.MOST_BYTES - 2 - 9 - 3]);
         List<CallerMessage> found = new ArrayList<>();
-        new CallerFramer().take(large.bytes(), found::add);
+        new CallerFramer().take(largest.bytes(), found::add);
         assertThat(found).hasSize(1);
-        byte[] over =
+        byte[] tooLong =
                 CallerMessage.of(1, 1)
                         .add(
                                 CallerMessage.DESCRIPTION,
                                 new byte[CallerMessage.MOST_BYTES - 2 - 9 - 2])
                         .bytes();
-        assertThatThrownBy(() -> new CallerFramer().take(over, found::add))
+        assertThatThrownBy(() -> new CallerFramer().take(tooLong, found::add))
                 .isInstanceOf(BadCallerMessage.class);
     }
 
     @Test
-    void aParameterThatStandsTwiceSaysNothing() {
-        CallerMessage twice =
+    void ignoresTheValuesOfARepeatedParameter() {
+        CallerMessage message =
                 CallerMessage.of(1, 1).add(CallerMessage.WAIT, "1").add(CallerMessage.WAIT, "2");
-        assertThat(twice.text(CallerMessage.WAIT)).isNull();
-        assertThat(twice.has(CallerMessage.WAIT)).isTrue();
+        assertThat(message.text(CallerMessage.WAIT)).isNull();
+        assertThat(message.has(CallerMessage.WAIT)).isTrue();
     }
 
     @Property(tries = 500, seed = "17")
-    void noiseIsReadOrRefusedAndHoldsNoMoreThanAMessage(@ForAll long seed) {
+    void randomInputIsReadOrRejected(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        byte[] noise = new byte[random.nextInt(5000)];
-        random.nextBytes(noise);
+        byte[] input = new byte[random.nextInt(5000)];
+        random.nextBytes(input);
         CallerFramer framer = new CallerFramer();
         try {
             framer.take(
-                    noise,
+                    input,
                     message ->
-                            assertThat(message.bytes().length).isLessThanOrEqualTo(noise.length));
+                            assertThat(message.bytes().length).isLessThanOrEqualTo(input.length));
         } catch (BadCallerMessage e) {
             assertThat(e.getMessage()).isNotEmpty();
         }
     }
 
     @Test
-    void aSetUpIsReadWithAllItsFigures() throws Exception {
+    void readsASetUpRequestWithAllItsAttributes() throws Exception {
         CallerMessage message =
                 CallerMessage.of(1, 7)
                         .add(CallerMessage.SERVICE, "set")
@@ -126,8 +133,8 @@
                                 CallerMessage.FIGURES,
                                 "dest:3;width:2;via:1;transit:1;again:1;new:word")
                         .add(CallerMessage.DESCRIPTION, "9d41c07a5be2f318\r\n");
-        SetUp setUp = SetUp.of(message, List.of("lookup", "set"), List.of(1, 2));
-        assertThat(setUp)
+        SetUp request = SetUp.of(message, List.of("lookup", "set"), List.of(1, 2));
+        assertThat(request)
                 .usingRecursiveComparison()
                 .isEqualTo(
                         new SetUp(
