--- a/src/main/java/coralcove/bound/ExactBound.java
+++ b/src/main/java/coralcove/bound/LinearProgramBound.java
@@ -6,24 +6,25 @@
 import org.ojalgo.optimisation.Variable;
 
 /**
- * The bound as a linear programme, solved by ojAlgo: exact, and for networks of some dozens of
- * exchanges only.
+ * The exact bound on the served value: a linear program solved by ojAlgo, for small networks only.
  */
-public final class ExactBound {
-    /** Exchanges at most: ways grow with their cube. */
-    public static final int MOST = 16;
+public final class LinearProgramBound {
+    /** Most exchanges accepted: the number of routes grows with their cube. */
+    public static final int MAX_EXCHANGES = 16;
 
-    private ExactBound() {}
+    private LinearProgramBound() {}
 
     /**
-     * The most value that direct ways and ways through one tandem can carry, calls taken as a
-     * fluid.
+     * Most value that direct routes and routes through one tandem can carry, with calls as a fluid.
+     *
+     * @throws IllegalArgumentException if the network has more than {@link #MAX_EXCHANGES}
+     *     exchanges
      */
-    public static double of(Network network) {
+    public static double solve(Network network) {
         int n = network.exchanges();
-        if (n > MOST) {
+        if (n > MAX_EXCHANGES) {
             throw new IllegalArgumentException(
-                    n + " exchanges, and at most " + MOST + " are solved exactly");
+                    n + " exchanges, and at most " + MAX_EXCHANGES + " are solved exactly");
         }
         ExpressionsBasedModel model = new ExpressionsBasedModel();
         Expression[][][] groups = new Expression[network.slices()][n][n];
@@ -32,14 +33,14 @@
                 for (int j = i + 1; j < n; j++) {
                     groups[slice][i][j] =
                             model.newExpression("group " + slice + " " + i + " " + j)
-                                    .upper(network.room(i, j));
+                                    .upper(network.capacity(i, j));
                     groups[slice][j][i] = groups[slice][i][j];
                 }
             }
         }
-        int at = 0;
+        int index = 0;
         for (Demand demand : network.demands()) {
-            Expression calls = model.newExpression("calls " + at++).upper(demand.calls());
+            Expression calls = model.newExpression("calls " + index++).upper(demand.calls());
             int from = demand.from();
             int to = demand.to();
             for (int tandem = -1; tandem < n; tandem++) {
@@ -47,31 +48,33 @@
                 if (tandem == from
                         || tandem == to
                         || (direct
-                                ? network.room(from, to) <= 0
-                                : network.room(from, tandem) <= 0
-                                        || network.room(tandem, to) <= 0)) {
+                                ? network.capacity(from, to) <= 0
+                                : network.capacity(from, tandem) <= 0
+                                        || network.capacity(tandem, to) <= 0)) {
                     continue;
                 }
-                Variable way =
-                        model.newVariable("way " + at + " " + tandem)
+                Variable route =
+                        model.newVariable("route " + index + " " + tandem)
                                 .lower(0)
                                 .weight(demand.value());
-                calls.set(way, 1);
+                calls.set(route, 1);
                 for (int slice = demand.slice(); slice < network.slices(); slice++) {
                     double use =
-                            demand.width() * network.use(demand.hold(), slice - demand.slice());
+                            demand.width()
+                                    * network.expectedUse(demand.hold(), slice - demand.slice());
                     if (direct) {
-                        groups[slice][from][to].set(way, use);
+                        groups[slice][from][to].set(route, use);
                     } else {
-                        groups[slice][from][tandem].set(way, use);
-                        groups[slice][tandem][to].set(way, use);
+                        groups[slice][from][tandem].set(route, use);
+                        groups[slice][tandem][to].set(route, use);
                     }
                 }
             }
         }
         Optimisation.Result result = model.maximise();
         if (!result.getState().isOptimal()) {
-            throw new IllegalStateException("the programme was not solved: " + result.getState());
+            throw new IllegalStateException(
+                    "the linear program was not solved: " + result.getState());
         }
         return result.getValue();
     }
--- a/src/main/java/coralcove/bound/Network.java
+++ b/src/main/java/coralcove/bound/Network.java
@@ -3,33 +3,42 @@
 import java.util.List;
 
 /**
- * A period of a network for a bound on the value that any routing could have served. {@code
- * circuits[i][j]} are those of the group between i and j, the same both ways, 0 for no group; a
- * call goes direct or through one tandem. The period is cut into {@code slices} of {@code seconds}
- * each: the network starts empty, and what is taken late goes on past its end.
+ * Input of a bound on the value that any routing could have served in a period. {@code
+ * circuits[i][j]} is the size of the trunk group between i and j, the same in both directions, 0
+ * for no group; a call is routed directly or through one tandem. The period is divided into {@code
+ * slices} of {@code seconds} each. The network starts empty, and calls accepted late continue past
+ * the end of the period.
  */
 public record Network(int[][] circuits, int slices, double seconds, List<Demand> demands) {
+    /** Number of exchanges. */
     public int exchanges() {
         return circuits.length;
     }
 
-    /** Circuit-seconds that a group has in one slice. */
-    public double room(int i, int j) {
+    /** Capacity of the trunk group between i and j in one slice, in circuit-seconds. */
+    public double capacity(int i, int j) {
         return circuits[i][j] * seconds;
     }
 
     /**
-     * Seconds of the slice {@code later} slices after its own that a call holds, on average: calls
-     * come evenly over their slice, and holds are exponential.
+     * Expected seconds for which a call occupies a circuit in the slice that is {@code later}
+     * slices after the one it arrives in. Arrivals are uniform over a slice and hold times
+     * exponential.
      */
-    public double use(double hold, int later) {
-        double part = Math.exp(-seconds / hold);
+    public double expectedUse(double hold, int later) {
+        double remaining = Math.exp(-seconds / hold);
         return later == 0
-                ? hold - hold * hold / seconds * (1 - part)
-                : hold * hold / seconds * (1 - part) * (1 - part) * Math.pow(part, later - 1);
+                ? hold - hold * hold / seconds * (1 - remaining)
+                : hold
+                        * hold
+                        / seconds
+                        * (1 - remaining)
+                        * (1 - remaining)
+                        * Math.pow(remaining, later - 1);
     }
 
+    /** Value of all offered calls. */
     public double offered() {
-        return demands.stream().mapToDouble(d -> d.calls() * d.value()).sum();
+        return demands.stream().mapToDouble(demand -> demand.calls() * demand.value()).sum();
     }
 }
--- a/src/main/java/coralcove/bound/PricedBound.java
+++ b/src/main/java/coralcove/bound/PricedBound.java
@@ -6,68 +6,72 @@
 import java.util.TreeMap;
 
 /**
- * The bound for networks of any size: whatever a circuit-second of each group is said to cost in
- * each slice, no routing serves more than the price of all room and, of each call, its value less
- * the price of its cheapest way. Prices are moved by subgradients towards the least such figure;
- * each step's figure is a bound, and the least one seen is told. No I/O, no chance.
+ * Upper bound on the served value for networks of any size, by Lagrangian relaxation. For any price
+ * per circuit-second of each trunk group and slice, no routing serves more than the price of all
+ * capacity plus, for each call, its value less the price of its cheapest route. A subgradient
+ * method moves the prices towards the lowest such sum; the sum of every iteration is a valid bound,
+ * and the lowest one is returned. Deterministic; does no I/O.
  */
 public final class PricedBound {
     /**
-     * Steps; the bound falls by under a thousandth in the last half of them on the networks
-     * measured.
+     * Default number of iterations: the second half of them lowers the bound by less than a
+     * thousandth.
      */
-    public static final int STEPS = 300;
+    public static final int ITERATIONS = 300;
 
-    /**
-     * The first step, as a part of the dearest call's value a circuit-second, and steps after which
-     * it has halved.
-     */
-    private static final double FIRST_STEP = 0.05;
+    /** First step length, as a share of the highest value per circuit-second of any call. */
+    private static final double INITIAL_STEP = 0.05;
 
-    private static final double HALVED_AFTER = 45;
+    /** Iterations after which the step length has halved. */
+    private static final double STEP_HALF_LIFE = 45;
 
-    /** Multiples of a group's room past which more makes no longer step. */
-    private static final double MOST_OVER = 20;
+    /** Excess demand, in multiples of a group's capacity, above which the step grows no longer. */
+    private static final double MAX_RELATIVE_EXCESS = 20;
 
+    /** In place of a tandem: the direct route. */
     private static final int DIRECT = -1;
-    private static final int NO_WAY = -2;
+
+    /** In place of a tandem: no route exists. */
+    private static final int NO_ROUTE = -2;
 
     /**
-     * Demands of one slice and hold, and what a call of theirs uses of that and each later slice: a
-     * way costs the same for each of a pair's, but for its width.
+     * Demands of one slice and hold time, by pair of exchanges, with the expected use of that slice
+     * and each later one by a call. A route costs the same for all demands of a pair per circuit.
      */
-    private record Bucket(int slice, double[] uses, List<List<Demand>> pairs) {}
+    private record DemandGroup(int slice, double[] uses, List<List<Demand>> pairs) {}
 
     private final Network network;
-    private final int n;
-    private final double[][][] price;
-    private final double[][][] used;
+    private final int exchanges;
+    private final double[][][] prices;
+    private final double[][][] demandedUse;
     private final double[][] cost;
-    private final List<Bucket> buckets = new ArrayList<>();
+    private final List<DemandGroup> demandGroups = new ArrayList<>();
 
     public PricedBound(Network network) {
         this.network = network;
-        n = network.exchanges();
-        price = new double[network.slices()][n][n];
-        used = new double[network.slices()][n][n];
-        cost = new double[n][n];
-        TreeMap<Integer, TreeMap<Double, TreeMap<Integer, List<Demand>>>> sorted = new TreeMap<>();
+        exchanges = network.exchanges();
+        prices = new double[network.slices()][exchanges][exchanges];
+        demandedUse = new double[network.slices()][exchanges][exchanges];
+        cost = new double[exchanges][exchanges];
+        TreeMap<Integer, TreeMap<Double, TreeMap<Integer, List<Demand>>>> bySliceHoldAndPair =
+                new TreeMap<>();
         network.demands()
                 .forEach(
                         d ->
-                                sorted.computeIfAbsent(d.slice(), s -> new TreeMap<>())
+                                bySliceHoldAndPair
+                                        .computeIfAbsent(d.slice(), s -> new TreeMap<>())
                                         .computeIfAbsent(d.hold(), h -> new TreeMap<>())
                                         .computeIfAbsent(
-                                                Math.min(d.from(), d.to()) * n
+                                                Math.min(d.from(), d.to()) * exchanges
                                                         + Math.max(d.from(), d.to()),
                                                 p -> new ArrayList<>(2))
                                         .add(d));
-        sorted.forEach(
+        bySliceHoldAndPair.forEach(
                 (slice, holds) ->
                         holds.forEach(
                                 (hold, pairs) ->
-                                        buckets.add(
-                                                new Bucket(
+                                        demandGroups.add(
+                                                new DemandGroup(
                                                         slice,
                                                         uses(slice, hold),
                                                         List.copyOf(pairs.values())))));
@@ -75,105 +79,107 @@
 
     private double[] uses(int slice, double hold) {
         double[] uses = new double[network.slices() - slice];
-        Arrays.setAll(uses, later -> network.use(hold, later));
+        Arrays.setAll(uses, later -> network.expectedUse(hold, later));
         return uses;
     }
 
-    /** The bound after {@link #STEPS} steps. */
+    /** The bound after {@link #ITERATIONS} iterations. */
     public double value() {
-        return value(STEPS);
+        return value(ITERATIONS);
     }
 
-    /** The least bound of this many steps. */
-    public double value(int steps) {
-        double dearest =
+    /** The lowest bound found in the given number of iterations. */
+    public double value(int iterations) {
+        double maxValueRate =
                 network.demands().stream()
                         .mapToDouble(d -> d.value() / (d.width() * d.hold()))
                         .max()
                         .orElse(0);
         double best = Double.POSITIVE_INFINITY;
-        for (int step = 0; step < steps; step++) {
-            best = Math.min(best, figure());
-            double length = FIRST_STEP * dearest * Math.pow(0.5, step / HALVED_AFTER);
+        for (int step = 0; step < iterations; step++) {
+            best = Math.min(best, evaluateBound());
+            double stepLength = INITIAL_STEP * maxValueRate * Math.pow(0.5, step / STEP_HALF_LIFE);
             for (int slice = 0; slice < network.slices(); slice++) {
-                move(price[slice], used[slice], length);
+                updatePrices(prices[slice], demandedUse[slice], stepLength);
             }
         }
         return best;
     }
 
-    private void move(double[][] prices, double[][] uses, double length) {
-        for (int i = 0; i < n; i++) {
-            for (int j = i + 1; j < n; j++) {
-                double room = network.room(i, j);
-                if (room > 0) {
-                    // Each group's step by how far it is over or under its room, so that thin ones
-                    // count as thick ones.
-                    double over = Math.min(MOST_OVER, (uses[i][j] - room) / room);
-                    prices[i][j] = Math.max(0, prices[i][j] + length * over);
-                    prices[j][i] = prices[i][j];
+    private void updatePrices(double[][] slicePrices, double[][] uses, double stepLength) {
+        for (int i = 0; i < exchanges; i++) {
+            for (int j = i + 1; j < exchanges; j++) {
+                double capacity = network.capacity(i, j);
+                if (capacity > 0) {
+                    // The step is relative to the capacity, so that small groups adjust as fast as
+                    // large ones.
+                    double excess =
+                            Math.min(MAX_RELATIVE_EXCESS, (uses[i][j] - capacity) / capacity);
+                    slicePrices[i][j] = Math.max(0, slicePrices[i][j] + stepLength * excess);
+                    slicePrices[j][i] = slicePrices[i][j];
                 }
             }
         }
     }
 
     /**
-     * What the present prices prove, and in {@link #used} what calls would use of each group by
-     * them.
+     * The bound that the current prices prove. Leaves in {@link #demandedUse} the use of each group
+     * if every call took its cheapest route at these prices.
      */
-    private double figure() {
+    private double evaluateBound() {
         double sum = 0;
         for (int slice = 0; slice < network.slices(); slice++) {
-            for (int i = 0; i < n; i++) {
-                Arrays.fill(used[slice][i], 0);
-                for (int j = i + 1; j < n; j++) {
-                    sum += price[slice][i][j] * network.room(i, j);
+            for (int i = 0; i < exchanges; i++) {
+                Arrays.fill(demandedUse[slice][i], 0);
+                for (int j = i + 1; j < exchanges; j++) {
+                    sum += prices[slice][i][j] * network.capacity(i, j);
                 }
             }
         }
-        for (Bucket bucket : buckets) {
-            costs(bucket);
-            for (List<Demand> pair : bucket.pairs) {
-                sum += gain(bucket, pair);
+        for (DemandGroup group : demandGroups) {
+            computeCosts(group);
+            for (List<Demand> pair : group.pairs) {
+                sum += netValue(group, pair);
             }
         }
         return sum;
     }
 
     /**
-     * What a call of this bucket pays for a circuit of each group, over all slices that it holds it
-     * in.
+     * Computes the expected price of one circuit of each trunk group for a call of this demand
+     * group, over all slices in which the call occupies it.
      */
-    private void costs(Bucket bucket) {
+    private void computeCosts(DemandGroup group) {
         for (double[] row : cost) {
             Arrays.fill(row, 0);
         }
-        for (int slice = bucket.slice; slice < network.slices(); slice++) {
-            double use = bucket.uses[slice - bucket.slice];
-            for (int i = 0; i < n; i++) {
-                for (int j = 0; j < n; j++) {
-                    cost[i][j] += use * price[slice][i][j];
+        for (int slice = group.slice; slice < network.slices(); slice++) {
+            double use = group.uses[slice - group.slice];
+            for (int i = 0; i < exchanges; i++) {
+                for (int j = 0; j < exchanges; j++) {
+                    cost[i][j] += use * prices[slice][i][j];
                 }
             }
         }
     }
 
-    private double gain(Bucket bucket, List<Demand> pair) {
+    private double netValue(DemandGroup group, List<Demand> pair) {
         int from = Math.min(pair.get(0).from(), pair.get(0).to());
         int to = Math.max(pair.get(0).from(), pair.get(0).to());
-        int tandem = way(from, to);
-        if (tandem == NO_WAY) {
+        int tandem = cheapestRoute(from, to);
+        if (tandem == NO_ROUTE) {
             return 0;
         }
-        double paid = tandem == DIRECT ? cost[from][to] : cost[from][tandem] + cost[tandem][to];
+        double routeCost =
+                tandem == DIRECT ? cost[from][to] : cost[from][tandem] + cost[tandem][to];
         double sum = 0;
         for (Demand each : pair) {
-            double gain = each.value() - each.width() * paid;
-            if (gain > 0) {
-                sum += each.calls() * gain;
-                for (int slice = bucket.slice; slice < network.slices(); slice++) {
-                    double use = each.calls() * each.width() * bucket.uses[slice - bucket.slice];
-                    use(used[slice], from, to, tandem, use);
+            double net = each.value() - each.width() * routeCost;
+            if (net > 0) {
+                sum += each.calls() * net;
+                for (int slice = group.slice; slice < network.slices(); slice++) {
+                    double use = each.calls() * each.width() * group.uses[slice - group.slice];
+                    addUse(demandedUse[slice], from, to, tandem, use);
                 }
             }
         }
@@ -181,31 +187,33 @@
     }
 
     /**
-     * The cheapest way: direct, a tandem, or none; of equal ones the direct, then the lowest
-     * number.
+     * The cheapest route: {@link #DIRECT}, the number of a tandem, or {@link #NO_ROUTE}. Ties go to
+     * the direct route, then to the tandem with the lowest number.
      */
-    private int way(int from, int to) {
-        int best = network.room(from, to) > 0 ? DIRECT : NO_WAY;
-        double least = best == DIRECT ? cost[from][to] : Double.POSITIVE_INFINITY;
-        if (least == 0) {
+    private int cheapestRoute(int from, int to) {
+        int best = network.capacity(from, to) > 0 ? DIRECT : NO_ROUTE;
+        double lowestCost = best == DIRECT ? cost[from][to] : Double.POSITIVE_INFINITY;
+        if (lowestCost == 0) {
             return DIRECT;
         }
-        for (int t = 0; t < n; t++) {
-            double over = cost[from][t] + cost[t][to];
-            if (over < least && network.circuits()[from][t] > 0 && network.circuits()[t][to] > 0) {
-                least = over;
-                best = t;
+        for (int tandem = 0; tandem < exchanges; tandem++) {
+            double viaTandem = cost[from][tandem] + cost[tandem][to];
+            if (viaTandem < lowestCost
+                    && network.circuits()[from][tandem] > 0
+                    && network.circuits()[tandem][to] > 0) {
+                lowestCost = viaTandem;
+                best = tandem;
             }
         }
         return best;
     }
 
-    private static void use(double[][] uses, int from, int to, int tandem, double by) {
+    private static void addUse(double[][] uses, int from, int to, int tandem, double amount) {
         if (tandem < 0) {
-            uses[from][to] += by;
+            uses[from][to] += amount;
         } else {
-            uses[Math.min(from, tandem)][Math.max(from, tandem)] += by;
-            uses[Math.min(to, tandem)][Math.max(to, tandem)] += by;
+            uses[Math.min(from, tandem)][Math.max(from, tandem)] += amount;
+            uses[Math.min(to, tandem)][Math.max(to, tandem)] += amount;
         }
     }
 }
--- a/src/main/java/coralcove/cli/ExperimentCommand.java
+++ b/src/main/java/coralcove/cli/ExperimentCommand.java
@@ -404,10 +404,10 @@
         @Override
         public Integer call() {
             System.setProperty("coralcove.log", "WARN");
-            List<Calibration.Row> rows = new Calibration(seconds, seeds).all();
+            List<Calibration.Comparison> rows = new Calibration(seconds, seeds).all();
             System.out.println("share lost: law, theory, emulated");
             rows.forEach(System.out::println);
-            return rows.stream().allMatch(Calibration.Row::agrees) ? 0 : 1;
+            return rows.stream().allMatch(Calibration.Comparison::agrees) ? 0 : 1;
         }
     }
 }
--- a/src/main/java/coralcove/emulator/Calibration.java
+++ b/src/main/java/coralcove/emulator/Calibration.java
@@ -8,7 +8,7 @@
 import coralcove.rehearsal.Rehearse;
 import coralcove.rehearsal.Result;
 import coralcove.theory.Erlang;
-import coralcove.theory.Symmetric;
+import coralcove.theory.SymmetricNetwork;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -17,33 +17,34 @@
 import java.util.stream.IntStream;
 
 /**
- * Holds the emulated network against what theory says of networks simple enough for it: the real
- * router, edge and SIP path, with callers who do not call again and processors that hardly count.
- * What fails here is not to be believed elsewhere.
+ * Compares the emulated network with theory on networks simple enough for closed formulas or fixed
+ * points. The router, edge and SIP path are the real ones; callers do not redial and the load on
+ * processors is negligible. If a comparison fails, results of the emulator cannot be trusted.
  */
 public final class Calibration {
-    /** Seconds left out at a day's start: the network starts empty, and holds are ten seconds. */
-    private static final int WARM = 60;
+    /** Seconds excluded at the start: the network starts empty and calls last ten seconds. */
+    private static final int WARM_UP_SECONDS = 60;
 
-    private static final long SECOND = 1_000_000;
+    private static final long MICROS_PER_SECOND = 1_000_000;
 
     /**
-     * Standard deviations of the emulated mean within which theory must lie: by chance missed once
-     * in 370 rows.
+     * Standard errors of the emulated mean within which theory must lie; chance alone exceeds them
+     * once in 370 comparisons.
      */
-    private static final double WITHIN = 3;
+    private static final double MAX_STANDARD_ERRORS = 3;
 
     /**
-     * Share of a loss by which theory may be off besides: set-ups hold circuits some milliseconds
-     * longer than holds say, and both ends may seize the last circuit in the same moment.
+     * Relative tolerance in addition: set-ups hold circuits some milliseconds longer than the hold
+     * time, and both ends may seize the last circuit at the same time.
      */
-    private static final double OFF = 0.03;
+    private static final double RELATIVE_TOLERANCE = 0.03;
 
     /**
-     * One law: what theory says, what the emulated network did, the error of that, and whether they
-     * agree.
+     * One comparison: the loss by theory, the mean loss of the emulated network, its standard
+     * error, and whether they agree.
      */
-    public record Row(String law, double theory, double emulated, double error, boolean agrees) {
+    public record Comparison(
+            String law, double theory, double emulated, double error, boolean agrees) {
         @Override
         public String toString() {
             return String.format(
@@ -60,13 +61,18 @@
     private final int seconds;
     private final int seeds;
 
-    /** Each law on {@code seeds} days of {@code seconds}; a warm-up of a minute is added. */
+    /**
+     * Runs each comparison on several simulated days.
+     *
+     * @param seconds length of a day without the warm-up of {@value #WARM_UP_SECONDS} s
+     * @param seeds number of days, each with its own seed
+     */
     public Calibration(int seconds, int seeds) {
         this.seconds = seconds;
         this.seeds = seeds;
     }
 
-    private static String service(int share, double hold, int width, String law) {
+    private static String serviceTable(int share, double hold, int width, String law) {
         return "[[service]]\nname = \"s"
                 + width
                 + "\"\nshare = "
@@ -81,9 +87,9 @@
                 + "\"\n";
     }
 
-    private String day(int exchanges, double perSecond, double load, String services) {
+    private String dayFile(int exchanges, double perSecond, double load, String services) {
         return "[day]\nname = \"calibration\"\nlength_s = "
-                + (WARM + seconds)
+                + (WARM_UP_SECONDS + seconds)
                 + "\n[size]\nexchanges = "
                 + exchanges
                 + "\n[traffic]\nsessions_per_s = "
@@ -103,8 +109,8 @@
                 + "invites = 2\n";
     }
 
-    /** Shares lost by service, one row a seed. */
-    private double[][] lost(String toml, String policy) {
+    /** Share of sessions lost by service, one row per seed. */
+    private double[][] lossByService(String toml, String policy) {
         double[][] lost = new double[seeds][];
         IntStream.range(0, seeds)
                 .parallel()
@@ -113,7 +119,7 @@
                             try {
                                 Day day = DayFile.of(Toml.of("calibration.toml", toml), 1 + i);
                                 lost[i] =
-                                        lost(
+                                        lossByService(
                                                 day,
                                                 Rehearse.virtual(
                                                         day, 1 + i, policy, null, null, false,
@@ -125,46 +131,53 @@
         return lost;
     }
 
-    private static double[] lost(Day day, Result result) {
+    private static double[] lossByService(Day day, Result result) {
         double[] offered = new double[day.services().size()];
-        double[] stood = new double[offered.length];
-        long from = result.zero() / SECOND + WARM;
+        double[] established = new double[offered.length];
+        long from = result.zero() / MICROS_PER_SECOND + WARM_UP_SECONDS;
         for (List<Arrival> list : day.arrivals()) {
             for (Arrival each : list) {
-                offered[each.service()] += each.at() / SECOND >= WARM ? 1 : 0;
+                offered[each.service()] += each.at() / MICROS_PER_SECOND >= WARM_UP_SECONDS ? 1 : 0;
             }
         }
-        for (int i = 0; i < stood.length; i++) {
-            stood[i] = result.stats().standing(i, from);
+        for (int i = 0; i < established.length; i++) {
+            established[i] = result.stats().standing(i, from);
         }
         double[] lost = new double[offered.length];
-        Arrays.setAll(lost, i -> 1 - stood[i] / offered[i]);
+        Arrays.setAll(lost, i -> 1 - established[i] / offered[i]);
         return lost;
     }
 
-    static Row row(String law, double theory, double[] seen) {
-        double mean = Arrays.stream(seen).average().orElse(0);
-        double squares = Arrays.stream(seen).map(v -> (v - mean) * (v - mean)).sum();
-        double error = Math.sqrt(squares / Math.max(1, seen.length - 1) / seen.length);
-        return new Row(
-                law, theory, mean, error, Math.abs(mean - theory) <= WITHIN * error + OFF * theory);
+    static Comparison compare(String law, double theory, double[] observed) {
+        double mean = Arrays.stream(observed).average().orElse(0);
+        double squares = Arrays.stream(observed).map(v -> (v - mean) * (v - mean)).sum();
+        double error = Math.sqrt(squares / Math.max(1, observed.length - 1) / observed.length);
+        return new Comparison(
+                law,
+                theory,
+                mean,
+                error,
+                Math.abs(mean - theory)
+                        <= MAX_STANDARD_ERRORS * error + RELATIVE_TOLERANCE * theory);
     }
 
     /**
-     * One group between two exchanges against Erlang's B formula, under laws of hold that must not
-     * matter to it.
+     * One trunk group between two exchanges against Erlang's B formula, with several distributions
+     * of hold times, which must not affect the result.
      */
-    public List<Row> erlangB() {
-        List<Row> rows = new ArrayList<>();
+    public List<Comparison> erlangB() {
+        List<Comparison> rows = new ArrayList<>();
         for (String law : List.of("exponential", "fixed", "lognormal")) {
             for (double load : new double[] {0.9, 1.1}) {
                 int circuits = 40;
                 double[][] lost =
-                        lost(day(2, circuits / 10.0, load, service(1, 10, 1, law)), "direct");
+                        lossByService(
+                                dayFile(2, circuits / 10.0, load, serviceTable(1, 10, 1, law)),
+                                "direct");
                 rows.add(
-                        row(
+                        compare(
                                 "one group of 40, load " + load + ", " + law + " holds: Erlang B",
-                                Erlang.blocking(circuits * load, circuits),
+                                Erlang.blockingProbability(circuits * load, circuits),
                                 column(lost, 0)));
             }
         }
@@ -175,24 +188,24 @@
         return Arrays.stream(rows).mapToDouble(r -> r[at]).toArray();
     }
 
-    /** Two widths on one group against the Kaufman-Roberts recursion. */
-    public List<Row> kaufmanRoberts() {
-        List<Row> rows = new ArrayList<>();
+    /** Two widths on one trunk group against the Kaufman-Roberts recursion. */
+    public List<Comparison> kaufmanRoberts() {
+        List<Comparison> rows = new ArrayList<>();
         // Shares 3 to 1 of 4 sessions a second: 30 erlangs of width 1 and 10 of width 3 planned, 60
         // circuits.
         double[][] lost =
-                lost(
-                        day(
+                lossByService(
+                        dayFile(
                                 2,
                                 4,
                                 1,
-                                service(3, 10, 1, "exponential")
-                                        + service(1, 10, 3, "exponential")),
+                                serviceTable(3, 10, 1, "exponential")
+                                        + serviceTable(1, 10, 3, "exponential")),
                         "direct");
-        double[] theory = Erlang.blocking(60, new int[] {1, 3}, new double[] {30, 10});
+        double[] theory = Erlang.blockingProbability(60, new int[] {1, 3}, new double[] {30, 10});
         for (int i = 0; i < 2; i++) {
             rows.add(
-                    row(
+                    compare(
                             "one group of 60, widths 1 and 3, load 1, width "
                                     + (i == 0 ? 1 : 3)
                                     + ": Kaufman-Roberts",
@@ -203,39 +216,39 @@
     }
 
     /**
-     * Twelve exchanges joined alike; a call whose direct group is full tries one tandem by chance,
-     * with circuits reserved or not, against the fixed point. It takes groups for independent,
-     * which twelve exchanges nearly are.
+     * Twelve fully connected exchanges with equal groups, where a call whose direct group is full
+     * tries one random tandem, against the fixed point. The fixed point assumes independent groups,
+     * which is nearly true with twelve exchanges.
      */
-    public List<Row> alternatives() {
-        List<Row> rows = new ArrayList<>();
+    public List<Comparison> alternativeRouting() {
+        List<Comparison> rows = new ArrayList<>();
         int exchanges = 12;
         int groups = exchanges * (exchanges - 1) / 2;
         int circuits = 40;
         for (double load : new double[] {0.8, 0.9, 1}) {
             double[][] lost =
-                    lost(
-                            day(
+                    lossByService(
+                            dayFile(
                                     exchanges,
                                     groups * circuits / 10.0,
                                     load,
-                                    service(1, 10, 1, "exponential")),
+                                    serviceTable(1, 10, 1, "exponential")),
                             "one-tandem");
-            Symmetric theory = new Symmetric(circuits, 0);
+            SymmetricNetwork theory = new SymmetricNetwork(circuits, 0);
             rows.add(
-                    row(
+                    compare(
                             "66 groups of 40, load " + load + ", one tandem by chance: fixed point",
-                            theory.lost(circuits * load, 0),
+                            theory.lossProbability(circuits * load, 0),
                             column(lost, 0)));
         }
         return rows;
     }
 
-    /** All laws, in turn. */
-    public List<Row> all() {
-        List<Row> rows = new ArrayList<>(erlangB());
+    /** All comparisons, one after another. */
+    public List<Comparison> all() {
+        List<Comparison> rows = new ArrayList<>(erlangB());
         rows.addAll(kaufmanRoberts());
-        rows.addAll(alternatives());
+        rows.addAll(alternativeRouting());
         return rows;
     }
 }
--- a/src/main/java/coralcove/theory/Erlang.java
+++ b/src/main/java/coralcove/theory/Erlang.java
@@ -1,18 +1,18 @@
 package coralcove.theory;
 
 /**
- * What theory says of one group of circuits offered Poisson calls, whatever the law of their holds:
- * Erlang's B formula, and the Kaufman-Roberts recursion where calls of several widths share the
- * group.
+ * Blocking probability of one trunk group offered Poisson calls: Erlang's B formula, and the
+ * Kaufman-Roberts recursion where calls of several widths share the group. Both hold for any
+ * distribution of hold times.
  */
 public final class Erlang {
     private Erlang() {}
 
     /**
-     * Share of calls that find all {@code circuits} busy at {@code erlangs} offered (Erlang B, by
-     * its recursion).
+     * Probability that a call finds all {@code circuits} busy at an offered load of {@code erlangs}
+     * (Erlang B, computed by its recursion).
      */
-    public static double blocking(double erlangs, int circuits) {
+    public static double blockingProbability(double erlangs, int circuits) {
         double blocking = 1;
         for (int i = 1; i <= circuits; i++) {
             blocking = erlangs * blocking / (i + erlangs * blocking);
@@ -21,10 +21,10 @@
     }
 
     /**
-     * Share blocked of each class: class k is offered {@code erlangs[k]} calls standing at once,
-     * each of {@code widths[k]} circuits (Kaufman 1981, Roberts 1981).
+     * Blocking probability of each class: class k offers {@code erlangs[k]} erlangs of calls that
+     * occupy {@code widths[k]} circuits each (Kaufman 1981, Roberts 1981).
      */
-    public static double[] blocking(int circuits, int[] widths, double[] erlangs) {
+    public static double[] blockingProbability(int circuits, int[] widths, double[] erlangs) {
         double[] weight = new double[circuits + 1];
         weight[0] = 1;
         double sum = 1;
--- a/src/main/java/coralcove/theory/Queue.java
+++ b/src/main/java/coralcove/theory/Queue.java
@@ -1,15 +1,21 @@
 package coralcove.theory;
 
-/** What theory says of one server in order of coming, with Poisson arrivals. */
+/** Mean wait at a single first-come, first-served server with Poisson arrivals (M/G/1). */
 public final class Queue {
     private Queue() {}
 
     /**
-     * Mean wait before service (Pollaczek-Khinchine): arrivals a time unit, mean and mean square of
-     * the service time.
+     * Mean wait before service (Pollaczek-Khinchine formula).
+     *
+     * @param rate arrivals per time unit
+     * @param mean mean service time
+     * @param meanSquare second moment of the service time
+     * @return the mean wait in time units; infinite where the server is saturated
      */
     public static double wait(double rate, double mean, double meanSquare) {
-        double use = rate * mean;
-        return use >= 1 ? Double.POSITIVE_INFINITY : rate * meanSquare / (2 * (1 - use));
+        double utilization = rate * mean;
+        return utilization >= 1
+                ? Double.POSITIVE_INFINITY
+                : rate * meanSquare / (2 * (1 - utilization));
     }
 }
--- a/src/test/java/coralcove/emulator/CalibrationTest.java
+++ b/src/test/java/coralcove/emulator/CalibrationTest.java
@@ -5,25 +5,27 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A short calibration: what the long one of docs/measurements shows, on few calls, with the same
- * verdict each time.
+ * A short version of the calibration in docs/measurements: fewer calls and fixed seeds, so that the
+ * result is the same in every run.
  */
 class CalibrationTest {
     @Test
-    void theEmulatedNetworkKeepsTheLaws() {
+    void emulatedNetworkMatchesTheory() {
         Calibration calibration = new Calibration(500, 12);
-        assertThat(calibration.erlangB()).hasSize(6).allMatch(Calibration.Row::agrees);
-        assertThat(calibration.kaufmanRoberts()).hasSize(2).allMatch(Calibration.Row::agrees);
+        assertThat(calibration.erlangB()).hasSize(6).allMatch(Calibration.Comparison::agrees);
+        assertThat(calibration.kaufmanRoberts())
+                .hasSize(2)
+                .allMatch(Calibration.Comparison::agrees);
     }
 
     /**
-     * The same figures against a law that is not theirs must not agree, or agreeing says nothing.
+     * A comparison with a wrong theoretical value must fail; otherwise agreement proves nothing.
      */
     @Test
-    void aWrongLawIsSeen() {
-        double[] seen = {0.060, 0.066, 0.071, 0.058, 0.069, 0.065};
-        assertThat(Calibration.row("its own", 0.065, seen).agrees()).isTrue();
-        assertThat(Calibration.row("another", 0.078, seen).agrees()).isFalse();
-        assertThat(Calibration.row("another", 0.055, seen).agrees()).isFalse();
+    void detectsDeviationFromTheory() {
+        double[] observed = {0.060, 0.066, 0.071, 0.058, 0.069, 0.065};
+        assertThat(Calibration.compare("its own", 0.065, observed).agrees()).isTrue();
+        assertThat(Calibration.compare("another", 0.078, observed).agrees()).isFalse();
+        assertThat(Calibration.compare("another", 0.055, observed).agrees()).isFalse();
     }
 }
--- a/src/test/java/coralcove/theory/TheoryTest.java
+++ b/src/test/java/coralcove/theory/TheoryTest.java
@@ -5,30 +5,30 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Against published and closed-form values. */
+/** Compares the formulas with published and closed-form values. */
 class TheoryTest {
     /**
-     * Erlang's tables: 10 circuits lose 1% at 4.461 erlangs, 100 lose 1% at 84.06, 20 lose 5% at
-     * 15.25.
+     * Values of published Erlang B tables: 10 circuits lose 1% at 4.461 erlangs, 100 lose 1% at
+     * 84.06, 20 lose 5% at 15.25.
      */
     @Test
-    void erlangsTables() {
-        assertThat(Erlang.blocking(4.461, 10)).isCloseTo(0.01, within(1e-5));
-        assertThat(Erlang.blocking(84.06, 100)).isCloseTo(0.01, within(1e-4));
-        assertThat(Erlang.blocking(15.25, 20)).isCloseTo(0.05, within(1e-4));
-        assertThat(Erlang.blocking(0, 5)).isZero();
+    void matchesErlangTables() {
+        assertThat(Erlang.blockingProbability(4.461, 10)).isCloseTo(0.01, within(1e-5));
+        assertThat(Erlang.blockingProbability(84.06, 100)).isCloseTo(0.01, within(1e-4));
+        assertThat(Erlang.blockingProbability(15.25, 20)).isCloseTo(0.05, within(1e-4));
+        assertThat(Erlang.blockingProbability(0, 5)).isZero();
     }
 
     /**
-     * One class of width 1 is Erlang B; of width 2 it is Erlang B of half the circuits; two kinds
-     * by enumeration.
+     * One class of width 1 equals Erlang B; one of width 2 equals Erlang B with half the circuits;
+     * two classes are compared with an enumeration of all states.
      */
     @Test
-    void kaufmanRobertsInCasesThatCanBeCounted() {
-        assertThat(Erlang.blocking(20, new int[] {1}, new double[] {15.25})[0])
-                .isCloseTo(Erlang.blocking(15.25, 20), within(1e-12));
-        assertThat(Erlang.blocking(20, new int[] {2}, new double[] {4.461})[0])
-                .isCloseTo(Erlang.blocking(4.461, 10), within(1e-12));
+    void kaufmanRobertsMatchesEnumeration() {
+        assertThat(Erlang.blockingProbability(20, new int[] {1}, new double[] {15.25})[0])
+                .isCloseTo(Erlang.blockingProbability(15.25, 20), within(1e-12));
+        assertThat(Erlang.blockingProbability(20, new int[] {2}, new double[] {4.461})[0])
+                .isCloseTo(Erlang.blockingProbability(4.461, 10), within(1e-12));
         double[] weights = new double[7];
         double sum = 0;
         for (int a = 0; a <= 6; a++) {
@@ -38,7 +38,7 @@
                 sum += weight;
             }
         }
-        double[] blocked = Erlang.blocking(6, new int[] {1, 3}, new double[] {2.5, 0.7});
+        double[] blocked = Erlang.blockingProbability(6, new int[] {1, 3}, new double[] {2.5, 0.7});
         assertThat(blocked[0]).isCloseTo(weights[6] / sum, within(1e-12));
         assertThat(blocked[1])
                 .isCloseTo((weights[4] + weights[5] + weights[6]) / sum, within(1e-12));
@@ -49,29 +49,36 @@
     }
 
     @Test
-    void waits() {
-        // M/M/1 at use 0.8 waits four services, M/D/1 half of that.
+    void meanWaitOfSingleServerQueues() {
+        // At a utilization of 0.8 the mean wait is four service times in M/M/1, two in M/D/1.
         assertThat(Queue.wait(0.8, 1, 2)).isCloseTo(4, within(1e-9));
         assertThat(Queue.wait(0.8, 1, 1)).isCloseTo(2, within(1e-9));
         assertThat(Queue.wait(1, 1, 1)).isInfinite();
     }
 
-    /** Two stable solutions without reservation near load 1, one with it, and one far from it. */
+    /**
+     * Near load 1 there are two stable solutions without reserved circuits and one with them; far
+     * from it there is one in both cases.
+     */
     @Test
     void alternativeRoutingIsBistableWithoutReservation() {
-        int apart = 0;
+        int bistableLoads = 0;
         for (int erlangs = 880; erlangs <= 1000; erlangs += 10) {
-            Symmetric open = new Symmetric(1000, 0);
-            apart += open.lost(erlangs, 1) - open.lost(erlangs, 0) > 0.02 ? 1 : 0;
-            Symmetric reserved = new Symmetric(1000, 50);
-            assertThat(reserved.lost(erlangs, 1))
-                    .isCloseTo(reserved.lost(erlangs, 0), within(1e-6));
+            SymmetricNetwork unreserved = new SymmetricNetwork(1000, 0);
+            bistableLoads +=
+                    unreserved.lossProbability(erlangs, 1) - unreserved.lossProbability(erlangs, 0)
+                                    > 0.02
+                            ? 1
+                            : 0;
+            SymmetricNetwork reserved = new SymmetricNetwork(1000, 50);
+            assertThat(reserved.lossProbability(erlangs, 1))
+                    .isCloseTo(reserved.lossProbability(erlangs, 0), within(1e-6));
         }
-        // Only in a range: below it both starts end in the same, and above it in the bad solution.
-        assertThat(apart).isBetween(2, 11);
-        assertThat(new Symmetric(1000, 0).lost(880, 1))
-                .isCloseTo(new Symmetric(1000, 0).lost(880, 0), within(1e-6));
-        assertThat(new Symmetric(1000, 50).lost(1000, 0))
-                .isLessThan(new Symmetric(1000, 0).lost(1000, 0));
+        // Below the range both starts reach the same solution, above it the one with high loss.
+        assertThat(bistableLoads).isBetween(2, 11);
+        assertThat(new SymmetricNetwork(1000, 0).lossProbability(880, 1))
+                .isCloseTo(new SymmetricNetwork(1000, 0).lossProbability(880, 0), within(1e-6));
+        assertThat(new SymmetricNetwork(1000, 50).lossProbability(1000, 0))
+                .isLessThan(new SymmetricNetwork(1000, 0).lossProbability(1000, 0));
     }
 }
