--- a/src/main/java/coralcove/Answer.java
+++ b/src/main/java/coralcove/Answer.java
@@ -1,30 +1,40 @@
 package coralcove;
 
 /**
- * What to do with a session; {@code time} is the INVITE's limit, the moment to ask again, or a
- * come-back.
+ * What the router decided for a session. {@code time} depends on the kind: for SEND the time limit
+ * of the INVITE (a duration), for LATER the time at which {@link CallRouter#route} is to be called
+ * again, for REFUSE the retry-after delay (a duration); 0 otherwise.
  */
 public record Answer(Kind kind, long exchange, long time) {
+    /** What is to be done with the session. */
     public enum Kind {
+        /** Send an INVITE to the exchange. */
         SEND,
+        /** Route the session again at the given time. */
         LATER,
+        /** Reject the session; its caller may try again after the given delay. */
         REFUSE,
+        /** Fail the session: it may have run already and must not be repeated. */
         FAIL,
+        /** Nothing is to be done. */
         NOTHING
     }
 
     public static final Answer NOTHING = new Answer(Kind.NOTHING, 0, 0);
     public static final Answer FAIL = new Answer(Kind.FAIL, 0, 0);
 
+    /** Sends the session to {@code exchange} with an INVITE that may take {@code limit} µs. */
     public static Answer send(long exchange, long limit) {
         return new Answer(Kind.SEND, exchange, limit);
     }
 
+    /** Postpones the decision to the time {@code at}. */
     public static Answer later(long at) {
         return new Answer(Kind.LATER, 0, at);
     }
 
-    public static Answer refuse(long comeBack) {
-        return new Answer(Kind.REFUSE, 0, comeBack);
+    /** Rejects the session with a retry-after delay of {@code retryAfter} µs. */
+    public static Answer refuse(long retryAfter) {
+        return new Answer(Kind.REFUSE, 0, retryAfter);
     }
 }
--- a/src/main/java/coralcove/CallRouter.java
+++ b/src/main/java/coralcove/CallRouter.java
@@ -3,51 +3,56 @@
 import java.util.List;
 
 /**
- * One call router's decisions, asked like a client library. Three calls ask: {@link #route}, {@link
- * #after} and {@link #waiting}; all others only tell facts. Times are whole microseconds on one
- * clock that never goes back.
+ * The routing policy of one call router, called like a client library. {@link #route}, {@link
+ * #after} and {@link #waiting} request decisions; all other methods report facts. Times are whole
+ * microseconds of one monotonic clock.
  */
 public interface CallRouter {
     /**
-     * Where to send this session now: an exchange, not yet, or never. Asked anew when a "later" has
-     * come due.
+     * Decides where to send a session: to an exchange, later, or not at all. It is called again
+     * when the time of a postponed decision has come.
      */
     Answer route(long now, Session session);
 
     /**
-     * What to do after an INVITE came to {@code ending}. Once {@code over} is set nothing is owed
-     * for the session and the answer is {@link Answer#NOTHING}. {@code namedWait} is the wait a
-     * full processor named, or 0.
+     * Reports the outcome of a session's INVITE and decides what to do next. If {@code over}, the
+     * session needs no further action and the decision is {@link Answer#NOTHING}. {@code took} is
+     * the duration of the INVITE. {@code retryAfter} is the wait that an overloaded processor
+     * requested, or 0.
      */
     Answer after(
             long now,
             long session,
-            Ending ending,
+            Ending outcome,
             Cause cause,
             long exchange,
             long took,
-            long namedWait,
+            long retryAfter,
             boolean over);
 
-    /** How long nothing need be asked, and what is to be sent besides sessions meanwhile. */
+    /** Returns what to send besides sessions, and when to call this method again. */
     Waiting waiting(long now);
 
-    /** News of exchanges; a whole list replaces the old one. */
-    void roster(long now, boolean whole, List<Exchange> exchanges);
+    /**
+     * Updates the known exchanges. If {@code complete}, the given list replaces the previous one.
+     */
+    void roster(long now, boolean complete, List<Exchange> exchanges);
 
-    /** The directory's news stopped, or a question to it failed. */
+    /** Reports that the directory's subscription ended, or that a query to it failed. */
     void rosterLost(long now);
 
+    /** Updates the free circuits and the size of the trunk group to an exchange. */
     void circuits(long now, long exchange, int free, int size);
 
     /**
-     * The answer to a probe; {@code columns} in the order of the settings, empty where it brought
-     * none.
+     * Reports the reply to a probe. {@code columns} are in the order of the settings, empty if the
+     * reply had none.
      */
     void report(long now, long exchange, boolean passed, long took, float[] columns);
 
+    /** Delivers a message from the router of rank {@code rank}. */
     void peer(long now, int rank, byte[] body);
 
-    /** The session is over by the caller's doing; nothing is owed for it. */
+    /** Reports that the caller ended the session; it needs no further action. */
     void ended(long now, long session);
 }
--- a/src/main/java/coralcove/Choice.java
+++ b/src/main/java/coralcove/Choice.java
@@ -16,1200 +16,1395 @@
 import java.util.random.RandomGenerator;
 
 /**
- * All decisions of one call router. The interface, and how it is called, is in CallRouter.java:
- * route() for a new session or one whose "later" is due, after() for news of an INVITE, waiting()
- * when a round is done; the rest tell facts. One object serves one exchange's router, on one
- * thread, with no clock or wire of its own.
+ * The routing policy: routing and admission by the exponential penalty rule of Iyengar and Sigman,
+ * <em>Exponential Penalty Function Control of Loss Networks</em>.
+ *
+ * <p>For each trunk group and class, x is the number of active calls that this router sent over the
+ * group, and y the number of phantom calls: a refused call counts as a phantom for one mean hold
+ * time. A call of b circuits is accepted if it fits and
+ *
+ * <pre>    x/c0 &lt;= y/c1 + log(c0/c1) / (beta * b)</pre>
+ *
+ * <p>that is, if the penalty exp(beta*b*x/c0) + exp(beta*b*y/c1) grows less by accepting the call
+ * than by refusing it. The targets c0 and c1 and the exponent beta come from a {@link Targets}. A
+ * session whose direct group is full overflows to the tandem whose first group passes the test with
+ * the least slope of the penalty along x.
+ *
+ * <p>Beside the rule, limits protect the processors of the exchanges: windows of INVITEs in flight,
+ * a failure count, retry delays and a set-up budget for cold exchanges. docs/design.md describes
+ * them all.
+ *
+ * <p>One object serves the router of one exchange. It has no clock and does no input or output. Not
+ * thread-safe.
  */
 public final class Choice implements CallRouter {
-    // The design's figures.
-    /** µs: span over which a service's rate on a group is counted (design). */
-    private static final long RATE_WINDOW = 10_000_000;
+    // ---- the penalty rule
 
-    /** µs: age at which a group's targets are worked out anew (design). */
-    private static final long REFRESH = 5_000_000;
+    /** Window in µs over which the load of a class on a group is measured. */
+    private static final long LOAD_WINDOW_MICROS = 10_000_000;
+
+    /** Age in µs at which the targets of a group are computed again. */
+    private static final long TARGET_REFRESH_MICROS = 5_000_000;
 
     /**
-     * Share of a group, and multiples of the widest service, that must be free to take anything
-     * (design).
+     * Share of a group that must be free to accept any call that fits, and the number of calls of
+     * the widest service that must have room as well.
      */
-    private static final double FREE_SHARE = 0.2;
+    private static final double FREE_ROOM_SHARE = 0.2;
 
-    private static final int FREE_WIDTHS = 2;
+    private static final int FREE_ROOM_WIDEST_CALLS = 2;
 
     /**
-     * The same share for an own caller's session: the slack of the targets must not keep circuits
+     * The same share for a local caller's session: the slack of the targets must not keep circuits
      * empty.
      */
-    private static final double FREE_OWN = 0.06;
+    private static final double LOCAL_FREE_ROOM_SHARE = 0.06;
 
     /**
-     * The share each leg of a two-group session must have free: thin groups hardly ever have a
-     * fifth.
+     * Share of each group that must be free for a session over two groups. A fifth would be too
+     * much: thin groups hardly ever have it free.
      */
-    private static final double FREE_LEG = 0.1;
+    private static final double TANDEM_FREE_SHARE = 0.1;
 
-    /**
-     * Buckets of the rings of load and of phantoms: steps of half a second and of a hold's
-     * thirtieth.
-     */
+    /** Buckets of the load window: steps of half a second. */
     private static final int LOAD_BUCKETS = 20;
 
+    /** Buckets of the phantom window: steps of a thirtieth of the hold time. */
     private static final int PHANTOM_BUCKETS = 30;
 
-    // The guards' figures.
+    // ---- slow and lost answers
+
     /**
-     * Share of the post-dial target past which a set-up is slow: the rest is for what queues up
-     * then.
+     * Share of the post-dial target above which a set-up is slow: the rest is left for what queues
+     * up before the router reacts.
      */
-    private static final double SLOW = 0.3;
+    private static final double SLOW_SET_UP_SHARE = 0.3;
 
     /**
-     * Share of INVITEs unanswered by exchanges in order that tells of lost answers; weight of the
-     * newest.
+     * Share of INVITEs unanswered by exchanges that work, above which answers are taken to get
+     * lost.
      */
-    private static final double LOST_SHARE = 0.08;
+    private static final double LOSS_THRESHOLD = 0.08;
 
-    private static final double LOST_STEP = 0.02;
+    /** Weight of the newest INVITE in the share of lost answers. */
+    private static final double LOSS_WEIGHT = 0.02;
 
     /**
-     * Share of the post-dial target that a set-up takes where nothing is slow, two legs and queues
-     * too.
+     * Share of the post-dial target that a set-up takes where nothing is slow, over two groups and
+     * with queues.
      */
-    private static final double SET_UP = 0.2;
+    private static final double SET_UP_SHARE = 0.2;
 
-    /**
-     * Share of a window open to a tandem's leg, to low value or what stands late, and to the
-     * highest.
-     */
-    private static final double PRESS_TANDEM = 0.25;
+    /** Share of the newest answers that are slow, above which most answers count as slow. */
+    private static final double MOSTLY_SLOW = 0.5;
 
-    private static final double PRESS_LOW = 0.5;
-    private static final double PRESS_HIGH = 1;
+    /** Share of the newest answers that are slow, below which few answers count as slow. */
+    private static final double FEW_SLOW = 0.2;
 
-    /** Share of the common window in use from which peers are told of no ways on. */
-    private static final double PRESS_TOLD = 0.4;
+    /** Weight of the newest answer in the share of slow answers. */
+    private static final double SLOW_WEIGHT = 0.05;
 
-    /**
-     * INVITEs in flight to one exchange: to start with, and the most; above this it is never the
-     * limit.
-     */
-    private static final double WINDOW_FIRST = 4;
+    // ---- windows of INVITEs in flight
 
-    private static final double WINDOW_MOST = 32;
+    /** Share of a window open to sessions sent to a tandem. */
+    private static final double TANDEM_WINDOW_SHARE = 0.25;
 
-    /** The same for all INVITEs in flight from here, which all pass the own processor. */
-    private static final double OWN_FIRST = 16;
+    /** Share of a window open to services of lower value and to late redials. */
+    private static final double LOW_VALUE_WINDOW_SHARE = 0.5;
 
-    private static final double OWN_MOST = 64;
-    private static final double OWN_LEAST = 2;
-    private static final double OWN_CUT = 0.85;
+    /** Share of a window open to the service of the highest value per circuit. */
+    private static final double HIGH_VALUE_WINDOW_SHARE = 1;
 
-    /**
-     * µs: span over which quick answers are counted, to tell what one place of a window is worth.
-     */
-    private static final long PLACE_SPAN = 1_000_000;
+    /** INVITEs in flight to one exchange, to start with. */
+    private static final double INITIAL_WINDOW = 4;
 
-    private static final int PLACE_BUCKETS = 10;
+    /** Most INVITEs in flight to one exchange: above this the window is never the limit. */
+    private static final double MAX_WINDOW = 32;
 
-    /**
-     * Share of slow answers from which most are slow, and under which few are; weight of the
-     * newest.
-     */
-    private static final double MOST = 0.5;
+    /** INVITEs in flight to one exchange that has just started; its answers widen this window. */
+    private static final double INITIAL_COLD_WINDOW = 2;
+
+    /** What a slow answer leaves of an exchange's window. */
+    private static final double WINDOW_DECREASE = 0.5;
 
-    private static final double FEW = 0.2;
-    private static final double SLOW_STEP = 0.05;
+    // The common window counts all INVITEs in flight from here, as all pass the local processor.
+    private static final double INITIAL_COMMON_WINDOW = 16;
+    private static final double MAX_COMMON_WINDOW = 64;
+    private static final double MIN_COMMON_WINDOW = 2;
+    private static final double COMMON_WINDOW_DECREASE = 0.85;
 
-    /** What a slow answer leaves of the window. */
-    private static final double WINDOW_CUT = 0.5;
+    /** Window in µs over which quick answers are counted, to scale the INVITE windows. */
+    private static final long QUICK_ANSWER_WINDOW_MICROS = 1_000_000;
+
+    private static final int QUICK_ANSWER_BUCKETS = 10;
+
+    // ---- failed and overloaded exchanges
 
     /**
-     * INVITEs in a row without an answer that close an exchange: two can be chance, more costs
+     * Unanswered INVITEs in a row that close an exchange: two can be chance, more than three cost
      * circuits.
      */
-    private static final int FAILURES = 3;
+    private static final int FAILURES_TO_CLOSE = 3;
 
-    /**
-     * µs: a closed exchange's first wait for a trial, and the longest; near the length of a short
-     * stall.
-     */
-    private static final long TRIAL_FIRST = 500_000;
+    /** First wait in µs of a closed exchange for a trial: near the length of a short stall. */
+    private static final long FIRST_TRIAL_DELAY_MICROS = 500_000;
 
-    private static final long TRIAL_LONGEST = 2_000_000;
+    private static final long MAX_TRIAL_DELAY_MICROS = 2_000_000;
 
     /**
-     * µs: hold-back after a full processor that names no wait: about what drains between two
-     * answers.
+     * Wait in µs after an overload reply that names none: about the time in which a processor
+     * drains between two answers.
      */
-    private static final long FULL_HOLD = 300_000;
+    private static final long DEFAULT_OVERLOAD_WAIT_MICROS = 300_000;
+
+    // ---- tandems
 
-    /** µs: a tandem that turned a session back is not asked for that far end for this long. */
-    private static final long TURNED_BACK_HOLD = 4_000_000;
+    /** µs for which a tandem is not used for a far end after a crankback. */
+    private static final long CRANKBACK_HOLD_MICROS = 4_000_000;
 
     /**
-     * Doublings of that hold at most, for a tandem that never led there: it may have no group to
-     * it.
+     * Most doublings of that hold, for a tandem that never reached the far end: it may have no
+     * group to it.
      */
-    private static final int TURNED_BACK_DOUBLINGS = 4;
-
-    /** µs: one that was slow, full or silent is no tandem for this long, or until it is quick. */
-    private static final long SLOW_TANDEM_HOLD = 4_000_000;
+    private static final int MAX_CRANKBACK_DOUBLINGS = 4;
 
     /**
-     * Share of unknown tandems that must lead on to be asked beside known ones; weight of the
-     * newest.
+     * µs for which a slow, overloaded or silent exchange is no tandem, unless it is quick again.
      */
-    private static final double UNKNOWN_LEAD = 0.5;
-
-    private static final double UNKNOWN_STEP = 0.1;
+    private static final long SLOW_TANDEM_HOLD_MICROS = 4_000_000;
 
     /**
-     * µs: how often peers are told of ways on, if changed; messages a second each hears: each is
-     * work.
+     * Share of sessions over unknown tandems that must succeed for unknown tandems to be used
+     * beside known ones.
      */
-    private static final long TELL_EVERY = 1_000_000;
+    private static final double UNKNOWN_TANDEM_THRESHOLD = 0.5;
+
+    /** Weight of the newest session over an unknown tandem in that share. */
+    private static final double UNKNOWN_TANDEM_WEIGHT = 0.1;
+
+    // ---- route advertisements
 
-    private static final long NEWS_A_SECOND = 10;
+    /** Least interval in µs at which peers are sent changed onward routes. */
+    private static final long ADVERTISEMENT_INTERVAL_MICROS = 1_000_000;
 
-    /** Multiples of that gap for which news holds: two messages in a row may be lost. */
-    private static final long NEWS_FRESH = 6;
+    /** Most messages a second that a router receives in a large fleet: each is work. */
+    private static final long MAX_ADVERTISEMENTS_PER_SECOND = 10;
+
+    /** Intervals for which an advertisement is valid: two messages in a row may be lost. */
+    private static final long ADVERTISEMENT_LIFETIME_INTERVALS = 6;
 
     /**
-     * Widest services that must fit into a group told as a way on: all who hear of it may send at
+     * Calls of the widest service that must fit into an advertised group: all receivers may send at
      * once.
      */
-    private static final int TOLD_WIDTHS = 6;
+    private static final int ADVERTISED_WIDEST_CALLS = 6;
 
     /**
-     * Share of a group that is enough instead: few send over a thin one, which hardly has so many
-     * free.
+     * Free share of a group that suffices instead: few send over a thin group, which hardly ever
+     * has room for so many calls.
      */
-    private static final double TOLD_SHARE = 0.5;
+    private static final double ADVERTISED_FREE_SHARE = 0.5;
 
     /**
-     * Share of the common window in use up to which that holds: in trouble each tandem is work for
-     * three.
+     * Utilization of the common window up to which that share suffices: under load, each session in
+     * transit is work for three processors.
      */
-    private static final double PRESS_QUIET = 0.1;
+    private static final double QUIET_UTILIZATION = 0.1;
+
+    /** Utilization of the common window from which no onward routes are advertised. */
+    private static final double ADVERTISING_UTILIZATION_LIMIT = 0.4;
 
-    /** Bytes of the largest message. */
-    private static final int NEWS_BYTES = 256;
+    /** Largest advertisement in bytes. */
+    private static final int MAX_ADVERTISEMENT_BYTES = 256;
 
     /**
-     * µs: least wait and as much again by chance before a failed question to the directory is put
-     * again.
+     * Least wait in µs, and greatest random addition to it, before a failed directory query is
+     * repeated.
      */
-    private static final long SUBSCRIBE_AGAIN = 1_000_000;
+    private static final long RESUBSCRIBE_DELAY_MICROS = 1_000_000;
 
-    /** µs: a moment that does not come. */
-    private static final long NEVER = Long.MAX_VALUE;
+    // ---- cold exchanges
 
     /**
-     * INVITEs in flight to a fresh exchange, to start with; its answers widen this like any window.
+     * Multiple of the budget computed from the rate of local callers, which understates an
+     * exchange's speed.
      */
-    private static final double FRESH_WINDOW = 2;
+    private static final double COLD_BUDGET_FACTOR = 3;
 
-    /**
-     * Multiple of the budget reckoned from own callers' rate, which understates an exchange's
-     * speed.
-     */
-    private static final double COLD_SHARE = 3;
+    /** Least budget in set-ups per window, for a router that has had no callers yet. */
+    private static final double MIN_COLD_BUDGET = 0.05;
 
-    /** The least part of a set-up a window, for a router that has had no callers yet. */
-    private static final double LEAST_PART = 0.05;
+    // ---- retries
 
     /**
-     * Share of the post-dial target after which a caller is asked back, to have a try left in time.
+     * Share of the post-dial target after which a caller may try again, so that another try can
+     * still be established in time.
      */
-    private static final double COME_BACK = 0.3;
+    private static final double RETRY_AFTER_SHARE = 0.3;
 
-    /**
-     * Share of the post-dial target, since a caller's first try, past which a set-up would end
-     * late.
-     */
-    private static final double LATE_SHARE = 0.8;
+    /** Share of the post-dial target, from a caller's first try, after which a try is late. */
+    private static final double LATE_TRY_SHARE = 0.8;
 
-    /**
-     * µs: first and longest gap between INVITEs to a number whose lines were busy: part of a hold.
-     */
-    private static final long LINES_GAP = 500_000;
+    /** First gap in µs between INVITEs to a number whose lines were busy: a part of a hold time. */
+    private static final long FIRST_BUSY_LINES_GAP_MICROS = 500_000;
 
-    private static final long LINES_GAP_MOST = 2_000_000;
+    private static final long MAX_BUSY_LINES_GAP_MICROS = 2_000_000;
 
     /**
-     * Callers of a number that may come within one come-back time: more are one that repeats at
-     * once.
+     * Calls to a number that may arrive before its retry-after delay has passed: more come from one
+     * caller that repeats at once.
      */
-    private static final int EARLY = 2;
+    private static final int MAX_EARLY_CALLS = 2;
 
-    /** µs: how long a caller's first try is remembered: longer than callers go on trying. */
-    private static final long MEMORY = 10_000_000;
+    /** µs for which a caller's first try is remembered: longer than callers keep trying. */
+    private static final long CALLED_NUMBER_MEMORY_MICROS = 10_000_000;
 
-    /**
-     * µs: less than this before its timer limit a session is not sent any more; a set-up takes
-     * longer.
-     */
-    private static final long TOO_LATE = 100_000;
+    /** Least time left in µs to send a session before its timer limit: a set-up takes longer. */
+    private static final long MIN_TIME_LEFT_MICROS = 100_000;
 
-    private final int ownNumber;
+    /** A time that is never reached. */
+    private static final long NEVER = Long.MAX_VALUE;
+
+    private final int localNumber;
     private final int routers;
-    private final boolean pools;
-    private final int inviteLimit;
-    private final long comeBack;
+    private final boolean usesPools;
+    private final int maxInvites;
+
+    /** The longest retry-after delay in µs, 0 if none may be given. */
+    private final long maxRetryAfter;
+
     private final long releaseWait;
     private final double coldBudget;
-    private final long fallWindow;
-    private final long warmUp;
+    private final long overloadWindow;
+    private final long warmUpTime;
     private final boolean subscribes;
-    private final RandomGenerator chance;
+    private final RandomGenerator random;
     private final Targets targets;
-    private final Service[] services;
+    private final CallClass[] classes;
+
+    /** Circuits of a call of the widest service. */
     private final int widest;
-    private final Ring ownLoad = new Ring(RATE_WINDOW, LOAD_BUCKETS);
-    private final Map<Long, Far> exchanges = new LinkedHashMap<>();
+
+    private final SlidingWindowSum localLoad =
+            new SlidingWindowSum(LOAD_WINDOW_MICROS, LOAD_BUCKETS);
+    private final Map<Long, RemoteExchange> exchanges = new LinkedHashMap<>();
     private final TreeMap<Integer, Group> groups = new TreeMap<>();
-    private final Map<Long, Held> held = new HashMap<>();
+    private final Map<Long, PendingSession> pendingSessions = new HashMap<>();
     private double slowShare;
-    private Far lastPaced;
+    private RemoteExchange lastAnswering;
     private double lostShare;
-    private double unknownLead = UNKNOWN_LEAD;
-    private int inFlight;
-    private int overdues;
-    private final ArrayDeque<Invite> out = new ArrayDeque<>();
-    private final long overdue;
-    private double ownWindow = OWN_FIRST;
-    private final Ring ownQuick = new Ring(PLACE_SPAN, PLACE_BUCKETS);
-    private long ownCutAt;
-    private final boolean marks;
-    private final Map<Long, Called> numbers = new LinkedHashMap<>();
-    private long started = -1;
-    private long subscribeAt;
-    private final boolean peers;
-    private final long tellEvery;
-    private byte[] told = {};
-    private long tellAt;
-    private long tellAgainAt;
 
-    /**
-     * What a class is to the decisions: class 2n is service n at its first try, 2n + 1 its redials.
-     */
-    private record Service(
-            long target,
-            int width,
-            long hold,
+    /** Share of the newest sessions over unknown tandems that were established. */
+    private double unknownTandemSuccess = UNKNOWN_TANDEM_THRESHOLD;
+
+    private int invitesInFlight;
+    private int overdueInvites;
+    private final ArrayDeque<Invite> sentInvites = new ArrayDeque<>();
+    private final long shortestTarget;
+    private double commonWindow = INITIAL_COMMON_WINDOW;
+    private final SlidingWindowSum quickAnswers =
+            new SlidingWindowSum(QUICK_ANSWER_WINDOW_MICROS, QUICK_ANSWER_BUCKETS);
+    private long commonWindowCutAt;
+    private final boolean redialsMarked;
+    private final Map<Long, CalledNumber> calledNumbers = new LinkedHashMap<>();
+    private long startedAt = -1;
+    private long subscribeAt;
+    private final boolean advertises;
+    private final long advertisementInterval;
+    private byte[] lastAdvertisement = {};
+    private long advertiseAt;
+    private long repeatAdvertisementAt;
+
+    /** A class of calls: class 2n is service n at its first try, class 2n + 1 its late redials. */
+    private record CallClass(
+            long postDialTarget,
+            int circuits,
+            long holdTime,
             boolean repeatable,
-            double press,
+            double windowShare,
             List<Integer> pools) {}
 
-    /**
-     * One service on one group: standing calls x, phantom calls y, and the targets of the last
-     * refresh.
-     */
-    private static final class Load {
-        final Ring calls = new Ring(RATE_WINDOW, LOAD_BUCKETS);
-        final Ring phantoms;
-        int standing;
-        boolean aimed;
+    /** One class on one group: its load, x and y of the rule, and the targets c0 and c1. */
+    private static final class ClassState {
+        final SlidingWindowSum offeredCalls =
+                new SlidingWindowSum(LOAD_WINDOW_MICROS, LOAD_BUCKETS);
+
+        /** y: calls refused during the last hold time. */
+        final SlidingWindowSum phantomCalls;
+
+        /** x: calls sent over the group and not yet ended, set-ups in flight included. */
+        int activeCalls;
+
+        boolean hasTargets;
         double c0;
         double c1;
 
-        Load(long hold) {
-            phantoms = new Ring(hold, PHANTOM_BUCKETS);
+        ClassState(long holdTime) {
+            phantomCalls = new SlidingWindowSum(holdTime, PHANTOM_BUCKETS);
         }
     }
 
-    /** The circuits between here and one number, whichever machine serves that number now. */
+    /**
+     * The trunk group between the local exchange and one exchange number, whichever machine serves
+     * that number at the time.
+     */
     private static final class Group {
         final int number;
-        final Load[] loads;
-        final Map<Integer, Long> turnedBack = new HashMap<>();
+        final ClassState[] classStates;
+
+        /** By far end: the time until which it is not tried over this tandem. */
+        final Map<Integer, Long> crankbackUntil = new HashMap<>();
 
-        /** Far ends it has led to: a session stood, or a centre advised it. */
-        final Set<Integer> leadsTo = new HashSet<>();
+        /** Far ends that this tandem reached, or that a routing centre advised it for. */
+        final Set<Integer> reachedFarEnds = new HashSet<>();
 
-        final Map<Integer, Integer> turnsInARow = new HashMap<>();
+        final Map<Integer, Integer> crankbacksInARow = new HashMap<>();
 
-        /** The last news its router told of its own ways on, and until when that holds. */
-        byte[] news = {};
+        /** The onward routes that the router there advertised last. */
+        byte[] advertisement = {};
 
-        long newsUntil;
+        long advertisementValidUntil;
+
+        /** Free circuits as last reported, less those of the sessions sent since. */
         int free;
+
+        /** Circuits in all. */
         int size;
+
         double beta;
         long refreshAt;
-        long planned;
+        long targetsVersion;
 
         /**
-         * The machine that serves the number now, the ready one started last; every session asks
-         * for it.
+         * The machine that serves the number: of the ready ones, the one started last. Stored, as
+         * each session needs it.
          */
-        Far serving;
+        RemoteExchange servedBy;
 
-        Group(int number, Service[] services) {
+        Group(int number, CallClass[] classes) {
             this.number = number;
-            loads = new Load[services.length];
-            for (int i = 0; i < loads.length; i++) {
-                loads[i] = new Load(services[i].hold());
+            classStates = new ClassState[classes.length];
+            for (int i = 0; i < classStates.length; i++) {
+                classStates[i] = new ClassState(classes[i].holdTime());
             }
         }
     }
 
-    /** One exchange's processor as seen from here. */
-    private static final class Far {
+    /** An exchange's processor as observed from here. */
+    private static final class RemoteExchange {
         final long id;
         final int number;
         final Group group;
-        final Ring sends;
-        int settingUp;
+
+        /** INVITEs sent to it during the last overload window. */
+        final SlidingWindowSum recentInvites;
+
+        int pendingSetUps;
         boolean ready;
-        long since;
-        int failures;
+        long startedAt;
+        int failuresInARow;
         long trialAt;
 
-        /** The one trial in flight while closed, and how many in a row had no answer. */
+        /** The one trial in flight while the exchange is closed, or null. */
         Invite trial;
 
-        int trials;
-        long sentAt = -NEVER / 2;
-        long holdUntil;
-        double window = WINDOW_FIRST;
-        long cutAt;
-        final Ring quick = new Ring(PLACE_SPAN, PLACE_BUCKETS);
+        int failedTrials;
+        long lastSentAt = -NEVER / 2;
 
-        /**
-         * INVITEs out in the order sent; how many a quick answer overtook, and when that one was
-         * sent.
-         */
-        final ArrayDeque<Invite> out = new ArrayDeque<>();
+        /** The end of the wait that an overload reply requested. */
+        long overloadedUntil;
+
+        double window = INITIAL_WINDOW;
+        long windowCutAt;
+        final SlidingWindowSum quickAnswers =
+                new SlidingWindowSum(QUICK_ANSWER_WINDOW_MICROS, QUICK_ANSWER_BUCKETS);
+
+        /** INVITEs to it in the order sent, without those known to be overtaken. */
+        final ArrayDeque<Invite> sentInvites = new ArrayDeque<>();
+
+        /** Pending INVITEs that a later one, answered quickly, overtook. */
+        int overtakenInvites;
+
+        /** When the newest INVITE with a quick answer was sent. */
+        long latestQuickSentAt;
 
-        int overtaken;
-        long quickSentAt;
         boolean slow;
 
-        /** A slow processor needs no sessions of others in transit, and there are many tandems. */
+        /**
+         * Until then it is no tandem: a slow processor needs no sessions in transit, and there are
+         * many tandems.
+         */
         long noTandemUntil;
 
-        Far(long id, int number, Group group, Ring sends) {
+        RemoteExchange(long id, int number, Group group, SlidingWindowSum recentInvites) {
             this.id = id;
             this.number = number;
             this.group = group;
-            this.sends = sends;
+            this.recentInvites = recentInvites;
         }
     }
 
     private static final class Invite {
-        final Far far;
+        final RemoteExchange exchange;
         final long sentAt;
 
-        /** Whether its set-up is over, by an answer or without one. */
+        /** Whether its set-up is over, with or without an answer. */
         boolean ended;
 
         boolean overdue;
         boolean overtaken;
 
-        Invite(Far far, long sentAt) {
-            this.far = far;
+        Invite(RemoteExchange exchange, long sentAt) {
+            this.exchange = exchange;
             this.sentAt = sentAt;
         }
     }
 
-    /**
-     * What is remembered of a number called: its caller's first try, and until when its lines seem
-     * busy.
-     */
-    private static final class Called {
-        long first = -NEVER / 2;
-        long gap;
-        long busyUntil;
-        long touched;
+    /** What is remembered of a called number. */
+    private static final class CalledNumber {
+        /** The first try of its caller. */
+        long firstTryAt = -NEVER / 2;
 
-        /** Until when a caller was asked to stay away, and how many came before. */
-        long awayUntil;
+        long busyLinesGap;
+        long busyLinesUntil;
+        long lastUsedAt;
 
-        int early;
+        /** The end of the retry-after delay that a caller was given. */
+        long retryAt;
+
+        /** Calls that arrived before {@link #retryAt}. */
+        int earlyCalls;
     }
 
-    /** A session in hand, until nothing more can come for it. */
-    private static final class Held {
+    /** A session between its arrival and its last event. */
+    private static final class PendingSession {
         final Session session;
-        final int kind;
+        final int classIndex;
         Invite invite;
-        int sent;
-        boolean lost;
-        long notBefore;
-        final List<Far> tried = new ArrayList<>();
+        int invitesSent;
+
+        /** Whether the last INVITE's answer was probably lost, so that the same route is tried. */
+        boolean answerLost;
+
+        long sendNotBefore;
+        final List<RemoteExchange> tried = new ArrayList<>();
 
-        Held(Session session, int kind) {
+        PendingSession(Session session, int classIndex) {
             this.session = session;
-            this.kind = kind;
+            this.classIndex = classIndex;
         }
     }
 
-    private enum Test {
+    private enum TestResult {
         PASS,
-        FULL,
-        KEPT_BACK
+        GROUP_FULL,
+        REFUSE
     }
 
-    public Choice(Settings settings, RandomGenerator chance) {
-        this(settings, chance, new Planner(settings));
+    /** Creates a router that computes its targets itself. */
+    public Choice(Settings settings, RandomGenerator random) {
+        this(settings, random, new Planner(settings));
     }
 
-    /** With targets from elsewhere: a planner of its own that may be late, restart or be gone. */
-    public Choice(Settings settings, RandomGenerator chance, Targets targets) {
-        this.chance = chance;
+    /**
+     * Creates a router with another source of targets, such as a separate planner, which may be
+     * late, restart or be gone.
+     */
+    public Choice(Settings settings, RandomGenerator random, Targets targets) {
+        this.random = random;
         this.targets = targets;
-        ownNumber = settings.ownNumber();
+        localNumber = settings.ownNumber();
         routers = settings.routers();
-        pools = settings.pools();
-        inviteLimit = settings.inviteLimit();
-        comeBack = settings.comeBack() ? settings.longestComeBack() : 0;
+        usesPools = settings.pools();
+        maxInvites = settings.inviteLimit();
+        maxRetryAfter = settings.comeBack() ? settings.longestComeBack() : 0;
         releaseWait = settings.releaseWait();
-        fallWindow = settings.fallWindow();
-        warmUp = settings.warmUp();
-        coldBudget = COLD_SHARE * settings.fallMultiple() * settings.coldFrom() * fallWindow / 1e6;
+        overloadWindow = settings.fallWindow();
+        warmUpTime = settings.warmUp();
+        coldBudget =
+                COLD_BUDGET_FACTOR
+                        * settings.fallMultiple()
+                        * settings.coldFrom()
+                        * overloadWindow
+                        / 1e6;
         subscribes = settings.subscribe();
         subscribeAt = subscribes ? 0 : NEVER;
-        peers = settings.peers() && !pools;
-        // All tell all: at a fixed gap the work of listening would grow with the square of the
-        // fleet.
-        tellEvery = TELL_EVERY * Math.max(1, routers / NEWS_A_SECOND);
-        marks = settings.redialsMarked();
-        List<Settings.Service> given = settings.services();
-        int dearest = Planner.order(given)[0];
-        services = new Service[2 * given.size()];
-        int most = 1;
-        for (int i = 0; i < services.length; i++) {
-            Settings.Service it = given.get(i / 2);
-            services[i] =
-                    new Service(
-                            it.target(),
-                            it.width(),
-                            it.hold(),
-                            it.repeatable(),
-                            i == dearest && given.size() > 1 ? PRESS_HIGH : PRESS_LOW,
-                            it.pools());
-            most = Math.max(most, it.width());
+        advertises = settings.peers() && !usesPools;
+        // Each router sends to all others: at a fixed interval the work of receiving would grow
+        // with the square of the fleet.
+        advertisementInterval =
+                ADVERTISEMENT_INTERVAL_MICROS
+                        * Math.max(1, routers / MAX_ADVERTISEMENTS_PER_SECOND);
+        redialsMarked = settings.redialsMarked();
+        List<Settings.Service> services = settings.services();
+        int mostValuable = Planner.classesByValuePerCircuit(services)[0];
+        classes = new CallClass[2 * services.size()];
+        int mostCircuits = 1;
+        for (int i = 0; i < classes.length; i++) {
+            Settings.Service service = services.get(i / 2);
+            classes[i] =
+                    new CallClass(
+                            service.target(),
+                            service.width(),
+                            service.hold(),
+                            service.repeatable(),
+                            i == mostValuable && services.size() > 1
+                                    ? HIGH_VALUE_WINDOW_SHARE
+                                    : LOW_VALUE_WINDOW_SHARE,
+                            service.pools());
+            mostCircuits = Math.max(mostCircuits, service.width());
         }
-        widest = most;
-        overdue = given.stream().mapToLong(Settings.Service::target).min().orElse(0);
+        widest = mostCircuits;
+        shortestTarget = services.stream().mapToLong(Settings.Service::target).min().orElse(0);
     }
 
-    // The class of a session: odd when it can only stand late. Where callers mark redials the mark
-    // is asked
-    // first, as many may call one number; the memory of numbers tells when its caller first came.
-    private int kind(long now, Session session) {
-        Called known = session.transit() ? null : numbers.get(session.number());
-        known = known != null && now - known.first > MEMORY ? null : known;
-        boolean tried = marks ? session.redialled() && !session.cut() : known != null;
-        long target = services[2 * session.service()].target;
-        boolean inTime = known != null && now <= known.first + LATE_SHARE * target;
+    /**
+     * Returns the class of a session: odd if its call can only be established late. Where callers
+     * mark redials, the mark decides first, as many callers may call one number; the remembered
+     * number tells when its caller tried first.
+     */
+    private int classOf(long now, Session session) {
+        CalledNumber called = session.transit() ? null : calledNumbers.get(session.number());
+        called =
+                called != null && now - called.firstTryAt > CALLED_NUMBER_MEMORY_MICROS
+                        ? null
+                        : called;
+        boolean tried = redialsMarked ? session.redialled() && !session.cut() : called != null;
+        long target = classes[2 * session.service()].postDialTarget;
+        boolean inTime = called != null && now <= called.firstTryAt + LATE_TRY_SHARE * target;
         return 2 * session.service() + (tried && !inTime ? 1 : 0);
     }
 
     /**
-     * What is known of a number, made if new; the one touched longest ago is dropped once it is
-     * old.
+     * Returns the record of the called number, a new one if there is none, and drops records that
+     * have not been used for longer than the memory.
      */
-    private Called touch(long now, Session session) {
-        Called known = numbers.remove(session.number());
-        known = known == null ? new Called() : known;
-        if (now - known.first > MEMORY) {
-            known.first = session.arrived();
+    private CalledNumber useCalledNumber(long now, Session session) {
+        CalledNumber called = calledNumbers.remove(session.number());
+        called = called == null ? new CalledNumber() : called;
+        if (now - called.firstTryAt > CALLED_NUMBER_MEMORY_MICROS) {
+            called.firstTryAt = session.arrived();
         }
-        known.touched = now;
-        numbers.put(session.number(), known);
-        Iterator<Called> oldest = numbers.values().iterator();
-        while (now - oldest.next().touched > MEMORY) {
-            oldest.remove();
+        called.lastUsedAt = now;
+        calledNumbers.put(session.number(), called);
+        Iterator<CalledNumber> leastRecentlyUsed = calledNumbers.values().iterator();
+        while (now - leastRecentlyUsed.next().lastUsedAt > CALLED_NUMBER_MEMORY_MICROS) {
+            leastRecentlyUsed.remove();
         }
-        return known;
+        return called;
     }
 
     /**
-     * A number whose lines are all busy is left alone for a growing while: each ask is work for
-     * all.
+     * Suspends INVITEs to a number whose lines are all busy, for a growing time: each INVITE is
+     * work for several processors.
      */
-    private void linesBusy(long now, Session session) {
+    private void recordBusyLines(long now, Session session) {
         if (session.number() != 0) {
-            Called known = touch(now, session);
-            known.gap = Math.min(LINES_GAP_MOST, Math.max(LINES_GAP, 2 * known.gap));
-            known.busyUntil = now + known.gap;
+            CalledNumber called = useCalledNumber(now, session);
+            called.busyLinesGap =
+                    Math.min(
+                            MAX_BUSY_LINES_GAP_MICROS,
+                            Math.max(FIRST_BUSY_LINES_GAP_MICROS, 2 * called.busyLinesGap));
+            called.busyLinesUntil = now + called.busyLinesGap;
         }
     }
 
     /**
-     * Whether callers of a number were asked to stay away and keep coming: refused again, they are
-     * no load.
+     * Counts a call that arrives before the retry-after delay of its number has passed, and returns
+     * whether there were too many: such calls are refused again and are not counted as load.
      */
-    private boolean early(long now, Session session) {
-        Called known = session.transit() ? null : numbers.get(session.number());
-        return known != null && now < known.awayUntil && ++known.early > EARLY;
+    private boolean isTooEarly(long now, Session session) {
+        CalledNumber called = session.transit() ? null : calledNumbers.get(session.number());
+        return called != null && now < called.retryAt && ++called.earlyCalls > MAX_EARLY_CALLS;
     }
 
-    private boolean linesBusyNow(long now, Session session) {
-        Called known = numbers.get(session.number());
-        return known != null && now < known.busyUntil;
+    private boolean hasBusyLines(long now, Session session) {
+        CalledNumber called = calledNumbers.get(session.number());
+        return called != null && now < called.busyLinesUntil;
     }
 
-    // ---- the three questions
+    // ---- decisions
 
     @Override
     public Answer route(long now, Session session) {
-        begin(now);
-        Held it = held.get(session.id());
-        if (it == null && early(now, session)) {
-            return Answer.refuse(numbers.get(session.number()).awayUntil - now);
+        recordStart(now);
+        PendingSession pending = pendingSessions.get(session.id());
+        if (pending == null && isTooEarly(now, session)) {
+            return Answer.refuse(calledNumbers.get(session.number()).retryAt - now);
         }
-        if (it == null) {
-            it = new Held(session, kind(now, session));
-            held.put(session.id(), it);
+        if (pending == null) {
+            pending = new PendingSession(session, classOf(now, session));
+            pendingSessions.put(session.id(), pending);
             if (!session.transit()) {
-                ownLoad.add(now, 1);
-                advised(session);
+                localLoad.add(now, 1);
+                recordAdvice(session);
             }
-            Far far = ready(session.farEnd());
-            if (far != null) {
-                far.group.loads[it.kind].calls.add(now, 1);
+            RemoteExchange direct = readyExchange(session.farEnd());
+            if (direct != null) {
+                direct.group.classStates[pending.classIndex].offeredCalls.add(now, 1);
             }
         }
-        return now < it.notBefore ? Answer.later(it.notBefore) : choose(now, it);
+        return now < pending.sendNotBefore
+                ? Answer.later(pending.sendNotBefore)
+                : chooseRoute(now, pending);
     }
 
     @Override
     public Answer after(
             long now,
             long session,
-            Ending ending,
+            Ending outcome,
             Cause cause,
-            long exchange,
+            long exchangeId,
             long took,
-            long namedWait,
+            long retryAfter,
             boolean over) {
-        begin(now);
-        Held it = held.get(session);
-        if (it == null || it.invite == null) {
+        recordStart(now);
+        PendingSession pending = pendingSessions.get(session);
+        if (pending == null || pending.invite == null) {
             return over ? Answer.NOTHING : Answer.FAIL;
         }
-        Far far = it.invite.far;
-        settled(now, it, ending, cause, took, namedWait);
-        if (ending == Ending.STANDS) {
+        RemoteExchange exchange = pending.invite.exchange;
+        recordOutcome(now, pending, outcome, cause, took, retryAfter);
+        if (outcome == Ending.STANDS) {
             return Answer.NOTHING;
         }
-        far.group.loads[it.kind].standing--;
-        it.invite = null;
+        exchange.group.classStates[pending.classIndex].activeCalls--;
+        pending.invite = null;
         if (over) {
-            held.remove(session);
+            pendingSessions.remove(session);
             return Answer.NOTHING;
         }
-        return again(now, it, far, ending, cause);
+        return retry(now, pending, exchange, outcome, cause);
     }
 
     @Override
     public Waiting waiting(long now) {
-        begin(now);
+        recordStart(now);
         boolean subscribe = now >= subscribeAt;
         if (subscribe) {
             subscribeAt = NEVER;
         }
-        List<byte[]> tell = List.of();
-        if (peers && now >= tellAt) {
-            byte[] news = waysOn(now);
-            tellAt = now + tellEvery;
-            if (!Arrays.equals(news, told) || now >= tellAgainAt) {
-                tell = List.of(news);
-                told = news;
-                tellAgainAt = now + NEWS_FRESH / 2 * tellEvery;
+        List<byte[]> broadcasts = List.of();
+        if (advertises && now >= advertiseAt) {
+            byte[] advertisement = onwardRoutes(now);
+            advertiseAt = now + advertisementInterval;
+            if (!Arrays.equals(advertisement, lastAdvertisement) || now >= repeatAdvertisementAt) {
+                broadcasts = List.of(advertisement);
+                lastAdvertisement = advertisement;
+                repeatAdvertisementAt =
+                        now + ADVERTISEMENT_LIFETIME_INTERVALS / 2 * advertisementInterval;
             }
         }
-        long until = Math.min(subscribeAt, peers ? tellAt : NEVER);
-        return new Waiting(until == NEVER ? 0 : until, List.of(), tell, subscribe);
+        long until = Math.min(subscribeAt, advertises ? advertiseAt : NEVER);
+        return new Waiting(until == NEVER ? 0 : until, List.of(), broadcasts, subscribe);
     }
 
-    // ---- the facts
+    // ---- facts
 
     @Override
-    public void roster(long now, boolean whole, List<Exchange> list) {
-        begin(now);
-        exchanges.values().forEach(far -> far.ready &= !whole);
-        for (Exchange each : list) {
-            Group group = groups.computeIfAbsent(each.number(), n -> new Group(n, services));
-            Far far =
+    public void roster(long now, boolean complete, List<Exchange> list) {
+        recordStart(now);
+        exchanges.values().forEach(exchange -> exchange.ready &= !complete);
+        for (Exchange listed : list) {
+            Group group = groups.computeIfAbsent(listed.number(), n -> new Group(n, classes));
+            RemoteExchange exchange =
                     exchanges.computeIfAbsent(
-                            each.id(),
+                            listed.id(),
                             id ->
-                                    new Far(
+                                    new RemoteExchange(
                                             id,
-                                            each.number(),
+                                            listed.number(),
                                             group,
-                                            new Ring(fallWindow * 9 / 8, 9)));
-            far.ready = each.phase() == READY;
-            if (far.since != each.since()) {
-                far.since = each.since();
-                far.failures = 0;
-                far.window = FRESH_WINDOW;
+                                            new SlidingWindowSum(overloadWindow * 9 / 8, 9)));
+            exchange.ready = listed.phase() == READY;
+            if (exchange.startedAt != listed.since()) {
+                exchange.startedAt = listed.since();
+                exchange.failuresInARow = 0;
+                exchange.window = INITIAL_COLD_WINDOW;
             }
         }
-        // Exchanges are replaced under new ids all day: those that take nothing more are not kept.
-        exchanges.values().removeIf(far -> !far.ready && far.settingUp == 0);
-        groups.values().forEach(group -> group.serving = null);
-        for (Far far : exchanges.values()) {
-            Far other = far.group.serving;
-            if (far.ready && (other == null || far.since > other.since)) {
-                far.group.serving = far;
+        // Exchanges are replaced under new ids all day: those that are not ready and have no
+        // pending set-up are removed, so that memory does not grow with the replacements.
+        exchanges.values().removeIf(exchange -> !exchange.ready && exchange.pendingSetUps == 0);
+        groups.values().forEach(group -> group.servedBy = null);
+        for (RemoteExchange exchange : exchanges.values()) {
+            RemoteExchange other = exchange.group.servedBy;
+            if (exchange.ready && (other == null || exchange.startedAt > other.startedAt)) {
+                exchange.group.servedBy = exchange;
             }
         }
     }
 
     @Override
     public void rosterLost(long now) {
-        // A directory that fails is pressed: all routers asking again at once would keep it so.
-        subscribeAt = subscribes ? now + SUBSCRIBE_AGAIN + chance.nextLong(SUBSCRIBE_AGAIN) : NEVER;
+        // A failing directory is overloaded: all routers querying again at once would keep it so.
+        subscribeAt =
+                subscribes
+                        ? now + RESUBSCRIBE_DELAY_MICROS + random.nextLong(RESUBSCRIBE_DELAY_MICROS)
+                        : NEVER;
     }
 
     @Override
-    public void circuits(long now, long exchange, int free, int size) {
-        Far far = exchanges.get(exchange);
-        if (far != null) {
-            far.group.free = free;
-            far.group.size = size;
+    public void circuits(long now, long exchangeId, int free, int size) {
+        RemoteExchange exchange = exchanges.get(exchangeId);
+        if (exchange != null) {
+            exchange.group.free = free;
+            exchange.group.size = size;
         }
     }
 
     @Override
-    public void report(long now, long exchange, boolean passed, long took, float[] columns) {
-        begin(now);
+    public void report(long now, long exchangeId, boolean passed, long took, float[] columns) {
+        recordStart(now);
     }
 
     @Override
     public void peer(long now, int rank, byte[] body) {
-        begin(now);
+        recordStart(now);
         Group tandem = body.length < 2 ? null : groups.get(body[0] & 0xff | (body[1] & 0xff) << 8);
         if (tandem == null) {
             return;
         }
-        // News says more than the last turning back, either way; a lost message ends with
-        // newsUntil.
-        tandem.turnedBack.clear();
-        tandem.news = body;
-        tandem.newsUntil = now + NEWS_FRESH * tellEvery;
+        // An advertisement says more than the last crankback, whichever way they differ, and
+        // replaces it. It expires, as the next message may be lost.
+        tandem.crankbackUntil.clear();
+        tandem.advertisement = body;
+        tandem.advertisementValidUntil =
+                now + ADVERTISEMENT_LIFETIME_INTERVALS * advertisementInterval;
     }
 
-    /** A centre's advice is old, but it had room on both legs: the tandem leads there. */
-    private void advised(Session session) {
+    /**
+     * Learns from a routing centre's advice, which is old, but was given as both groups had room:
+     * the tandem has a group to the far end.
+     */
+    private void recordAdvice(Session session) {
         Group tandem = groups.get(session.advice());
         if (tandem != null) {
-            tandem.leadsTo.add(session.farEnd());
+            tandem.reachedFarEnds.add(session.farEnd());
         }
     }
 
     @Override
     public void ended(long now, long session) {
-        Held it = held.get(session);
-        if (it != null && it.invite == null) {
-            held.remove(session);
+        PendingSession pending = pendingSessions.get(session);
+        if (pending != null && pending.invite == null) {
+            pendingSessions.remove(session);
         }
     }
 
     /**
-     * Own number in two bytes, then a bit a number: whether a session in transit there would go on.
+     * Returns the advertisement of onward routes: the local exchange's number in two bytes, then a
+     * bit for each exchange number, set if a session in transit to that number would be sent on.
      */
-    private byte[] waysOn(long now) {
-        byte[] out =
-                new byte[Math.min(NEWS_BYTES, groups.isEmpty() ? 2 : 3 + groups.lastKey() / 8)];
-        out[0] = (byte) ownNumber;
-        out[1] = (byte) (ownNumber >> 8);
-        // A pressed processor turns transit back only after two have worked on it: it tells of no
-        // ways.
-        if (inFlight(now) >= ownWindow * PRESS_TOLD * place(now, ownQuick, OWN_MOST)) {
-            return out;
+    private byte[] onwardRoutes(long now) {
+        byte[] advertisement =
+                new byte
+                        [Math.min(
+                                MAX_ADVERTISEMENT_BYTES,
+                                groups.isEmpty() ? 2 : 3 + groups.lastKey() / 8)];
+        advertisement[0] = (byte) localNumber;
+        advertisement[1] = (byte) (localNumber >> 8);
+        // A loaded processor would refuse transit only after two processors have worked on it, so
+        // it advertises no routes.
+        if (queuedInvites(now)
+                >= commonWindow
+                        * ADVERTISING_UTILIZATION_LIMIT
+                        * windowScale(now, quickAnswers, MAX_COMMON_WINDOW)) {
+            return advertisement;
         }
-        boolean quiet = slowShare < FEW && !lossy() && inFlight(now) < PRESS_QUIET * ownWindow;
+        boolean quiet =
+                slowShare < FEW_SLOW
+                        && !losesAnswers()
+                        && queuedInvites(now) < QUIET_UTILIZATION * commonWindow;
         groups.forEach(
                 (number, group) -> {
-                    if (2 + number / 8 < out.length
-                            && group.serving != null
-                            && roomy(group)
+                    if (2 + number / 8 < advertisement.length
+                            && group.servedBy != null
+                            && hasFreeRoom(group)
                             && group.free
                                     >= (quiet
                                             ? Math.min(
-                                                    TOLD_WIDTHS * widest, TOLD_SHARE * group.size)
-                                            : TOLD_WIDTHS * widest)) {
-                        out[2 + number / 8] |= (byte) (1 << number % 8);
+                                                    ADVERTISED_WIDEST_CALLS * widest,
+                                                    ADVERTISED_FREE_SHARE * group.size)
+                                            : ADVERTISED_WIDEST_CALLS * widest)) {
+                        advertisement[2 + number / 8] |= (byte) (1 << number % 8);
                     }
                 });
-        return out;
+        return advertisement;
     }
 
-    private static boolean bit(byte[] news, int number) {
+    private static boolean isAdvertised(byte[] advertisement, int number) {
         return number >= 0
-                && 2 + number / 8 < news.length
-                && (news[2 + number / 8] & 1 << number % 8) != 0;
+                && 2 + number / 8 < advertisement.length
+                && (advertisement[2 + number / 8] & 1 << number % 8) != 0;
     }
 
-    private void begin(long now) {
-        if (started < 0) {
-            started = now;
+    private void recordStart(long now) {
+        if (startedAt < 0) {
+            startedAt = now;
         }
     }
 
     // ---- routes
 
-    private Answer choose(long now, Held it) {
-        Session session = it.session;
-        Far direct = ready(session.farEnd());
-        if (it.sent >= inviteLimit
-                || session.limit() - now < TOO_LATE
-                || linesBusyNow(now, session)) {
-            return refuse(now, it, direct);
+    private Answer chooseRoute(long now, PendingSession pending) {
+        Session session = pending.session;
+        RemoteExchange direct = readyExchange(session.farEnd());
+        if (pending.invitesSent >= maxInvites
+                || session.limit() - now < MIN_TIME_LEFT_MICROS
+                || hasBusyLines(now, session)) {
+            return refuse(now, pending, direct);
         }
-        if (direct == null || !open(now, direct, services[it.kind].press)) {
-            // In a mesh every way ends at the far end; another pool can serve what the first choice
-            // cannot.
-            return pools ? overflow(now, it, direct) : refuse(now, it, direct);
+        if (direct == null || !isOpen(now, direct, classes[pending.classIndex].windowShare)) {
+            // In a mesh every route ends at the far end; with pools, another pool can serve what
+            // the first choice cannot.
+            return usesPools ? overflow(now, pending, direct) : refuse(now, pending, direct);
         }
-        if (session.transit() && direct.group.free < FREE_LEG * direct.group.size) {
-            return refuse(now, it, direct);
+        if (session.transit() && direct.group.free < TANDEM_FREE_SHARE * direct.group.size) {
+            return refuse(now, pending, direct);
         }
-        if (!session.transit() && it.sent > 0 && !it.lost) {
-            return overflow(now, it, direct);
+        if (!session.transit() && pending.invitesSent > 0 && !pending.answerLost) {
+            return overflow(now, pending, direct);
         }
-        return switch (test(now, direct.group, it)) {
-            case PASS -> send(now, it, direct);
-            case KEPT_BACK -> refuse(now, it, direct);
-            case FULL -> session.transit() ? refuse(now, it, direct) : overflow(now, it, direct);
+        return switch (test(now, direct.group, pending)) {
+            case PASS -> send(now, pending, direct);
+            case REFUSE -> refuse(now, pending, direct);
+            case GROUP_FULL ->
+                    session.transit()
+                            ? refuse(now, pending, direct)
+                            : overflow(now, pending, direct);
         };
     }
 
     /**
-     * A session whose direct group is full tries the tandem whose first leg passes with the least
-     * slope.
+     * Sends a session whose direct group is full to the tandem whose first group passes the test
+     * with the least slope of the penalty.
      */
-    private Answer overflow(long now, Held it, Far direct) {
-        Session session = it.session;
-        Service service = services[it.kind];
-        Far best = null;
-        double least = Double.POSITIVE_INFINITY;
-        boolean knownOnly = unknownLead < UNKNOWN_LEAD && wayKnown(session.farEnd());
+    private Answer overflow(long now, PendingSession pending, RemoteExchange direct) {
+        Session session = pending.session;
+        CallClass callClass = classes[pending.classIndex];
+        RemoteExchange best = null;
+        double leastSlope = Double.POSITIVE_INFINITY;
+        boolean knownOnly =
+                unknownTandemSuccess < UNKNOWN_TANDEM_THRESHOLD && hasKnownTandem(session.farEnd());
         for (Group group : groups.values()) {
-            Far far = direct != null && group == direct.group ? null : group.serving;
-            if (far == null
-                    || far.number == ownNumber
-                    || it.tried.contains(far)
-                    || !allowed(service, far)
-                    || knownOnly && !leads(group, session.farEnd())
-                    || closedBeyond(now, group, session.farEnd())
-                    || now < far.noTandemUntil
-                    || !open(now, far, PRESS_TANDEM)
-                    || group.free < FREE_LEG * group.size
-                    || test(now, group, it) != Test.PASS) {
+            RemoteExchange tandem = direct != null && group == direct.group ? null : group.servedBy;
+            if (tandem == null
+                    || tandem.number == localNumber
+                    || pending.tried.contains(tandem)
+                    || !isAllowed(callClass, tandem)
+                    || knownOnly && !isKnownTandem(group, session.farEnd())
+                    || isOnwardRouteClosed(now, group, session.farEnd())
+                    || now < tandem.noTandemUntil
+                    || !isOpen(now, tandem, TANDEM_WINDOW_SHARE)
+                    || group.free < TANDEM_FREE_SHARE * group.size
+                    || test(now, group, pending) != TestResult.PASS) {
                 continue;
             }
-            double slope = slope(group, it);
-            if (best == null || betterLeg(slope, group, least, best.group)) {
-                least = slope;
-                best = far;
+            double slope = logSlope(group, pending);
+            if (best == null || isBetterTandem(slope, group, leastSlope, best.group)) {
+                leastSlope = slope;
+                best = tandem;
             }
         }
         if (best == null) {
-            return refuse(now, it, direct);
+            return refuse(now, pending, direct);
         }
-        best.group.loads[it.kind].calls.add(now, 1);
-        return send(now, it, best);
+        best.group.classStates[pending.classIndex].offeredCalls.add(now, 1);
+        return send(now, pending, best);
     }
 
-    // A slope tells of the first leg only; a tandem without a way on loads three processors for
-    // nothing.
-    // While few unknown ones lead on, they are asked only where none is known, also if the known
-    // are closed.
-    private boolean wayKnown(int farEnd) {
+    /**
+     * Whether any tandem is known to reach the far end. The slope covers the first group only, and
+     * a tandem without an onward route loads three processors for nothing. So while few unknown
+     * tandems succeed, they are used only for far ends without a known one, even if all known ones
+     * are closed.
+     */
+    private boolean hasKnownTandem(int farEnd) {
         for (Group group : groups.values()) {
-            if (leads(group, farEnd)) {
+            if (isKnownTandem(group, farEnd)) {
                 return true;
             }
         }
         return false;
     }
 
-    private static boolean leads(Group tandem, int farEnd) {
-        return bit(tandem.news, farEnd) || tandem.leadsTo.contains(farEnd);
+    private static boolean isKnownTandem(Group tandem, int farEnd) {
+        return isAdvertised(tandem.advertisement, farEnd) || tandem.reachedFarEnds.contains(farEnd);
     }
 
-    private static boolean closedBeyond(long now, Group tandem, int farEnd) {
-        return tandem.turnedBack.getOrDefault(farEnd, 0L) > now
-                || now < tandem.newsUntil && !bit(tandem.news, farEnd);
+    private static boolean isOnwardRouteClosed(long now, Group tandem, int farEnd) {
+        return tandem.crankbackUntil.getOrDefault(farEnd, 0L) > now
+                || now < tandem.advertisementValidUntil
+                        && !isAdvertised(tandem.advertisement, farEnd);
     }
 
     /**
-     * Equal slopes, as of groups not used yet, go by circuits free: no order for all to pile up on.
+     * Compares tandems by slope, and equal ones, as of groups not used yet, by free circuits: in a
+     * fixed order all routers would load the same tandem.
      */
-    private static boolean betterLeg(double slope, Group group, double least, Group best) {
-        return slope < least || slope == least && group.free > best.free;
+    private static boolean isBetterTandem(
+            double slope, Group group, double leastSlope, Group best) {
+        return slope < leastSlope || slope == leastSlope && group.free > best.free;
     }
 
-    private boolean allowed(Service service, Far far) {
-        return !pools || service.pools.isEmpty() || service.pools.contains(far.number);
+    private boolean isAllowed(CallClass callClass, RemoteExchange exchange) {
+        return !usesPools || callClass.pools.isEmpty() || callClass.pools.contains(exchange.number);
     }
 
-    private Answer send(long now, Held it, Far far) {
-        Session session = it.session;
-        boolean trial = far.failures >= FAILURES;
-        it.invite = new Invite(far, now);
-        far.trial = trial ? it.invite : far.trial;
-        it.sent++;
-        it.tried.add(far);
-        far.group.free -= session.width();
-        far.group.loads[it.kind].standing++;
-        far.settingUp++;
-        inFlight++;
-        out.add(it.invite);
-        // Only quick answers look at it: what ended must not gather at an exchange that is slow for
-        // hours.
-        while (!far.out.isEmpty() && far.out.peek().ended) {
-            far.out.poll();
+    private Answer send(long now, PendingSession pending, RemoteExchange exchange) {
+        Session session = pending.session;
+        boolean trial = exchange.failuresInARow >= FAILURES_TO_CLOSE;
+        pending.invite = new Invite(exchange, now);
+        exchange.trial = trial ? pending.invite : exchange.trial;
+        pending.invitesSent++;
+        pending.tried.add(exchange);
+        exchange.group.free -= session.width();
+        exchange.group.classStates[pending.classIndex].activeCalls++;
+        exchange.pendingSetUps++;
+        invitesInFlight++;
+        sentInvites.add(pending.invite);
+        // Otherwise only quick answers clean up this queue: ended INVITEs would accumulate for an
+        // exchange that is slow for hours.
+        while (!exchange.sentInvites.isEmpty() && exchange.sentInvites.peek().ended) {
+            exchange.sentInvites.poll();
         }
-        far.out.add(it.invite);
-        far.sends.add(now, 1);
-        far.sentAt = now;
-        long left = session.limit() - now;
+        exchange.sentInvites.add(pending.invite);
+        exchange.recentInvites.add(now, 1);
+        exchange.lastSentAt = now;
+        long timeLeft = session.limit() - now;
         return Answer.send(
-                far.id,
-                trial ? Math.min(left, services[it.kind].target) : patience(now, it, far, left));
+                exchange.id,
+                trial
+                        ? Math.min(timeLeft, classes[pending.classIndex].postDialTarget)
+                        : inviteTimeLimit(now, pending, exchange, timeLeft));
     }
 
-    // While answers get lost, an exchange whose last answer was quick answers soon or not at all:
-    // waiting to
-    // the caller's time earns nothing and holds circuits. What is left of the target must pay for
-    // the release
-    // wait and a new set-up; a slow exchange, a session in transit or one past its target is waited
-    // for.
-    private long patience(long now, Held it, Far far, long left) {
-        long target = services[it.kind].target;
-        long wait = it.session.arrived() + target - now - releaseWait - (long) (SET_UP * target);
-        boolean resend = it.kind % 2 == 0 && services[it.kind].repeatable && it.sent < inviteLimit;
+    /**
+     * Returns how long an INVITE may take. While answers get lost, an exchange whose last answer
+     * was quick answers soon or not at all: waiting until the caller's limit gains nothing and
+     * holds circuits. What is left of the target must cover the release wait and another set-up. A
+     * slow exchange, a session in transit or one past its target is given the caller's whole time.
+     */
+    private long inviteTimeLimit(
+            long now, PendingSession pending, RemoteExchange exchange, long timeLeft) {
+        long target = classes[pending.classIndex].postDialTarget;
+        long resendWait =
+                pending.session.arrived()
+                        + target
+                        - now
+                        - releaseWait
+                        - (long) (SET_UP_SHARE * target);
+        boolean mayResend =
+                pending.classIndex % 2 == 0
+                        && classes[pending.classIndex].repeatable
+                        && pending.invitesSent < maxInvites;
         boolean early =
-                lossy() && resend && !far.slow && !it.session.transit() && wait >= SLOW * target;
-        return early ? Math.min(left, wait) : left;
+                losesAnswers()
+                        && mayResend
+                        && !exchange.slow
+                        && !pending.session.transit()
+                        && resendWait >= SLOW_SET_UP_SHARE * target;
+        return early ? Math.min(timeLeft, resendWait) : timeLeft;
     }
 
-    private boolean lossy() {
-        return lostShare > LOST_SHARE;
+    private boolean losesAnswers() {
+        return lostShare > LOSS_THRESHOLD;
     }
 
-    private Answer refuse(long now, Held it, Far direct) {
-        held.remove(it.session.id());
-        // What can only stand late may as well come late: each try is work for a pressed processor.
-        long wait = it.kind % 2 == 0 ? (long) (COME_BACK * services[it.kind].target) : comeBack;
-        if (!it.session.transit() && it.session.number() != 0) {
-            Called known = touch(now, it.session);
-            known.early = now < known.awayUntil ? known.early : 0;
-            known.awayUntil = now + Math.min(comeBack, wait);
+    private Answer refuse(long now, PendingSession pending, RemoteExchange direct) {
+        pendingSessions.remove(pending.session.id());
+        // A class that can only be established late may as well retry late: each try is work for a
+        // loaded processor.
+        long retryAfter =
+                pending.classIndex % 2 == 0
+                        ? (long) (RETRY_AFTER_SHARE * classes[pending.classIndex].postDialTarget)
+                        : maxRetryAfter;
+        if (!pending.session.transit() && pending.session.number() != 0) {
+            CalledNumber called = useCalledNumber(now, pending.session);
+            called.earlyCalls = now < called.retryAt ? called.earlyCalls : 0;
+            called.retryAt = now + Math.min(maxRetryAfter, retryAfter);
         }
         if (direct != null) {
-            direct.group.loads[it.kind].phantoms.add(now, 1);
+            direct.group.classStates[pending.classIndex].phantomCalls.add(now, 1);
         }
-        return Answer.refuse(Math.min(comeBack, wait));
+        return Answer.refuse(Math.min(maxRetryAfter, retryAfter));
     }
 
-    private Answer again(long now, Held it, Far far, Ending ending, Cause cause) {
-        Service service = services[it.kind];
-        boolean ran =
-                ending == Ending.TIMED_OUT || ending == Ending.RESET || ending == Ending.CANCELLED;
-        if (ran) {
-            it.notBefore = now + releaseWait;
-            it.lost = ending != Ending.CANCELLED && lossy();
+    /** Decides what to do with a session whose INVITE failed. */
+    private Answer retry(
+            long now,
+            PendingSession pending,
+            RemoteExchange exchange,
+            Ending outcome,
+            Cause cause) {
+        CallClass callClass = classes[pending.classIndex];
+        boolean needsRelease =
+                outcome == Ending.TIMED_OUT
+                        || outcome == Ending.RESET
+                        || outcome == Ending.CANCELLED;
+        if (needsRelease) {
+            pending.sendNotBefore = now + releaseWait;
+            pending.answerLost = outcome != Ending.CANCELLED && losesAnswers();
         }
-        if ((ran || ending == Ending.ERROR) && !service.repeatable) {
-            held.remove(it.session.id());
+        if ((needsRelease || outcome == Ending.ERROR) && !callClass.repeatable) {
+            pendingSessions.remove(pending.session.id());
             return Answer.FAIL;
         }
-        // The own processor down: each INVITE comes back at once; a session would spend them all in
-        // a moment.
-        boolean ownDown = ending == Ending.NOT_SENT && cause == Cause.PROCESSOR_FULL;
+        // While the local processor is down each INVITE fails at once, and a session would use up
+        // all of its INVITEs.
+        boolean localProcessorDown = outcome == Ending.NOT_SENT && cause == Cause.PROCESSOR_FULL;
         boolean hopeless =
-                ownDown
+                localProcessorDown
                         || cause == Cause.FULL_BEYOND
                         || cause == Cause.LINES_BUSY
-                        || far.number == it.session.farEnd()
-                                && ending != Ending.NOT_SENT
-                                && !it.lost
-                        || Math.max(now, it.notBefore) > it.session.arrived() + service.target
-                        // A redial may be left less time than the release wait: waiting would lose
-                        // its answer.
-                        || Math.max(now, it.notBefore) + TOO_LATE > it.session.limit()
-                        || it.session.transit();
+                        || exchange.number == pending.session.farEnd()
+                                && outcome != Ending.NOT_SENT
+                                && !pending.answerLost
+                        || Math.max(now, pending.sendNotBefore)
+                                > pending.session.arrived() + callClass.postDialTarget
+                        // A redial may have less time left than the release wait: after it, the
+                        // caller would no longer get an answer.
+                        || Math.max(now, pending.sendNotBefore) + MIN_TIME_LEFT_MICROS
+                                > pending.session.limit()
+                        || pending.session.transit();
         if (hopeless) {
-            return refuse(now, it, ready(it.session.farEnd()));
+            return refuse(now, pending, readyExchange(pending.session.farEnd()));
         }
-        return now < it.notBefore ? Answer.later(it.notBefore) : choose(now, it);
+        return now < pending.sendNotBefore
+                ? Answer.later(pending.sendNotBefore)
+                : chooseRoute(now, pending);
     }
 
-    // ---- the penalty test
+    // ---- the penalty rule
 
-    private Test test(long now, Group group, Held it) {
-        Session session = it.session;
+    /** Tests whether a group accepts a session: by free circuits, then by the penalty rule. */
+    private TestResult test(long now, Group group, PendingSession pending) {
+        Session session = pending.session;
         if (group.free < session.width()) {
-            return Test.FULL;
+            return TestResult.GROUP_FULL;
         }
         if (now >= group.refreshAt) {
-            refresh(now, group);
-        } else if (targets.version() != group.planned) {
-            // A plan that waits for the next refresh is five seconds old when it is first gone by.
-            follow(now, group, targets.held(now, group.number));
+            refreshTargets(now, group);
+        } else if (targets.version() != group.targetsVersion) {
+            // Applied at once: at the group's next refresh a plan would already be 5 s old.
+            applyTargets(now, group, targets.held(now, group.number));
         }
-        Load load = group.loads[it.kind];
-        boolean room =
-                session.transit() || it.kind % 2 == 1
-                        ? roomy(group)
-                        : group.free >= FREE_OWN * group.size;
-        if (room || !load.aimed) {
-            return Test.PASS;
+        ClassState state = group.classStates[pending.classIndex];
+        boolean freeRoom =
+                session.transit() || pending.classIndex % 2 == 1
+                        ? hasFreeRoom(group)
+                        : group.free >= LOCAL_FREE_ROOM_SHARE * group.size;
+        if (freeRoom || !state.hasTargets) {
+            return TestResult.PASS;
         }
-        if (load.c0 <= 0) {
-            return Test.KEPT_BACK;
+        if (state.c0 <= 0) {
+            return TestResult.REFUSE;
         }
-        if (load.c1 <= 0) {
-            return Test.PASS;
+        if (state.c1 <= 0) {
+            return TestResult.PASS;
         }
-        double bound =
-                load.phantoms.sum(now) / load.c1
-                        + Math.log(load.c0 / load.c1) / (group.beta * session.width());
-        return load.standing / load.c0 <= bound ? Test.PASS : Test.KEPT_BACK;
+        int x = state.activeCalls;
+        double y = state.phantomCalls.sum(now);
+        int b = session.width();
+        double bound = y / state.c1 + Math.log(state.c0 / state.c1) / (group.beta * b);
+        return x / state.c0 <= bound ? TestResult.PASS : TestResult.REFUSE;
     }
 
-    /** The span that rates are counted over: less than the window at the start. */
-    private long rateSpan(long now) {
-        return Math.max(1, Math.min(RATE_WINDOW, now - started));
+    /** The time over which the load was measured: less than the load window after the start. */
+    private long measuredTime(long now) {
+        return Math.max(1, Math.min(LOAD_WINDOW_MICROS, now - startedAt));
     }
 
-    private boolean roomy(Group group) {
-        return group.free >= FREE_SHARE * group.size && group.free >= FREE_WIDTHS * widest;
+    private boolean hasFreeRoom(Group group) {
+        return group.free >= FREE_ROOM_SHARE * group.size
+                && group.free >= FREE_ROOM_WIDEST_CALLS * widest;
     }
 
-    /** The logarithm of the penalty's slope along x: low where one more call weighs least. */
-    private static double slope(Group group, Held it) {
-        Load load = group.loads[it.kind];
-        if (!load.aimed || load.c0 <= 0 || group.beta <= 0) {
+    /**
+     * Returns the logarithm of the penalty's slope along x, which is log(beta*b/c0) + beta*b/c0*x:
+     * the less, the less another call adds to the penalty.
+     */
+    private static double logSlope(Group group, PendingSession pending) {
+        ClassState state = group.classStates[pending.classIndex];
+        if (!state.hasTargets || state.c0 <= 0 || group.beta <= 0) {
             return Double.NEGATIVE_INFINITY;
         }
-        double per = group.beta * it.session.width() / load.c0;
-        return Math.log(per) + per * load.standing;
+        double exponentPerCall = group.beta * pending.session.width() / state.c0;
+        return Math.log(exponentPerCall) + exponentPerCall * state.activeCalls;
     }
 
-    /** The targets anew: what was counted goes to the planner, what it makes of it is gone by. */
-    private void refresh(long now, Group group) {
-        group.refreshAt = now + REFRESH;
-        double[] calls = new double[services.length];
-        for (int i = 0; i < calls.length; i++) {
-            calls[i] = group.loads[i].calls.sum(now) / rateSpan(now) * services[i].hold;
+    /** Passes the measured load to the source of targets, and applies the targets it returns. */
+    private void refreshTargets(long now, Group group) {
+        group.refreshAt = now + TARGET_REFRESH_MICROS;
+        double[] erlangs = new double[classes.length];
+        for (int i = 0; i < erlangs.length; i++) {
+            erlangs[i] =
+                    group.classStates[i].offeredCalls.sum(now)
+                            / measuredTime(now)
+                            * classes[i].holdTime;
         }
-        follow(now, group, targets.of(now, new GroupFacts(now, group.number, group.size, calls)));
+        applyTargets(
+                now,
+                group,
+                targets.of(now, new GroupFacts(now, group.number, group.size, erlangs)));
     }
 
-    private void follow(long now, Group group, GroupPlan plan) {
-        group.planned = targets.version();
-        for (int i = 0; i < group.loads.length; i++) {
-            Load load = group.loads[i];
-            boolean first = !load.aimed;
-            load.aimed = plan != null && plan.seen()[i];
-            if (load.aimed) {
-                load.c0 = plan.c0()[i];
-                load.c1 = plan.c1()[i];
+    private void applyTargets(long now, Group group, GroupPlan plan) {
+        group.targetsVersion = targets.version();
+        for (int i = 0; i < group.classStates.length; i++) {
+            ClassState state = group.classStates[i];
+            boolean first = !state.hasTargets;
+            state.hasTargets = plan != null && plan.seen()[i];
+            if (state.hasTargets) {
+                state.c0 = plan.c0()[i];
+                state.c1 = plan.c1()[i];
                 if (first) {
-                    load.phantoms.spread(now, plan.phantoms()[i]);
+                    state.phantomCalls.spread(now, plan.phantoms()[i]);
                 }
             }
         }
         group.beta = plan == null ? 0 : plan.beta();
     }
 
-    // ---- what a processor shows
+    // ---- processors
 
-    // INVITEs in flight from here that may wait at the own processor. While few answers are slow,
-    // one out for
-    // longer than the shortest target waits for a far end that hangs or a lost answer, and fills no
-    // window.
-    private int inFlight(long now) {
-        while (!out.isEmpty() && (out.peek().ended || now - out.peek().sentAt > overdue)) {
-            Invite invite = out.poll();
+    /**
+     * Returns the INVITEs in flight from here that may wait at the local processor. While few
+     * answers are slow, one in flight for longer than the shortest target waits for a far end that
+     * hangs or for a lost answer, and does not count towards the window.
+     */
+    private int queuedInvites(long now) {
+        while (!sentInvites.isEmpty()
+                && (sentInvites.peek().ended || now - sentInvites.peek().sentAt > shortestTarget)) {
+            Invite invite = sentInvites.poll();
             invite.overdue = !invite.ended;
-            overdues += invite.overdue ? 1 : 0;
+            overdueInvites += invite.overdue ? 1 : 0;
         }
-        return slowShare < FEW ? inFlight - overdues : inFlight;
+        return slowShare < FEW_SLOW ? invitesInFlight - overdueInvites : invitesInFlight;
     }
 
-    /** Whether a processor may get one more set-up: by budget, failures, named wait and windows. */
-    private boolean open(long now, Far far, double press) {
-        if (now < far.holdUntil || !withinBudget(now, far)) {
+    /**
+     * Whether an exchange may get another set-up, by its cold budget, failures, requested wait and
+     * the windows.
+     */
+    private boolean isOpen(long now, RemoteExchange exchange, double windowShare) {
+        if (now < exchange.overloadedUntil || !isWithinColdBudget(now, exchange)) {
             return false;
         }
-        if (far.failures >= FAILURES) {
-            return now >= far.trialAt && far.trial == null;
+        if (exchange.failuresInARow >= FAILURES_TO_CLOSE) {
+            return now >= exchange.trialAt && exchange.trial == null;
         }
-        int queued = far.settingUp - far.overtaken;
-        return queued < Math.max(1, far.window * press) * place(now, far.quick, WINDOW_MOST)
-                && inFlight(now) < Math.max(1, ownWindow * press) * place(now, ownQuick, OWN_MOST);
+        int queued = exchange.pendingSetUps - exchange.overtakenInvites;
+        return queued
+                        < Math.max(1, exchange.window * windowShare)
+                                * windowScale(now, exchange.quickAnswers, MAX_WINDOW)
+                && queuedInvites(now)
+                        < Math.max(1, commonWindow * windowShare)
+                                * windowScale(now, quickAnswers, MAX_COMMON_WINDOW);
     }
 
-    // Set-ups that one place of a window stands for. The windows are cut for some dozens a second;
-    // where
-    // hundreds are answered quickly, that many more are in flight without a queue, and a short
-    // stall would
-    // fill them. The widest window holds what comes while an answer still counts as quick.
-    private double place(long now, Ring quick, double most) {
-        return Math.max(1, quick.sum(now) / PLACE_SPAN * SLOW * overdue / most);
+    /**
+     * Returns how many set-ups one place of a window stands for. The windows are sized for some
+     * dozens of set-ups a second; where hundreds are answered quickly, that many more are in flight
+     * without a queue, and a short stall would fill the windows. The widest window holds what
+     * arrives while an answer still counts as quick.
+     */
+    private double windowScale(long now, SlidingWindowSum quick, double maxWindow) {
+        return Math.max(
+                1,
+                quick.sum(now)
+                        / QUICK_ANSWER_WINDOW_MICROS
+                        * SLOW_SET_UP_SHARE
+                        * shortestTarget
+                        / maxWindow);
     }
 
-    /** Grows by one for a window of quick answers, and is cut once for a window of slow ones. */
-    private void pace(long now, Far far, Invite invite, boolean quick, boolean answered) {
-        far.slow = !quick;
-        far.noTandemUntil = quick ? 0 : now + SLOW_TANDEM_HOLD;
-        // A few hung or slow exchanges must not close the way to the others; most slow is the own
-        // processor.
-        // In a large fleet an exchange's last answer is old: the newest of all tell more, one each
-        // in turn.
-        if (answered && far != lastPaced) {
-            slowShare += SLOW_STEP * ((quick ? 0 : 1) - slowShare);
-            lastPaced = far;
+    /**
+     * Adjusts the windows: they grow by one place for a window of quick answers, and shrink once
+     * for a window of slow ones.
+     */
+    private void adjustWindows(
+            long now, RemoteExchange exchange, Invite invite, boolean quick, boolean answered) {
+        exchange.slow = !quick;
+        exchange.noTandemUntil = quick ? 0 : now + SLOW_TANDEM_HOLD_MICROS;
+        // The common window must not close because of a few hung or slow exchanges; if most are
+        // slow, the local processor is. In a large fleet an exchange's last answer is old, so the
+        // newest answers of all exchanges are used, one per exchange in turn.
+        if (answered && exchange != lastAnswering) {
+            slowShare += SLOW_WEIGHT * ((quick ? 0 : 1) - slowShare);
+            lastAnswering = exchange;
         }
         if (quick) {
-            ownQuick.add(now, 1);
-            far.quick.add(now, 1);
-            double own = ownWindow * place(now, ownQuick, OWN_MOST);
-            double all = far.window * place(now, far.quick, WINDOW_MOST);
-            ownWindow = Math.min(OWN_MOST, ownWindow + 1 / own);
-            far.window = Math.min(WINDOW_MOST, far.window + 1 / all);
+            quickAnswers.add(now, 1);
+            exchange.quickAnswers.add(now, 1);
+            double commonSize = commonWindow * windowScale(now, quickAnswers, MAX_COMMON_WINDOW);
+            double exchangeSize =
+                    exchange.window * windowScale(now, exchange.quickAnswers, MAX_WINDOW);
+            commonWindow = Math.min(MAX_COMMON_WINDOW, commonWindow + 1 / commonSize);
+            exchange.window = Math.min(MAX_WINDOW, exchange.window + 1 / exchangeSize);
             return;
         }
-        if (invite.sentAt >= ownCutAt && slowShare > MOST) {
-            ownWindow = Math.max(OWN_LEAST, ownWindow * OWN_CUT);
-            ownCutAt = now;
+        if (invite.sentAt >= commonWindowCutAt && slowShare > MOSTLY_SLOW) {
+            commonWindow = Math.max(MIN_COMMON_WINDOW, commonWindow * COMMON_WINDOW_DECREASE);
+            commonWindowCutAt = now;
         }
-        if (invite.sentAt >= far.cutAt) {
-            far.window = Math.max(1, far.window * WINDOW_CUT);
-            far.cutAt = now;
+        if (invite.sentAt >= exchange.windowCutAt) {
+            exchange.window = Math.max(1, exchange.window * WINDOW_DECREASE);
+            exchange.windowCutAt = now;
         }
     }
 
     /**
-     * A processor takes set-ups in turn: what a later one has overtaken does not wait in its queue,
-     * but for a message that was lost and is sent again. It tells nothing of the processor, and
-     * slow it fills no place.
+     * Marks the INVITEs that one with a quick answer overtook. A processor handles set-ups in
+     * order, so an overtaken INVITE does not wait in its queue, but for a lost message that is sent
+     * again. It says nothing about the processor, and once it is slow it takes no place in the
+     * window.
      */
-    private void overtake(long now, Far far, long sentAt) {
-        far.quickSentAt = Math.max(far.quickSentAt, sentAt);
-        while (!far.out.isEmpty()
-                && (far.out.peek().ended
-                        || far.out.peek().sentAt < sentAt
-                                && now - far.out.peek().sentAt > SLOW * overdue)) {
-            Invite invite = far.out.poll();
+    private void markOvertaken(long now, RemoteExchange exchange, long sentAt) {
+        exchange.latestQuickSentAt = Math.max(exchange.latestQuickSentAt, sentAt);
+        while (!exchange.sentInvites.isEmpty()
+                && (exchange.sentInvites.peek().ended
+                        || exchange.sentInvites.peek().sentAt < sentAt
+                                && now - exchange.sentInvites.peek().sentAt
+                                        > SLOW_SET_UP_SHARE * shortestTarget)) {
+            Invite invite = exchange.sentInvites.poll();
             invite.overtaken = !invite.ended;
-            far.overtaken += invite.overtaken ? 1 : 0;
+            exchange.overtakenInvites += invite.overtaken ? 1 : 0;
         }
     }
 
-    /** Rule 4: this router's part of what a fresh exchange can bear, per window. */
-    private boolean withinBudget(long now, Far far) {
-        if (far.since <= 0 || now - far.since >= warmUp) {
+    /**
+     * Whether another set-up stays within this router's share of what a cold exchange can bear in
+     * an overload window.
+     */
+    private boolean isWithinColdBudget(long now, RemoteExchange exchange) {
+        if (exchange.startedAt <= 0 || now - exchange.startedAt >= warmUpTime) {
             return true;
         }
-        double rate = ownLoad.sum(now) / rateSpan(now) * 1e6;
+        double rate = localLoad.sum(now) / measuredTime(now) * 1e6;
         double budget = coldBudget * rate / Math.max(1, routers - 1);
-        // In a large fleet one set-up each a window would be too many together: less means more
-        // windows.
+        // In a large fleet one set-up per router and window would be too many together: a budget
+        // below one means one set-up in several windows.
         return budget < 1
-                ? now - far.sentAt >= fallWindow / Math.max(LEAST_PART, budget)
-                : far.sends.sum(now) + 1 <= budget;
+                ? now - exchange.lastSentAt >= overloadWindow / Math.max(MIN_COLD_BUDGET, budget)
+                : exchange.recentInvites.sum(now) + 1 <= budget;
     }
 
-    private void settled(long now, Held it, Ending ending, Cause cause, long took, long namedWait) {
-        Far far = it.invite.far;
-        boolean wasSettingUp = !it.invite.ended;
-        boolean wasTrial = far.trial == it.invite;
-        far.trial = wasTrial ? null : far.trial;
+    /** Updates the state of the exchange, the tandem and the called number by an outcome. */
+    private void recordOutcome(
+            long now,
+            PendingSession pending,
+            Ending outcome,
+            Cause cause,
+            long took,
+            long retryAfter) {
+        RemoteExchange exchange = pending.invite.exchange;
+        boolean wasSettingUp = !pending.invite.ended;
+        boolean wasTrial = exchange.trial == pending.invite;
+        exchange.trial = wasTrial ? null : exchange.trial;
         if (wasSettingUp) {
-            it.invite.ended = true;
-            far.settingUp--;
-            far.overtaken -= it.invite.overtaken ? 1 : 0;
-            inFlight--;
-            overdues -= it.invite.overdue ? 1 : 0;
+            pending.invite.ended = true;
+            exchange.pendingSetUps--;
+            exchange.overtakenInvites -= pending.invite.overtaken ? 1 : 0;
+            invitesInFlight--;
+            overdueInvites -= pending.invite.overdue ? 1 : 0;
         }
-        if (ending == Ending.STANDS && far.number != it.session.farEnd()) {
-            learnUnknown(far.group, it.session.farEnd(), 1);
-            far.group.leadsTo.add(it.session.farEnd());
+        if (outcome == Ending.STANDS && exchange.number != pending.session.farEnd()) {
+            recordUnknownTandem(exchange.group, pending.session.farEnd(), 1);
+            exchange.group.reachedFarEnds.add(pending.session.farEnd());
         }
         boolean answered =
-                ending == Ending.STANDS || ending == Ending.BUSY || ending == Ending.ERROR;
-        Called called = numbers.get(it.session.number());
-        if (ending == Ending.STANDS && called != null) {
-            called.gap = 0;
+                outcome == Ending.STANDS || outcome == Ending.BUSY || outcome == Ending.ERROR;
+        CalledNumber called = calledNumbers.get(pending.session.number());
+        if (outcome == Ending.STANDS && called != null) {
+            called.busyLinesGap = 0;
         }
         if (answered && wasSettingUp) {
-            lostShare -= LOST_STEP * lostShare;
-            far.failures = 0;
-            far.trials = 0;
-            // A busy reply is quick and says nothing good: a full processor must not widen its own
-            // window.
-            if (ending == Ending.STANDS || cause == Cause.PROCESSOR_FULL) {
-                boolean quick = ending == Ending.STANDS && took < SLOW * services[it.kind].target;
+            lostShare -= LOSS_WEIGHT * lostShare;
+            exchange.failuresInARow = 0;
+            exchange.failedTrials = 0;
+            // A busy reply is quick, but no sign of a quick processor: an overloaded one must not
+            // widen its own window.
+            if (outcome == Ending.STANDS || cause == Cause.PROCESSOR_FULL) {
+                boolean quick =
+                        outcome == Ending.STANDS
+                                && took
+                                        < SLOW_SET_UP_SHARE
+                                                * classes[pending.classIndex].postDialTarget;
                 boolean queued =
-                        far.number != it.session.farEnd() || it.invite.sentAt >= far.quickSentAt;
+                        exchange.number != pending.session.farEnd()
+                                || pending.invite.sentAt >= exchange.latestQuickSentAt;
                 if (quick) {
-                    overtake(now, far, it.invite.sentAt);
+                    markOvertaken(now, exchange, pending.invite.sentAt);
                 }
-                if (quick || queued || ending == Ending.BUSY) {
-                    pace(now, far, it.invite, quick, true);
+                if (quick || queued || outcome == Ending.BUSY) {
+                    adjustWindows(now, exchange, pending.invite, quick, true);
                 }
             }
         } else if (wasSettingUp
-                && (ending == Ending.TIMED_OUT
-                        || ending == Ending.UNREACHABLE
-                        || ending == Ending.RESET)) {
-            // One that just answered does not hang: a second failure in a row tells nothing of
-            // losses.
-            lostShare += far.failures == 0 && !far.slow ? LOST_STEP * (1 - lostShare) : 0;
-            far.failures++;
-            // While answers get lost, narrowing at each would shut the few ways of a small mesh
-            // that is well.
-            if (far.slow || !lossy()) {
-                pace(now, far, it.invite, false, false);
+                && (outcome == Ending.TIMED_OUT
+                        || outcome == Ending.UNREACHABLE
+                        || outcome == Ending.RESET)) {
+            // An exchange that has just answered does not hang, so its first failure counts as a
+            // lost answer; a second one in a row says nothing about losses.
+            lostShare +=
+                    exchange.failuresInARow == 0 && !exchange.slow
+                            ? LOSS_WEIGHT * (1 - lostShare)
+                            : 0;
+            exchange.failuresInARow++;
+            // While answers get lost, shrinking the window at each would close the few routes of a
+            // small mesh that works.
+            if (exchange.slow || !losesAnswers()) {
+                adjustWindows(now, exchange, pending.invite, false, false);
             }
-            far.trials += wasTrial ? 1 : 0;
-            // INVITEs older than the closing are no trials: they must not put the next one off nor
-            // lengthen
-            // its wait, or lost answers, some out for seconds, keep the only way to a far end shut.
-            if (wasTrial || far.failures == FAILURES) {
-                far.trialAt = now + Math.min(TRIAL_LONGEST, TRIAL_FIRST << Math.min(8, far.trials));
+            exchange.failedTrials += wasTrial ? 1 : 0;
+            // INVITEs sent before the exchange was closed are no trials. They must not postpone the
+            // next trial or lengthen its wait, or lost answers, some in flight for seconds, would
+            // keep the only route to a far end closed.
+            if (wasTrial || exchange.failuresInARow == FAILURES_TO_CLOSE) {
+                exchange.trialAt =
+                        now
+                                + Math.min(
+                                        MAX_TRIAL_DELAY_MICROS,
+                                        FIRST_TRIAL_DELAY_MICROS
+                                                << Math.min(8, exchange.failedTrials));
             }
         }
-        if (cause == Cause.PROCESSOR_FULL && ending == Ending.BUSY) {
-            far.holdUntil = now + (namedWait > 0 ? namedWait : FULL_HOLD);
+        if (cause == Cause.PROCESSOR_FULL && outcome == Ending.BUSY) {
+            exchange.overloadedUntil =
+                    now + (retryAfter > 0 ? retryAfter : DEFAULT_OVERLOAD_WAIT_MICROS);
         }
         if (cause == Cause.LINES_BUSY) {
-            linesBusy(now, it.session);
+            recordBusyLines(now, pending.session);
         }
         if (cause == Cause.TURNED_BACK || cause == Cause.FULL_BEYOND) {
-            turnedBack(now, far.group, it.session.farEnd());
+            recordCrankback(now, exchange.group, pending.session.farEnd());
         }
     }
 
-    private void learnUnknown(Group tandem, int farEnd, int led) {
-        unknownLead += leads(tandem, farEnd) ? 0 : UNKNOWN_STEP * (led - unknownLead);
+    /** Counts a session over a tandem not known to reach the far end: 1 if established, else 0. */
+    private void recordUnknownTandem(Group tandem, int farEnd, int established) {
+        unknownTandemSuccess +=
+                isKnownTandem(tandem, farEnd)
+                        ? 0
+                        : UNKNOWN_TANDEM_WEIGHT * (established - unknownTandemSuccess);
     }
 
-    private void turnedBack(long now, Group tandem, int farEnd) {
-        learnUnknown(tandem, farEnd, 0);
-        int turns =
-                tandem.leadsTo.contains(farEnd)
+    private void recordCrankback(long now, Group tandem, int farEnd) {
+        recordUnknownTandem(tandem, farEnd, 0);
+        int doublings =
+                tandem.reachedFarEnds.contains(farEnd)
                         ? 0
-                        : tandem.turnsInARow.merge(farEnd, 1, Integer::sum) - 1;
-        tandem.turnedBack.put(
-                farEnd, now + (TURNED_BACK_HOLD << Math.min(TURNED_BACK_DOUBLINGS, turns)));
+                        : tandem.crankbacksInARow.merge(farEnd, 1, Integer::sum) - 1;
+        tandem.crankbackUntil.put(
+                farEnd,
+                now + (CRANKBACK_HOLD_MICROS << Math.min(MAX_CRANKBACK_DOUBLINGS, doublings)));
     }
 
-    private Far ready(int number) {
+    private RemoteExchange readyExchange(int number) {
         Group group = groups.get(number);
-        return group == null ? null : group.serving;
+        return group == null ? null : group.servedBy;
     }
 }
--- a/src/main/java/coralcove/GroupPlan.java
+++ b/src/main/java/coralcove/GroupPlan.java
@@ -1,9 +1,9 @@
 package coralcove;
 
 /**
- * The targets of one group, per class: c0 for calls taken, c1 for calls refused, whether the class
- * was seen at all, and the phantoms that a class seen for the first time begins with. β is the
- * group's; {@code at} is the moment of the facts.
+ * The targets of one trunk group. Per class: c0 for accepted calls, c1 for refused calls, whether
+ * any load of the class was seen, and the number of phantom calls that a class starts with when it
+ * gets its first targets. β applies to the whole group. {@code at} is the time of the measurements.
  */
 public record GroupPlan(
         long at,
--- a/src/main/java/coralcove/Plan.java
+++ b/src/main/java/coralcove/Plan.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * Targets from a planner for one router: its number, a version that only grows, and any of its
- * groups.
+ * Targets that a planner computed for one router: the router's number, a version that only
+ * increases, and the targets of some or all of its trunk groups.
  */
 public record Plan(int router, long version, List<GroupPlan> groups) {}
--- a/src/main/java/coralcove/PlanKeeper.java
+++ b/src/main/java/coralcove/PlanKeeper.java
@@ -4,20 +4,20 @@
 import java.util.function.Consumer;
 
 /**
- * The last plan of a planner, as the deciding side goes by it: which plan is taken, and how it
- * loses its say with the age of its facts. Fresh: as planned. Ageing: the targets widen towards
- * plain room. Stale: none, as at the start. The module's own counts and guards never come from a
- * planner. One thread owns it.
+ * Supplies the targets of a planner's last plan: validates each plan, and reduces its weight with
+ * the age of its measurements. Fresh targets apply as planned; ageing ones move towards accepting
+ * any call that fits; stale ones do not apply, as before the first plan. The router's own counts
+ * and limits never come from a planner. Not thread-safe: one thread owns it.
  */
 public final class PlanKeeper implements Targets {
-    /** How much say the plan of a group has. */
+    /** How far the plan of a group applies. */
     public enum Age {
         FRESH,
         AGEING,
         STALE
     }
 
-    /** Why a plan was not taken. */
+    /** Why a plan was rejected. The names are sent to the planner, logged and counted. */
     public enum Refusal {
         NONE,
         OTHER_ROUTER,
@@ -28,51 +28,55 @@
     }
 
     /**
-     * µs: two refreshes and the way to the planner and back are under this age; loads move little
-     * in it.
+     * Age in µs up to which a plan is fresh: longer than two refreshes and the round trip to the
+     * planner; loads change little in it.
      */
-    public static final long FRESH_FOR = 15_000_000;
+    public static final long FRESH_AGE_MICROS = 15_000_000;
 
-    /** µs: a load may have doubled meanwhile; the design's own count of load looks back 10 s. */
+    /**
+     * Age in µs from which a plan is stale: a load may have doubled meanwhile, as the router itself
+     * measures load over 10 s.
+     */
     public static final long STALE_FROM = 60_000_000;
 
     /**
-     * µs: the clocks of two programs of one machine may differ by a step that one has not seen yet.
+     * µs by which measurements may lie in the future: of two programs on one machine, one may not
+     * have seen a clock step yet.
      */
-    private static final long AHEAD = 1_000_000;
+    private static final long MAX_CLOCK_LEAD_MICROS = 1_000_000;
 
-    /** Numbers of groups end below this: an exchange's number has five digits. */
-    private static final int MOST_NUMBERS = 100_000;
+    /** Exclusive limit of group numbers: an exchange's number has at most five digits. */
+    private static final int GROUP_NUMBER_LIMIT = 100_000;
 
-    /** Share by which a sum may be off by rounding on its way. */
-    private static final double ROUNDING = 1e-9;
+    /** Relative rounding error that a transmitted sum may have. */
+    private static final double ROUNDING_TOLERANCE = 1e-9;
 
     private final int router;
-    private final int classes;
+    private final int classCount;
 
-    /** By number; a look-up makes nothing. */
+    /** Indexed by group number, so that a look-up allocates nothing. */
     private GroupPlan[] plans = {};
 
-    private final Consumer<GroupFacts> facts;
+    private final Consumer<GroupFacts> factsListener;
     private long version;
 
-    /** What is told of a group goes to {@code facts} as well. */
-    public PlanKeeper(Settings settings, Consumer<GroupFacts> facts) {
+    /** Passes the measurements of each group on to {@code factsListener}. */
+    public PlanKeeper(Settings settings, Consumer<GroupFacts> factsListener) {
         router = settings.ownNumber();
-        classes = 2 * settings.services().size();
-        this.facts = facts;
+        classCount = 2 * settings.services().size();
+        this.factsListener = factsListener;
     }
 
     @Override
-    public GroupPlan of(long now, GroupFacts told) {
-        facts.accept(told);
-        return held(now, told.number());
+    public GroupPlan of(long now, GroupFacts facts) {
+        factsListener.accept(facts);
+        return held(now, facts.number());
     }
 
     @Override
     public GroupPlan held(long now, int number) {
         GroupPlan plan = plan(number);
-        return plan == null ? null : aged(plan, now - plan.at());
+        return plan == null ? null : applyAge(plan, now - plan.at());
     }
 
     private GroupPlan plan(int number) {
@@ -86,7 +90,10 @@
         return version;
     }
 
-    /** Takes a plan whole, or none of it. */
+    /**
+     * Applies a plan as a whole or rejects it as a whole. In an applied plan, a group whose
+     * measurements are older than those of the current targets is skipped.
+     */
     public Refusal offer(long now, Plan plan) {
         if (plan.router() != router) {
             return Refusal.OTHER_ROUTER;
@@ -94,47 +101,47 @@
         if (plan.version() <= version) {
             return Refusal.OLDER_VERSION;
         }
-        for (GroupPlan each : plan.groups()) {
-            if (!inRange(each)) {
+        for (GroupPlan group : plan.groups()) {
+            if (!isInRange(group)) {
                 return Refusal.OUT_OF_RANGE;
             }
-            if (each.at() > now + AHEAD) {
+            if (group.at() > now + MAX_CLOCK_LEAD_MICROS) {
                 return Refusal.FUTURE_FACTS;
             }
-            if (now - each.at() >= STALE_FROM) {
+            if (now - group.at() >= STALE_FROM) {
                 return Refusal.OLD_FACTS;
             }
         }
         version = plan.version();
-        for (GroupPlan each : plan.groups()) {
-            GroupPlan before = plan(each.number());
-            if (each.number() >= plans.length) {
-                plans = Arrays.copyOf(plans, 2 * each.number() + 1);
+        for (GroupPlan group : plan.groups()) {
+            GroupPlan previous = plan(group.number());
+            if (group.number() >= plans.length) {
+                plans = Arrays.copyOf(plans, 2 * group.number() + 1);
             }
-            if (before == null || each.at() >= before.at()) {
-                plans[each.number()] = each;
+            if (previous == null || group.at() >= previous.at()) {
+                plans[group.number()] = group;
             }
         }
         return Refusal.NONE;
     }
 
     /**
-     * The design's bounds: targets from 0, one above 0 for each class seen, β at most ε times the
-     * least.
+     * Checks the bounds of the method: no target is negative, each class with load has one above 0,
+     * and β is at most ε times the least target.
      */
-    private boolean inRange(GroupPlan plan) {
-        if (plan.c0().length != classes
-                || plan.c1().length != classes
-                || plan.seen().length != classes
-                || plan.phantoms().length != classes
+    private boolean isInRange(GroupPlan plan) {
+        if (plan.c0().length != classCount
+                || plan.c1().length != classCount
+                || plan.seen().length != classCount
+                || plan.phantoms().length != classCount
                 || plan.number() < 0
-                || plan.number() >= MOST_NUMBERS) {
+                || plan.number() >= GROUP_NUMBER_LIMIT) {
             return false;
         }
-        boolean any = false;
-        boolean some = false;
+        boolean anySeen = false;
+        boolean anyAccepted = false;
         double least = Double.POSITIVE_INFINITY;
-        for (int i = 0; i < classes; i++) {
+        for (int i = 0; i < classCount; i++) {
             double c0 = plan.c0()[i];
             double c1 = plan.c1()[i];
             double phantoms = plan.phantoms()[i];
@@ -143,55 +150,59 @@
             if (!finite || plan.seen()[i] != c0 + c1 > 0) {
                 return false;
             }
-            any |= plan.seen()[i];
-            some |= c0 > 0;
-            least = Math.min(least, least(c0, c1));
+            anySeen |= plan.seen()[i];
+            anyAccepted |= c0 > 0;
+            least = Math.min(least, leastTarget(c0, c1));
         }
-        // β is ε times the least target a circuit; a class of more circuits than one makes it
-        // smaller.
-        boolean bound = plan.beta() > 0 && plan.beta() <= Planner.EPSILON * least * (1 + ROUNDING);
-        return !any || (some ? bound : plan.beta() == Double.POSITIVE_INFINITY);
+        // β is ε times the least target per circuit, so a class of several circuits makes it
+        // smaller than this bound.
+        boolean betaInRange =
+                plan.beta() > 0
+                        && plan.beta() <= Planner.EPSILON * least * (1 + ROUNDING_TOLERANCE);
+        return !anySeen || (anyAccepted ? betaInRange : plan.beta() == Double.POSITIVE_INFINITY);
     }
 
     /**
-     * The lesser of a class's targets that are not 0; one that is not taken at all counts for
-     * nothing.
+     * Returns the lesser of a class's targets above 0, or infinity for a class that is not accepted
+     * at all.
      */
-    private static double least(double c0, double c1) {
+    private static double leastTarget(double c0, double c1) {
         return c0 <= 0 ? Double.POSITIVE_INFINITY : c1 > 0 ? Math.min(c0, c1) : c0;
     }
 
     // ---- age
 
+    /** Returns the age of a group's targets; a group without any is stale. */
     public Age age(long now, int number) {
         GroupPlan plan = plan(number);
         long age = plan == null ? STALE_FROM : now - plan.at();
-        return age >= STALE_FROM ? Age.STALE : age > FRESH_FOR ? Age.AGEING : Age.FRESH;
+        return age >= STALE_FROM ? Age.STALE : age > FRESH_AGE_MICROS ? Age.AGEING : Age.FRESH;
     }
 
     /**
-     * From fresh to stale what was to be refused moves over to what is taken, until plain room
-     * decides.
+     * Moves, from fresh to stale, a growing part of each class's c1 to its c0, until any call that
+     * fits is accepted. Returns null for a stale plan.
      */
-    private static GroupPlan aged(GroupPlan plan, long age) {
-        if (age <= FRESH_FOR) {
+    private static GroupPlan applyAge(GroupPlan plan, long age) {
+        if (age <= FRESH_AGE_MICROS) {
             return plan;
         }
         if (age >= STALE_FROM) {
             return null;
         }
-        double moved = (double) (age - FRESH_FOR) / (STALE_FROM - FRESH_FOR);
+        double movedShare = (double) (age - FRESH_AGE_MICROS) / (STALE_FROM - FRESH_AGE_MICROS);
         double[] c0 = plan.c0().clone();
         double[] c1 = plan.c1().clone();
         double beta = plan.beta();
         double least = Double.POSITIVE_INFINITY;
         for (int i = 0; i < c0.length; i++) {
-            // A class that was not to be taken at all would come in at once: one call is all its
-            // target.
-            double over = c0[i] > 0 ? moved * c1[i] : 0;
-            c0[i] += over;
-            c1[i] -= over;
-            least = Math.min(least, least(c0[i], c1[i]));
+            // A class with c0 = 0 stays refused: with a first, tiny c0 it would be accepted at
+            // once,
+            // as one call is its whole target, and β would become tiny for all classes.
+            double moved = c0[i] > 0 ? movedShare * c1[i] : 0;
+            c0[i] += moved;
+            c1[i] -= moved;
+            least = Math.min(least, leastTarget(c0[i], c1[i]));
         }
         beta = Math.min(beta, Planner.EPSILON * least);
         return new GroupPlan(plan.at(), plan.number(), beta, c0, c1, plan.seen(), plan.phantoms());
--- a/src/main/java/coralcove/Planner.java
+++ b/src/main/java/coralcove/Planner.java
@@ -4,51 +4,60 @@
 import java.util.List;
 
 /**
- * What is worked out over seconds, apart from what is decided for a session: the targets of the
- * design's fractional knapsack. In one process it is asked by the module itself, in two it runs in
- * the planner.
+ * Computes the targets of the penalty rule by a fractional knapsack, over seconds and apart from
+ * the decision for a session. In a single process the router calls it directly; with a separate
+ * planner it runs there.
  */
 public final class Planner implements Targets {
     /**
-     * Share: the design's bound on the slack of the targets; the largest gives the steepest allowed
-     * test.
+     * ε, the slack of the targets as a share: the largest that the method allows, which gives the
+     * steepest penalty.
      */
     public static final double EPSILON = 0.05;
 
-    private record Class(int width, long hold) {}
+    private record CallClass(int circuits, long holdTime) {}
 
-    private final int[] byWorth;
-    private final Class[] classes;
+    private final int[] classesByValue;
+    private final CallClass[] classes;
 
     public Planner(Settings settings) {
-        List<Settings.Service> given = settings.services();
-        byWorth = order(given);
-        classes = new Class[2 * given.size()];
+        List<Settings.Service> services = settings.services();
+        classesByValue = classesByValuePerCircuit(services);
+        classes = new CallClass[2 * services.size()];
         for (int i = 0; i < classes.length; i++) {
-            classes[i] = new Class(given.get(i / 2).width(), given.get(i / 2).hold());
+            classes[i] = new CallClass(services.get(i / 2).width(), services.get(i / 2).hold());
         }
     }
 
-    /** Classes by falling value per circuit; equal ones in the order of the settings. */
-    public static int[] order(List<Settings.Service> given) {
+    /**
+     * Returns the classes by descending value per circuit; equal ones in the order of the settings.
+     * Class 2n is service n at its first try, class 2n + 1 its late redials.
+     */
+    public static int[] classesByValuePerCircuit(List<Settings.Service> services) {
         List<Integer> order = new ArrayList<>();
-        for (int i = 0; i < 2 * given.size(); i++) {
+        for (int i = 0; i < 2 * services.size(); i++) {
             order.add(i);
         }
-        order.sort((a, b) -> Double.compare(worth(given, b), worth(given, a)));
+        order.sort(
+                (a, b) ->
+                        Double.compare(valuePerCircuit(services, b), valuePerCircuit(services, a)));
         return order.stream().mapToInt(Integer::intValue).toArray();
     }
 
     /**
-     * Value per circuit of class i: a service's first tries, or its redials, which can only stand
-     * late.
+     * Value per circuit of class i: a service's first tries, or its redials, which can only be
+     * established late.
      */
-    private static double worth(List<Settings.Service> given, int i) {
-        Settings.Service it = given.get(i / 2);
-        return it.value() / it.width() * (i % 2 == 0 ? 1 : it.lateValue());
+    private static double valuePerCircuit(List<Settings.Service> services, int i) {
+        Settings.Service service = services.get(i / 2);
+        return service.value() / service.width() * (i % 2 == 0 ? 1 : service.lateValue());
     }
 
-    /** The fractional knapsack by falling value per circuit, and what follows from it. */
+    /**
+     * Fills size/(1+4ε) circuits by descending value per circuit. α is the part of a class's load ρ
+     * that finds room; with b circuits a call, c0 = (1+4ε)·α·b·ρ and c1 = (1+4ε)·(1−α)·b·ρ. β is ε
+     * times the least of c0/b, and of c1/b where 0 &lt; α &lt; 1.
+     */
     @Override
     public GroupPlan of(long now, GroupFacts facts) {
         int n = classes.length;
@@ -63,25 +72,25 @@
                         new double[n]);
         double left = facts.size() / (1 + 4 * EPSILON);
         double least = Double.POSITIVE_INFINITY;
-        for (int index : byWorth) {
-            double rho = facts.calls()[index];
-            int width = classes[index].width;
-            double need = rho * width;
-            plan.seen()[index] = need > 0;
+        for (int i : classesByValue) {
+            double rho = facts.calls()[i];
+            int b = classes[i].circuits;
+            double need = rho * b;
+            plan.seen()[i] = need > 0;
             if (need <= 0) {
                 continue;
             }
             double alpha = Math.min(1, Math.max(0, left) / need);
             left -= alpha * need;
-            plan.c0()[index] = (1 + 4 * EPSILON) * alpha * need;
-            plan.c1()[index] = (1 + 4 * EPSILON) * (1 - alpha) * need;
+            plan.c0()[i] = (1 + 4 * EPSILON) * alpha * need;
+            plan.c1()[i] = (1 + 4 * EPSILON) * (1 - alpha) * need;
             if (alpha > 0) {
-                least = Math.min(least, plan.c0()[index] / width);
+                least = Math.min(least, plan.c0()[i] / b);
             }
             if (alpha > 0 && alpha < 1) {
-                least = Math.min(least, plan.c1()[index] / width);
+                least = Math.min(least, plan.c1()[i] / b);
             }
-            plan.phantoms()[index] = (1 - alpha) * rho;
+            plan.phantoms()[i] = (1 - alpha) * rho;
         }
         return new GroupPlan(
                 plan.at(),
--- a/src/main/java/coralcove/Session.java
+++ b/src/main/java/coralcove/Session.java
@@ -1,9 +1,17 @@
 package coralcove;
 
 /**
- * A session handed to this router. {@code advice} is the number of a tandem, or -1; {@code number}
- * is the one called, 0 if not told; for a session in transit {@code farEnd} is its only way on.
- * {@code limit} is the moment its caller stops waiting.
+ * A session that this router is to route.
+ *
+ * @param service index of the service in the settings
+ * @param farEnd number of the exchange to reach; for a session in transit its only route
+ * @param width circuits that a call of it takes
+ * @param advice number of the tandem that a routing centre advised, or -1
+ * @param number the called number, 0 if unknown
+ * @param redialled whether the caller marked it as a redial
+ * @param cut whether the caller dials again because an established call was cut off
+ * @param arrived time of its arrival
+ * @param limit time at which its caller stops waiting
  */
 public record Session(
         long id,
--- a/src/main/java/coralcove/Targets.java
+++ b/src/main/java/coralcove/Targets.java
@@ -1,24 +1,25 @@
 package coralcove;
 
 /**
- * Where the per-session decisions get a group's targets from; asked every few seconds a group,
- * never for a session.
+ * Supplies the targets of a trunk group to the routing policy. It is queried every few seconds per
+ * group, not for each session.
  */
 public interface Targets {
     /**
-     * The targets to go by, or null for none: then any call that fits is taken, as at the start.
+     * Returns the targets for these measurements, or null for none; without targets any call that
+     * fits is accepted, as at the start.
      */
     GroupPlan of(long now, GroupFacts facts);
 
     /**
-     * Changes when targets have come in the meantime; always 0 where {@link #of} gives the newest
-     * at once.
+     * Returns a number that changes when new targets have arrived; always 0 if {@link #of} computes
+     * them at once.
      */
     default long version() {
         return 0;
     }
 
-    /** The targets of a group as they are now, without new facts; null for none. */
+    /** Returns a group's current targets without new measurements, or null for none. */
     default GroupPlan held(long now, int number) {
         return null;
     }
--- a/src/main/java/coralcove/Waiting.java
+++ b/src/main/java/coralcove/Waiting.java
@@ -3,7 +3,11 @@
 import java.util.List;
 
 /**
- * Ask again at {@code until} (0: no need); send these probes and peer messages, and subscribe if
- * told to.
+ * What a router has to send besides sessions.
+ *
+ * @param until time at which to request pending actions again, 0 if there is none
+ * @param probes exchanges to probe
+ * @param broadcasts messages to send to all peers
+ * @param subscribe whether to subscribe to the directory now
  */
 public record Waiting(long until, List<Long> probes, List<byte[]> broadcasts, boolean subscribe) {}
