--- a/src/test/java/coralcove/ColdFleetTest.java
+++ b/src/test/java/coralcove/ColdFleetTest.java
@@ -11,39 +11,39 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * All routers of a fleet together towards one exchange that starts cold: beyond its budget of N
- * set-ups a window only 2 root N + 2 are chance. Each pair of exchanges has the same load, a
- * processor is used to 0.7 by it (a set-up is work at both ends), and the exchange carries its
- * first share, then more, as the settings say. Routers are told at different moments, and one in
- * five has just been restarted.
+ * Simulates all routers of a fleet towards one exchange that starts cold, and checks that together
+ * they stay within its budget of N set-ups a window; an excess of up to 2 sqrt(N) + 2 is chance.
+ * Each pair of exchanges has the same load, which uses a processor to 0.7 (a set-up is work at both
+ * ends). The cold exchange starts with the stated share of its capacity, which then grows until it
+ * is warm. Routers are informed of its start at different times, and one in five has just been
+ * restarted.
  */
 class ColdFleetTest {
     private static final long SECOND = 1_000_000;
-    private static final double MULTIPLE = 3;
-    private static final long WINDOW = 1_500_000;
-    private static final double COLD_FROM = 0.32;
+    private static final double OVERLOAD_MULTIPLE = 3;
+    private static final long OVERLOAD_WINDOW = 1_500_000;
+    private static final double COLD_CAPACITY_SHARE = 0.32;
     private static final long WARM_UP = 12 * SECOND;
-    private static final double USE = 0.7;
-    private static final long TOLD_WITHIN = SECOND;
+    private static final double PROCESSOR_UTILIZATION = 0.7;
+    private static final long MAX_UPDATE_DELAY = SECOND;
 
-    /** Sessions a second of each router when nothing happens. */
-    private static final double RATE = 10;
+    /** Sessions per second of each router under normal load. */
+    private static final double SESSION_RATE = 10;
 
-    /** Set-ups a second: all others ring it, and it rings all others. */
-    private static final double CAPACITY = 2 * RATE / USE;
+    /** Set-ups per second of an exchange: all others call it, and it calls all others. */
+    private static final double CAPACITY = 2 * SESSION_RATE / PROCESSOR_UTILIZATION;
 
-    private static final long MOST_QUEUED = 1_400_000;
+    private static final long MAX_QUEUEING_TIME = 1_400_000;
 
-    private record Due(long at, long order, LongConsumer act) {}
+    private record Event(long at, long order, LongConsumer action) {}
 
     @Test
-    void aColdExchangeIsNotPushedOverByAllRoutersTogether() {
+    void fleetDoesNotOverloadColdExchange() {
         for (int routers : new int[] {5, 20, 30, 48}) {
-            // From nothing special to six times the load, as when callers try again after an
-            // outage.
+            // From normal load to ten times that, as when callers try again after an outage.
             for (double load : new double[] {1, 2.5, 6, 10}) {
                 for (int seed = 1; seed <= 3; seed++) {
-                    new Fleet(routers, load, seed).play();
+                    new Fleet(routers, load, seed).run();
                 }
             }
         }
@@ -53,65 +53,70 @@
         private final int routers;
         private final double load;
         private final SplittableRandom random;
-        private final Choice[] choices;
-        private final long[] restarted;
-        private final PriorityQueue<Due> due =
+        private final Choice[] policies;
+        private final long[] restartTimes;
+        private final PriorityQueue<Event> events =
                 new PriorityQueue<>(
                         (a, b) ->
                                 a.at != b.at
                                         ? Long.compare(a.at, b.at)
                                         : Long.compare(a.order, b.order));
-        private final ArrayDeque<Long> sends = new ArrayDeque<>();
-        private final String where;
+        private final ArrayDeque<Long> recentSends = new ArrayDeque<>();
+        private final String description;
         private long order;
-        private long calls;
+        private long sessions;
         private int sent;
-        private long freeAt;
+        private long processorFreeAt;
         private final long coldAt = 12 * SECOND;
 
         Fleet(int routers, double load, int seed) {
             this.routers = routers;
             this.load = load;
             random = new SplittableRandom(seed);
-            choices = new Choice[routers];
-            restarted = new long[routers];
-            where = routers + " routers, load " + load + ", seed " + seed;
+            policies = new Choice[routers];
+            restartTimes = new long[routers];
+            description = routers + " routers, load " + load + ", seed " + seed;
         }
 
-        void play() {
+        void run() {
             for (int i = 0; i < routers; i++) {
                 if (i != 1) {
                     start(i, 0);
                     int router = i;
-                    at(gap(0), now -> session(now, router));
-                    at(coldAt + random.nextLong(TOLD_WITHIN), now -> told(now, router));
+                    schedule(nextArrival(0), now -> offerSession(now, router));
+                    schedule(
+                            coldAt + random.nextLong(MAX_UPDATE_DELAY),
+                            now -> updateExchange(now, router));
                 }
             }
             for (int i = 2; i < routers; i += 5) {
                 int router = i;
-                at(coldAt + random.nextLong(2 * SECOND), now -> start(router, now));
+                schedule(coldAt + random.nextLong(2 * SECOND), now -> start(router, now));
             }
             long end = coldAt + WARM_UP;
-            while (!due.isEmpty() && due.peek().at < end) {
-                Due next = due.poll();
-                next.act.accept(next.at);
+            while (!events.isEmpty() && events.peek().at < end) {
+                Event next = events.poll();
+                next.action.accept(next.at);
             }
-            // It is not kept from calls either: those of the last seconds are most of them sent.
-            assertThat(sent).as(where).isGreaterThan((int) (0.5 * RATE * WARM_UP / SECOND));
+            // The cold exchange must not be starved either: it gets most of what is offered in the
+            // last seconds.
+            assertThat(sent)
+                    .as(description)
+                    .isGreaterThan((int) (0.5 * SESSION_RATE * WARM_UP / SECOND));
         }
 
-        private void at(long at, LongConsumer act) {
-            due.add(new Due(at, order++, act));
+        private void schedule(long at, LongConsumer action) {
+            events.add(new Event(at, order++, action));
         }
 
-        private long gap(long now) {
-            double rate = RATE * (now >= coldAt - SECOND ? load : 1);
+        private long nextArrival(long now) {
+            double rate = SESSION_RATE * (now >= coldAt - SECOND ? load : 1);
             return now + Math.max(1, (long) (-Math.log(1 - random.nextDouble()) / rate * SECOND));
         }
 
         private void start(int router, long now) {
-            restarted[router] = now;
-            choices[router] =
+            restartTimes[router] = now;
+            policies[router] =
                     new Choice(
                             new Settings(
                                     routers,
@@ -141,9 +146,9 @@
                                     false,
                                     false,
                                     300_000,
-                                    MULTIPLE,
-                                    WINDOW,
-                                    COLD_FROM,
+                                    OVERLOAD_MULTIPLE,
+                                    OVERLOAD_WINDOW,
+                                    COLD_CAPACITY_SHARE,
                                     WARM_UP),
                             new SplittableRandom(router));
             List<Exchange> all = new ArrayList<>();
@@ -152,25 +157,25 @@
                         new Exchange(
                                 i, i, Exchange.Phase.READY, i == 1 && now >= coldAt ? coldAt : 0));
             }
-            choices[router].roster(now, true, all);
+            policies[router].roster(now, true, all);
             for (int i = 0; i < routers; i++) {
-                choices[router].circuits(now, i, 400, 400);
+                policies[router].circuits(now, i, 400, 400);
             }
         }
 
-        private void told(long now, int router) {
-            choices[router].roster(
+        private void updateExchange(long now, int router) {
+            policies[router].roster(
                     now, false, List.of(new Exchange(1, 1, Exchange.Phase.READY, coldAt)));
         }
 
-        private void session(long now, int router) {
-            at(gap(now), then -> session(then, router));
+        private void offerSession(long now, int router) {
+            schedule(nextArrival(now), then -> offerSession(then, router));
             int farEnd = random.nextInt(routers - 1);
             farEnd += farEnd >= router ? 1 : 0;
-            long id = ++calls;
-            Choice choice = choices[router];
-            Answer answer =
-                    choice.route(
+            long id = ++sessions;
+            Choice policy = policies[router];
+            Answer decision =
+                    policy.route(
                             now,
                             new Session(
                                     id,
@@ -185,25 +190,25 @@
                                     false,
                                     now,
                                     now + 9 * SECOND));
-            if (answer.kind() == Answer.Kind.SEND) {
-                if (answer.exchange() == 1 && now >= coldAt) {
-                    count(now);
+            if (decision.kind() == Answer.Kind.SEND) {
+                if (decision.exchange() == 1 && now >= coldAt) {
+                    countSetUp(now);
                 }
-                long since = restarted[router];
-                long took = 60_000 + (answer.exchange() == 1 ? queue(now) : 0);
-                boolean full = took > MOST_QUEUED;
-                at(
-                        now + (full ? 60_000 : took),
+                long restartedAt = restartTimes[router];
+                long took = 60_000 + (decision.exchange() == 1 ? queueingTime(now) : 0);
+                boolean overloaded = took > MAX_QUEUEING_TIME;
+                schedule(
+                        now + (overloaded ? 60_000 : took),
                         then -> {
-                            if (restarted[router] == since) {
-                                choice.after(
+                            if (restartTimes[router] == restartedAt) {
+                                policy.after(
                                         then,
                                         id,
-                                        full ? Ending.BUSY : Ending.STANDS,
-                                        full ? Cause.PROCESSOR_FULL : Cause.NONE,
-                                        answer.exchange(),
-                                        full ? 60_000 : took,
-                                        full ? 700_000 : 0,
+                                        overloaded ? Ending.BUSY : Ending.STANDS,
+                                        overloaded ? Cause.PROCESSOR_FULL : Cause.NONE,
+                                        decision.exchange(),
+                                        overloaded ? 60_000 : took,
+                                        overloaded ? 700_000 : 0,
                                         true);
                             }
                         });
@@ -211,34 +216,40 @@
         }
 
         /**
-         * How long a set-up waits at the processor that starts cold; what it turns away is work
+         * Returns how long a set-up waits at the processor that starts cold; a rejected one is work
          * too.
          */
-        private long queue(long now) {
-            freeAt =
-                    Math.max(freeAt, now)
+        private long queueingTime(long now) {
+            processorFreeAt =
+                    Math.max(processorFreeAt, now)
                             + (long)
                                     (SECOND
-                                            / (present(now) * CAPACITY)
-                                            * (freeAt - now > MOST_QUEUED ? 0.2 : 1));
-            return freeAt - now;
+                                            / (capacityShare(now) * CAPACITY)
+                                            * (processorFreeAt - now > MAX_QUEUEING_TIME
+                                                    ? 0.2
+                                                    : 1));
+            return processorFreeAt - now;
         }
 
-        private double present(long now) {
+        private double capacityShare(long now) {
             return now < coldAt
                     ? 1
-                    : Math.min(1, COLD_FROM + (1 - COLD_FROM) * (now - coldAt) / WARM_UP);
+                    : Math.min(
+                            1,
+                            COLD_CAPACITY_SHARE
+                                    + (1 - COLD_CAPACITY_SHARE) * (now - coldAt) / WARM_UP);
         }
 
-        private void count(long now) {
+        private void countSetUp(long now) {
             sent++;
-            sends.add(now);
-            while (sends.peek() <= now - WINDOW) {
-                sends.poll();
+            recentSends.add(now);
+            while (recentSends.peek() <= now - OVERLOAD_WINDOW) {
+                recentSends.poll();
             }
-            double budget = MULTIPLE * present(now) * CAPACITY * WINDOW / SECOND;
-            assertThat((double) sends.size())
-                    .as(where + " at " + (now - coldAt) / 1000 + " ms")
+            double budget =
+                    OVERLOAD_MULTIPLE * capacityShare(now) * CAPACITY * OVERLOAD_WINDOW / SECOND;
+            assertThat((double) recentSends.size())
+                    .as(description + " at " + (now - coldAt) / 1000 + " ms")
                     .isLessThanOrEqualTo(budget + 2 * Math.sqrt(budget) + 2);
         }
     }
--- a/src/test/java/coralcove/Kept.java
+++ b/src/test/java/coralcove/Kept.java
@@ -1,10 +1,10 @@
 package coralcove;
 
-/** Traces kept in the repository, for the tests of other packages. */
+/** Reads traces from src/test/resources for the tests of other packages. */
 public final class Kept {
     private Kept() {}
 
     public static String trace(String name) {
-        return Desk.kept(name);
+        return RouterHarness.readTrace(name);
     }
 }
--- /dev/null
+++ b/src/test/java/coralcove/PlannedTargetSourceTest.java
@@ -0,0 +1,309 @@
+package coralcove;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.SplittableRandom;
+import net.jqwik.api.ForAll;
+import net.jqwik.api.Property;
+import net.jqwik.api.constraints.LongRange;
+import org.junit.jupiter.api.Test;
+
+/** Tests which plans are accepted, and how their targets change with age. */
+class PlannedTargetSourceTest {
+    static final Settings SETTINGS =
+            new Settings(
+                    3,
+                    7,
+                    false,
+                    List.of(
+                            new Settings.Service(
+                                    1_500_000, 2, 0.25, 2, 16_500_000, true, List.of()),
+                            new Settings.Service(
+                                    1_500_000, 1, 0.1, 1, 11_000_000, true, List.of())),
+                    4,
+                    true,
+                    true,
+                    2_000_000,
+                    true,
+                    true,
+                    300_000,
+                    3,
+                    1_500_000,
+                    0.3,
+                    10_000_000);
+    private static final int CLASSES = 4;
+    private final List<GroupFacts> reportedFacts = new ArrayList<>();
+    private final PlanKeeper source = new PlanKeeper(SETTINGS, reportedFacts::add);
+    private final Planner planner = new Planner(SETTINGS);
+
+    private static GroupFacts facts(long at, int number, int size, double... calls) {
+        return new GroupFacts(at, number, size, calls);
+    }
+
+    private Plan plan(long version, GroupFacts... measurements) {
+        List<GroupPlan> groups = new ArrayList<>();
+        for (GroupFacts facts : measurements) {
+            groups.add(planner.of(facts.at(), facts));
+        }
+        return new Plan(7, version, groups);
+    }
+
+    @Test
+    void planLosesWeightWithAge() {
+        GroupFacts facts = facts(0, 3, 20, 5, 0, 12, 4);
+        assertThat(source.of(0, facts)).isNull();
+        assertThat(source.offer(0, plan(1, facts))).isEqualTo(PlanKeeper.Refusal.NONE);
+        StringBuilder trace = new StringBuilder();
+        for (long seconds : new long[] {0, 15, 16, 30, 45, 59, 60}) {
+            GroupPlan targets = source.of(seconds * 1_000_000, facts);
+            trace.append(seconds).append(" s ").append(source.age(seconds * 1_000_000, 3));
+            for (int i = 0; targets != null && i < CLASSES; i++) {
+                trace.append(String.format(" %.2f/%.2f", targets.c0()[i], targets.c1()[i]));
+            }
+            trace.append(
+                            targets == null
+                                    ? " no targets"
+                                    : String.format(" beta %.4f", targets.beta()))
+                    .append('\n');
+        }
+        assertThat(trace.toString()).isEqualTo(Kept.trace("plan-ages"));
+        assertThat(reportedFacts).hasSize(8);
+    }
+
+    @Test
+    void rejectsInvalidPlanAsAWhole() {
+        GroupFacts validFacts = facts(100_000_000, 3, 20, 5, 0, 12, 4);
+        long now = 101_000_000;
+        assertThat(source.offer(now, plan(5, validFacts))).isEqualTo(PlanKeeper.Refusal.NONE);
+        assertThat(source.offer(now, plan(5, validFacts)))
+                .isEqualTo(PlanKeeper.Refusal.OLDER_VERSION);
+        assertThat(source.offer(now, new Plan(8, 6, List.of())))
+                .isEqualTo(PlanKeeper.Refusal.OTHER_ROUTER);
+        assertThat(
+                        source.offer(
+                                now,
+                                plan(6, validFacts, facts(now - 60_000_000, 4, 20, 1, 0, 0, 0))))
+                .isEqualTo(PlanKeeper.Refusal.OLD_FACTS);
+        assertThat(source.offer(now, plan(6, facts(now + 1_000_001, 4, 20, 1, 0, 0, 0))))
+                .isEqualTo(PlanKeeper.Refusal.FUTURE_FACTS);
+        GroupPlan malformed = planner.of(now, validFacts);
+        malformed.c0()[0] = Double.NaN;
+        assertThat(source.offer(now, new Plan(7, 6, List.of(malformed))))
+                .isEqualTo(PlanKeeper.Refusal.OUT_OF_RANGE);
+        assertThat(source.version()).isEqualTo(5);
+        assertThat(source.age(now, 4)).isEqualTo(PlanKeeper.Age.STALE);
+        GroupPlan outOfRangeGroup =
+                new GroupPlan(
+                        now,
+                        100_000,
+                        1,
+                        malformed.c0(),
+                        malformed.c1(),
+                        malformed.seen(),
+                        malformed.phantoms());
+        assertThat(source.offer(now, new Plan(7, 6, List.of(outOfRangeGroup))))
+                .isEqualTo(PlanKeeper.Refusal.OUT_OF_RANGE);
+    }
+
+    /** Each session checks the version, and gets the targets of its group if a plan is new. */
+    @Test
+    void lookUpOfFreshPlanAllocatesNothing() {
+        for (int group = 0; group < 300; group++) {
+            source.offer(10_000_000, plan(1 + group, facts(9_000_000, group, 20, 5, 0, 12, 4)));
+        }
+        com.sun.management.ThreadMXBean threads =
+                (com.sun.management.ThreadMXBean)
+                        java.lang.management.ManagementFactory.getThreadMXBean();
+        long threadId = Thread.currentThread().getId();
+        long checksum = 0;
+        long allocated = 0;
+        for (int round = 0; round < 2; round++) {
+            // The first round loads the classes that the measurement itself needs.
+            allocated = threads.getThreadAllocatedBytes(threadId);
+            for (int i = 0; i < 100_000; i++) {
+                checksum += source.version() + source.held(11_000_000, i % 300).number();
+            }
+            allocated = threads.getThreadAllocatedBytes(threadId) - allocated;
+        }
+        assertThat(checksum).isPositive();
+        assertThat(allocated).isLessThan(1000);
+    }
+
+    /** A group whose facts are older than those of its current targets is skipped. */
+    @Test
+    void olderFactsInNewerPlanDoNotReplaceNewerOnes() {
+        source.offer(10_000_000, plan(1, facts(9_000_000, 3, 20, 5, 0, 12, 4)));
+        double c0 = source.of(10_000_000, facts(10_000_000, 3, 20, 0, 0, 0, 0)).c0()[2];
+        assertThat(source.offer(10_000_000, plan(2, facts(1_000_000, 3, 20, 1, 0, 1, 0))))
+                .isEqualTo(PlanKeeper.Refusal.NONE);
+        assertThat(source.of(10_000_000, facts(10_000_000, 3, 20, 0, 0, 0, 0)).c0()[2])
+                .isEqualTo(c0);
+    }
+
+    /**
+     * Whatever plan is offered, the targets that apply are within the bounds of the method, at any
+     * age.
+     */
+    @Property(tries = 2000, seed = "17")
+    void everyAcceptedPlanStaysWithinBounds(@ForAll @LongRange(min = 0) long seed) {
+        SplittableRandom random = new SplittableRandom(seed);
+        double[] calls = new double[CLASSES];
+        for (int i = 0; i < CLASSES; i++) {
+            calls[i] = random.nextInt(3) == 0 ? 0 : random.nextDouble() * 40;
+        }
+        GroupPlan group = planner.of(0, facts(0, 1, random.nextInt(60), calls));
+        boolean corrupted = random.nextInt(3) > 0;
+        for (int i = 0; corrupted && i < 1 + random.nextInt(2); i++) {
+            double[] invalidValues = {Double.NaN, -1, Double.POSITIVE_INFINITY, 0, 1e-300, 7};
+            double value = invalidValues[random.nextInt(invalidValues.length)];
+            int index = random.nextInt(CLASSES);
+            switch (random.nextInt(5)) {
+                case 0 -> group.c0()[index] = value;
+                case 1 -> group.c1()[index] = value;
+                case 2 -> group.phantoms()[index] = value;
+                case 3 -> group.seen()[index] = !group.seen()[index];
+                default ->
+                        group =
+                                new GroupPlan(
+                                        0,
+                                        1,
+                                        value,
+                                        group.c0(),
+                                        group.c1(),
+                                        group.seen(),
+                                        group.phantoms());
+            }
+        }
+        PlanKeeper.Refusal rejection =
+                source.offer(0, new Plan(7, source.version() + 1, List.of(group)));
+        assertThat(corrupted || rejection == PlanKeeper.Refusal.NONE).isTrue();
+        if (rejection != PlanKeeper.Refusal.NONE) {
+            return;
+        }
+        GroupPlan targets = source.of(0, facts(0, 1, 1, calls));
+        for (long age = 0;
+                targets != null;
+                age += 5_000_000, targets = source.of(age, facts(0, 1, 1, calls))) {
+            double least = Double.POSITIVE_INFINITY;
+            double sum = 0;
+            for (int i = 0; i < CLASSES; i++) {
+                assertThat(targets.c0()[i]).isBetween(0.0, Double.MAX_VALUE);
+                assertThat(targets.c1()[i]).isBetween(0.0, Double.MAX_VALUE);
+                assertThat(targets.c0()[i] + targets.c1()[i] > 0).isEqualTo(targets.seen()[i]);
+                sum += targets.c0()[i];
+                least =
+                        targets.c0()[i] > 0
+                                ? Math.min(
+                                        least,
+                                        targets.c1()[i] > 0
+                                                ? Math.min(targets.c0()[i], targets.c1()[i])
+                                                : targets.c0()[i])
+                                : least;
+            }
+            assertThat(targets.beta()).isPositive();
+            if (sum > 0) {
+                assertThat(targets.beta()).isLessThanOrEqualTo(0.05 * least * (1 + 1e-6));
+            }
+        }
+    }
+
+    /** Returns how many of 60 simultaneous sessions are sent to the exchange. */
+    private static int sent(Choice router, long now, long first) {
+        int sent = 0;
+        for (int i = 0; i < 60; i++) {
+            Session session =
+                    new Session(
+                            first + i,
+                            1,
+                            0,
+                            1,
+                            1,
+                            -1,
+                            false,
+                            1000 + first + i,
+                            false,
+                            false,
+                            now,
+                            now + 9_000_000);
+            sent += router.route(now, session).kind() == Answer.Kind.SEND ? 1 : 0;
+        }
+        return sent;
+    }
+
+    /**
+     * A plan from before an exchange's restart or drain lifts neither the cold-start limit nor the
+     * drain.
+     */
+    @Test
+    void planFromBeforeRestartDoesNotLiftLimits() {
+        long now = 100_000_000;
+        PlanKeeper plannedTargets = new PlanKeeper(SETTINGS, f -> {});
+        assertThat(
+                        plannedTargets.offer(
+                                now, plan(1, facts(now - 10_000_000, 1, 1000, 0, 0, 400, 0))))
+                .isEqualTo(PlanKeeper.Refusal.NONE);
+        int[] cold = new int[2];
+        int[] drained = new int[2];
+        for (int i = 0; i < 2; i++) {
+            Choice router =
+                    new Choice(
+                            SETTINGS, new SplittableRandom(1), i == 0 ? planner : plannedTargets);
+            router.roster(
+                    now, true, List.of(new Exchange(101, 1, Exchange.Phase.READY, now - 1000)));
+            router.circuits(now, 101, 1000, 1000);
+            cold[i] = sent(router, now, 1);
+            router.roster(
+                    now + 1000,
+                    true,
+                    List.of(new Exchange(101, 1, Exchange.Phase.DRAINING, now - 1000)));
+            drained[i] = sent(router, now + 1000, 100);
+        }
+        assertThat(cold[1]).isEqualTo(cold[0]).isBetween(1, 5);
+        assertThat(drained).containsExactly(0, 0);
+    }
+
+    /**
+     * A plan that arrives between a session's INVITE and its retry changes targets, but not the
+     * route of the retry.
+     */
+    @Test
+    void planThatArrivesDuringRetryKeepsRoute() {
+        for (boolean planArrives : new boolean[] {false, true}) {
+            PlanKeeper plannedTargets = new PlanKeeper(SETTINGS, f -> {});
+            Choice router = new Choice(SETTINGS, new SplittableRandom(1), plannedTargets);
+            router.roster(
+                    1,
+                    true,
+                    List.of(
+                            new Exchange(101, 1, Exchange.Phase.READY, 0),
+                            new Exchange(102, 2, Exchange.Phase.READY, 0)));
+            router.circuits(1, 101, 50, 50);
+            router.circuits(1, 102, 50, 50);
+            Session session = new Session(1, 1, 0, 1, 1, -1, false, 55, false, false, 1, 9_000_000);
+            assertThat(router.route(1, session)).isEqualTo(Answer.send(101, 8_999_999));
+            if (planArrives) {
+                assertThat(
+                                plannedTargets.offer(
+                                        100_000,
+                                        plan(
+                                                1,
+                                                facts(1, 1, 50, 0, 0, 400, 0),
+                                                facts(1, 2, 50, 0, 0, 10, 0))))
+                        .isEqualTo(PlanKeeper.Refusal.NONE);
+            }
+            assertThat(
+                            router.after(
+                                    200_000,
+                                    1,
+                                    Ending.NOT_SENT,
+                                    Cause.NO_CIRCUIT,
+                                    101,
+                                    199_999,
+                                    0,
+                                    false))
+                    .isEqualTo(Answer.send(102, 8_800_000));
+        }
+    }
+}
--- a/src/test/java/coralcove/Desk.java
+++ b/src/test/java/coralcove/RouterHarness.java
@@ -13,29 +13,29 @@
 import java.util.SplittableRandom;
 
 /**
- * One router at its desk: exchanges 101, 102, ... carry the numbers 1, 2, ...; the own one is
- * number 0, id 100.
+ * Drives one router and records its decisions as a text trace. Exchanges 101, 102, ... have the
+ * numbers 1, 2, ...; the local exchange has number 0 and id 100.
  */
-final class Desk {
+final class RouterHarness {
     static final long MS = 1000;
     private final CallRouter router;
     private final Map<Long, Session> sessions = new HashMap<>();
     private final StringBuilder trace = new StringBuilder();
     private long now = 1_000_000;
 
-    Desk() {
+    RouterHarness() {
         this(4, 2);
     }
 
     /**
-     * Two services: 0 plain (value 1, hold 10 s), 1 dear (value 4, hold 5 s); both one circuit,
-     * target 1 s.
+     * Creates a router for two services: 0 of low value (value 1, hold time 10 s) and 1 of high
+     * value (value 4, hold time 5 s), both with one circuit and a post-dial target of 1 s.
      */
-    Desk(int inviteLimit, int routers) {
+    RouterHarness(int inviteLimit, int routers) {
         this(inviteLimit, routers, false);
     }
 
-    Desk(int inviteLimit, int routers, boolean pools) {
+    RouterHarness(int inviteLimit, int routers, boolean pools) {
         List<Settings.Service> services =
                 List.of(
                         new Settings.Service(1_000_000, 1, 0.1, 1, 10_000_000, true, List.of(1, 2)),
@@ -61,19 +61,19 @@
                         new SplittableRandom(1));
     }
 
-    Desk roster(Phase phase, long since, int... numbers) {
+    RouterHarness exchanges(Phase phase, long since, int... numbers) {
         for (int number : numbers) {
             router.roster(now, false, List.of(new Exchange(100 + number, number, phase, since)));
         }
         return this;
     }
 
-    Desk circuits(int number, int free, int size) {
+    RouterHarness circuits(int number, int free, int size) {
         router.circuits(now, 100 + number, free, size);
         return this;
     }
 
-    Desk pass(long millis) {
+    RouterHarness advance(long millis) {
         now += millis * MS;
         return this;
     }
@@ -99,34 +99,36 @@
                         now + 3_000_000));
     }
 
-    /** A session to far end 1 that names the number it calls. */
+    /** Routes a session to far end 1 with a called number. */
     Answer dial(long id, long number, boolean redialled, boolean cut) {
         return call(
                 new Session(
                         id, 0, 0, 1, 1, -1, false, number, redialled, cut, now, now + 3_000_000));
     }
 
-    Answer advised(long id, int farEnd, int tandem) {
+    /** Routes a session for which a routing centre advised a tandem. */
+    Answer callWithAdvice(long id, int farEnd, int tandem) {
         return call(
                 new Session(
                         id, 0, 0, farEnd, 1, tandem, false, 0, false, false, now, now + 3_000_000));
     }
 
-    Desk peer(int... body) {
+    RouterHarness peerMessage(int... body) {
         router.peer(now, 1, bytes(body));
         return this;
     }
 
-    Desk lost() {
+    RouterHarness directoryLost() {
         router.rosterLost(now);
         return note("the directory's news is lost");
     }
 
-    Desk tells() {
-        Waiting waiting = router.waiting(now);
-        waiting.broadcasts()
+    /** Notes the messages to peers and the subscription that the router requests. */
+    RouterHarness pendingActions() {
+        Waiting actions = router.waiting(now);
+        actions.broadcasts()
                 .forEach(body -> note("tells all others " + HexFormat.of().formatHex(body)));
-        return waiting.subscribe() ? note("subscribes") : this;
+        return actions.subscribe() ? note("subscribes") : this;
     }
 
     private static byte[] bytes(int... values) {
@@ -137,7 +139,7 @@
         return bytes;
     }
 
-    Answer transit(long id, int service, int farEnd) {
+    Answer callInTransit(long id, int service, int farEnd) {
         return call(
                 new Session(
                         id, service, 0, farEnd, 1, 7, true, 0, false, false, now, now + 3_000_000));
@@ -145,7 +147,7 @@
 
     Answer call(Session session) {
         sessions.put(session.id(), session);
-        return say(
+        return recordDecision(
                 "session "
                         + session.id()
                         + " service "
@@ -156,44 +158,45 @@
                 router.route(now, session));
     }
 
-    Answer again(long id) {
-        return say("session " + id + " again", router.route(now, sessions.get(id)));
+    Answer routeAgain(long id) {
+        return recordDecision("session " + id + " again", router.route(now, sessions.get(id)));
     }
 
-    Answer after(long id, Ending ending, Cause cause, long took) {
-        return after(id, ending, cause, took, false);
+    Answer outcome(long id, Ending outcome, Cause cause, long took) {
+        return outcome(id, outcome, cause, took, false);
     }
 
-    Answer after(long id, Ending ending, Cause cause, long took, boolean over) {
-        return say(
-                "session " + id + " " + ending + " " + cause + (over ? " over" : ""),
-                router.after(now, id, ending, cause, 0, took * MS, 0, over));
+    Answer outcome(long id, Ending outcome, Cause cause, long took, boolean over) {
+        return recordDecision(
+                "session " + id + " " + outcome + " " + cause + (over ? " over" : ""),
+                router.after(now, id, outcome, cause, 0, took * MS, 0, over));
     }
 
-    Desk ended(long id) {
+    RouterHarness ended(long id) {
         router.ended(now, id);
         return this;
     }
 
     /**
-     * Offers sessions evenly and notes how many were sent; each sent one stands at once, after 50
-     * ms as told.
+     * Offers sessions at even intervals and notes how many were sent. The call of each one sent is
+     * established at once, with a reported set-up time of 50 ms.
      */
-    Desk load(long from, int count, int service, int farEnd, long gapMillis) {
-        return load(from, count, service, farEnd, gapMillis, 0);
+    RouterHarness offerLoad(long from, int count, int service, int farEnd, long gapMillis) {
+        return offerLoad(from, count, service, farEnd, gapMillis, 0);
     }
 
-    /** The same with set-ups that take their time, one by one. */
-    Desk load(long from, int count, int service, int farEnd, long gapMillis, long took) {
+    /** The same with set-ups that take {@code took} ms, one after the other. */
+    RouterHarness offerLoad(
+            long from, int count, int service, int farEnd, long gapMillis, long took) {
         int sent = 0;
         for (long id = from; id < from + count; id++) {
-            pass(gapMillis);
-            int before = trace.length();
+            advance(gapMillis);
+            int lengthBefore = trace.length();
             if (call(id, service, farEnd).kind() == Answer.Kind.SEND) {
                 sent++;
-                pass(took).after(id, Ending.STANDS, Cause.NONE, took == 0 ? 50 : took);
+                advance(took).outcome(id, Ending.STANDS, Cause.NONE, took == 0 ? 50 : took);
             }
-            trace.setLength(before);
+            trace.setLength(lengthBefore);
         }
         return note(
                 count
@@ -206,35 +209,35 @@
                         + " sent");
     }
 
-    Desk note(String text) {
+    RouterHarness note(String text) {
         trace.append(now / MS).append(" ms  ").append(text).append('\n');
         return this;
     }
 
-    private Answer say(String what, Answer answer) {
-        String out =
-                switch (answer.kind()) {
+    private Answer recordDecision(String event, Answer decision) {
+        String text =
+                switch (decision.kind()) {
                     case SEND ->
                             "send to "
-                                    + answer.exchange()
+                                    + decision.exchange()
                                     + ", limit "
-                                    + answer.time() / MS
+                                    + decision.time() / MS
                                     + " ms";
-                    case LATER -> "later, at " + answer.time() / MS + " ms";
-                    case REFUSE -> "refuse, come back after " + answer.time() / MS + " ms";
+                    case LATER -> "later, at " + decision.time() / MS + " ms";
+                    case REFUSE -> "refuse, come back after " + decision.time() / MS + " ms";
                     case FAIL -> "fail";
                     case NOTHING -> "nothing";
                 };
-        note(what + " -> " + out);
-        return answer;
+        note(event + " -> " + text);
+        return decision;
     }
 
-    void reads(String name) {
-        assertThat(trace.toString()).isEqualTo(kept(name));
+    void assertTrace(String name) {
+        assertThat(trace.toString()).isEqualTo(readTrace(name));
     }
 
-    static String kept(String name) {
-        try (InputStream in = Desk.class.getResourceAsStream("/traces/" + name + ".txt")) {
+    static String readTrace(String name) {
+        try (InputStream in = RouterHarness.class.getResourceAsStream("/traces/" + name + ".txt")) {
             return in == null ? "" : new String(in.readAllBytes(), StandardCharsets.UTF_8);
         } catch (IOException e) {
             throw new IllegalStateException(e);
