--- a/src/main/java/coralcove/Exchange.java
+++ b/src/main/java/coralcove/Exchange.java
@@ -1,8 +1,11 @@
 package coralcove;
 
 /**
- * One entry of the exchange list: the machine {@code id} serves the exchange number {@code number}.
- * {@code since} is the time of its last start, 0 if that was long ago.
+ * One entry of the exchange list: a machine that serves an exchange number.
+ *
+ * @param id identifies the machine; a replacement has a new id
+ * @param number number of the exchange, which its trunk groups belong to
+ * @param since time of its last start, 0 if that was long ago
  */
 public record Exchange(long id, int number, Phase phase, long since) {
     /** Whether an exchange accepts new sessions. */
--- a/src/main/java/coralcove/GroupFacts.java
+++ b/src/main/java/coralcove/GroupFacts.java
@@ -1,8 +1,11 @@
 package coralcove;
 
 /**
- * The measurements from which the targets of one trunk group are computed: the time of the
- * measurement, the group's number and size in circuits, and the offered load of each class in
- * erlangs (mean simultaneous calls).
+ * The measured load of one trunk group, from which its targets are computed.
+ *
+ * @param at time of the measurement
+ * @param number number of the exchange that the group leads to
+ * @param size circuits of the group
+ * @param calls offered load of each class, in erlangs
  */
 public record GroupFacts(long at, int number, int size, double[] calls) {}
--- a/src/main/java/coralcove/GroupPlan.java
+++ b/src/main/java/coralcove/GroupPlan.java
@@ -1,9 +1,15 @@
 package coralcove;
 
 /**
- * The targets of one trunk group. Per class: c0 for accepted calls, c1 for refused calls, whether
- * any load of the class was seen, and the number of phantom calls that a class starts with when it
- * gets its first targets. β applies to the whole group. {@code at} is the time of the measurements.
+ * The targets of one trunk group; the arrays have one entry per class.
+ *
+ * @param at time of the measurements that the targets rest on
+ * @param number number of the exchange that the group leads to
+ * @param beta β, the exponent of the penalty
+ * @param c0 target for accepted calls, in circuits
+ * @param c1 target for refused calls, in circuits
+ * @param seen whether the class has any load
+ * @param phantoms phantom calls that a class starts with when it gets its first targets
  */
 public record GroupPlan(
         long at,
--- a/src/main/java/coralcove/PlanKeeper.java
+++ b/src/main/java/coralcove/PlanKeeper.java
@@ -57,20 +57,20 @@
     /** Indexed by group number, so that a look-up allocates nothing. */
     private GroupPlan[] plans = {};
 
-    private final Consumer<GroupFacts> factsListener;
+    private final Consumer<GroupFacts> loadListener;
     private long version;
 
-    /** Passes the measurements of each group on to {@code factsListener}. */
-    public PlanKeeper(Settings settings, Consumer<GroupFacts> factsListener) {
+    /** Passes the load of each group on to {@code loadListener}. */
+    public PlanKeeper(Settings settings, Consumer<GroupFacts> loadListener) {
         router = settings.ownNumber();
         classCount = 2 * settings.services().size();
-        this.factsListener = factsListener;
+        this.loadListener = loadListener;
     }
 
     @Override
-    public GroupPlan of(long now, GroupFacts facts) {
-        factsListener.accept(facts);
-        return held(now, facts.number());
+    public GroupPlan of(long now, GroupFacts load) {
+        loadListener.accept(load);
+        return held(now, load.number());
     }
 
     @Override
@@ -172,7 +172,7 @@
 
     // ---- age
 
-    /** Returns the age of a group's targets; a group without any is stale. */
+    /** Returns how fresh a group's targets are; a group without any is stale. */
     public Age age(long now, int number) {
         GroupPlan plan = plan(number);
         long age = plan == null ? STALE_FROM : now - plan.at();
--- a/src/main/java/coralcove/Planner.java
+++ b/src/main/java/coralcove/Planner.java
@@ -59,21 +59,21 @@
      * times the least of c0/b, and of c1/b where 0 &lt; α &lt; 1.
      */
     @Override
-    public GroupPlan of(long now, GroupFacts facts) {
+    public GroupPlan of(long now, GroupFacts load) {
         int n = classes.length;
         GroupPlan plan =
                 new GroupPlan(
-                        facts.at(),
-                        facts.number(),
+                        load.at(),
+                        load.number(),
                         0,
                         new double[n],
                         new double[n],
                         new boolean[n],
                         new double[n]);
-        double left = facts.size() / (1 + 4 * EPSILON);
+        double left = load.size() / (1 + 4 * EPSILON);
         double least = Double.POSITIVE_INFINITY;
         for (int i : classesByValue) {
-            double rho = facts.calls()[i];
+            double rho = load.calls()[i];
             int b = classes[i].circuits;
             double need = rho * b;
             plan.seen()[i] = need > 0;
--- a/src/main/java/coralcove/Targets.java
+++ b/src/main/java/coralcove/Targets.java
@@ -6,10 +6,10 @@
  */
 public interface Targets {
     /**
-     * Returns the targets for these measurements, or null for none; without targets any call that
-     * fits is accepted, as at the start.
+     * Returns the targets for this load, or null for none; without targets any call that fits is
+     * accepted, as at the start.
      */
-    GroupPlan of(long now, GroupFacts facts);
+    GroupPlan of(long now, GroupFacts load);
 
     /**
      * Returns a number that changes when new targets have arrived; always 0 if {@link #of} computes
@@ -19,7 +19,7 @@
         return 0;
     }
 
-    /** Returns a group's current targets without new measurements, or null for none. */
+    /** Returns a group's current targets without a new measurement, or null for none. */
     default GroupPlan held(long now, int number) {
         return null;
     }
--- a/src/test/java/coralcove/PlannedTargetSourceTest.java
+++ b/src/test/java/coralcove/PlannedTargetSourceTest.java
@@ -34,30 +34,30 @@
                     0.3,
                     10_000_000);
     private static final int CLASSES = 4;
-    private final List<GroupFacts> reportedFacts = new ArrayList<>();
-    private final PlanKeeper source = new PlanKeeper(SETTINGS, reportedFacts::add);
+    private final List<GroupFacts> reportedLoads = new ArrayList<>();
+    private final PlanKeeper source = new PlanKeeper(SETTINGS, reportedLoads::add);
     private final Planner planner = new Planner(SETTINGS);
 
-    private static GroupFacts facts(long at, int number, int size, double... calls) {
+    private static GroupFacts load(long at, int number, int size, double... calls) {
         return new GroupFacts(at, number, size, calls);
     }
 
-    private Plan plan(long version, GroupFacts... measurements) {
+    private Plan plan(long version, GroupFacts... loads) {
         List<GroupPlan> groups = new ArrayList<>();
-        for (GroupFacts facts : measurements) {
-            groups.add(planner.of(facts.at(), facts));
+        for (GroupFacts load : loads) {
+            groups.add(planner.of(load.at(), load));
         }
         return new Plan(7, version, groups);
     }
 
     @Test
     void planLosesWeightWithAge() {
-        GroupFacts facts = facts(0, 3, 20, 5, 0, 12, 4);
-        assertThat(source.of(0, facts)).isNull();
-        assertThat(source.offer(0, plan(1, facts))).isEqualTo(PlanKeeper.Refusal.NONE);
+        GroupFacts load = load(0, 3, 20, 5, 0, 12, 4);
+        assertThat(source.of(0, load)).isNull();
+        assertThat(source.offer(0, plan(1, load))).isEqualTo(PlanKeeper.Refusal.NONE);
         StringBuilder trace = new StringBuilder();
         for (long seconds : new long[] {0, 15, 16, 30, 45, 59, 60}) {
-            GroupPlan targets = source.of(seconds * 1_000_000, facts);
+            GroupPlan targets = source.of(seconds * 1_000_000, load);
             trace.append(seconds).append(" s ").append(source.age(seconds * 1_000_000, 3));
             for (int i = 0; targets != null && i < CLASSES; i++) {
                 trace.append(String.format(" %.2f/%.2f", targets.c0()[i], targets.c1()[i]));
@@ -69,26 +69,23 @@
                     .append('\n');
         }
         assertThat(trace.toString()).isEqualTo(Kept.trace("plan-ages"));
-        assertThat(reportedFacts).hasSize(8);
+        assertThat(reportedLoads).hasSize(8);
     }
 
     @Test
     void rejectsInvalidPlanAsAWhole() {
-        GroupFacts validFacts = facts(100_000_000, 3, 20, 5, 0, 12, 4);
+        GroupFacts validLoad = load(100_000_000, 3, 20, 5, 0, 12, 4);
         long now = 101_000_000;
-        assertThat(source.offer(now, plan(5, validFacts))).isEqualTo(PlanKeeper.Refusal.NONE);
-        assertThat(source.offer(now, plan(5, validFacts)))
+        assertThat(source.offer(now, plan(5, validLoad))).isEqualTo(PlanKeeper.Refusal.NONE);
+        assertThat(source.offer(now, plan(5, validLoad)))
                 .isEqualTo(PlanKeeper.Refusal.OLDER_VERSION);
         assertThat(source.offer(now, new Plan(8, 6, List.of())))
                 .isEqualTo(PlanKeeper.Refusal.OTHER_ROUTER);
-        assertThat(
-                        source.offer(
-                                now,
-                                plan(6, validFacts, facts(now - 60_000_000, 4, 20, 1, 0, 0, 0))))
+        assertThat(source.offer(now, plan(6, validLoad, load(now - 60_000_000, 4, 20, 1, 0, 0, 0))))
                 .isEqualTo(PlanKeeper.Refusal.OLD_FACTS);
-        assertThat(source.offer(now, plan(6, facts(now + 1_000_001, 4, 20, 1, 0, 0, 0))))
+        assertThat(source.offer(now, plan(6, load(now + 1_000_001, 4, 20, 1, 0, 0, 0))))
                 .isEqualTo(PlanKeeper.Refusal.FUTURE_FACTS);
-        GroupPlan malformed = planner.of(now, validFacts);
+        GroupPlan malformed = planner.of(now, validLoad);
         malformed.c0()[0] = Double.NaN;
         assertThat(source.offer(now, new Plan(7, 6, List.of(malformed))))
                 .isEqualTo(PlanKeeper.Refusal.OUT_OF_RANGE);
@@ -111,7 +108,7 @@
     @Test
     void lookUpOfFreshPlanAllocatesNothing() {
         for (int group = 0; group < 300; group++) {
-            source.offer(10_000_000, plan(1 + group, facts(9_000_000, group, 20, 5, 0, 12, 4)));
+            source.offer(10_000_000, plan(1 + group, load(9_000_000, group, 20, 5, 0, 12, 4)));
         }
         com.sun.management.ThreadMXBean threads =
                 (com.sun.management.ThreadMXBean)
@@ -131,14 +128,14 @@
         assertThat(allocated).isLessThan(1000);
     }
 
-    /** A group whose facts are older than those of its current targets is skipped. */
+    /** A group is skipped if its load was measured before that of its current targets. */
     @Test
-    void olderFactsInNewerPlanDoNotReplaceNewerOnes() {
-        source.offer(10_000_000, plan(1, facts(9_000_000, 3, 20, 5, 0, 12, 4)));
-        double c0 = source.of(10_000_000, facts(10_000_000, 3, 20, 0, 0, 0, 0)).c0()[2];
-        assertThat(source.offer(10_000_000, plan(2, facts(1_000_000, 3, 20, 1, 0, 1, 0))))
+    void olderMeasurementsInNewerPlanDoNotReplaceNewerOnes() {
+        source.offer(10_000_000, plan(1, load(9_000_000, 3, 20, 5, 0, 12, 4)));
+        double c0 = source.of(10_000_000, load(10_000_000, 3, 20, 0, 0, 0, 0)).c0()[2];
+        assertThat(source.offer(10_000_000, plan(2, load(1_000_000, 3, 20, 1, 0, 1, 0))))
                 .isEqualTo(PlanKeeper.Refusal.NONE);
-        assertThat(source.of(10_000_000, facts(10_000_000, 3, 20, 0, 0, 0, 0)).c0()[2])
+        assertThat(source.of(10_000_000, load(10_000_000, 3, 20, 0, 0, 0, 0)).c0()[2])
                 .isEqualTo(c0);
     }
 
@@ -153,7 +150,7 @@
         for (int i = 0; i < CLASSES; i++) {
             calls[i] = random.nextInt(3) == 0 ? 0 : random.nextDouble() * 40;
         }
-        GroupPlan group = planner.of(0, facts(0, 1, random.nextInt(60), calls));
+        GroupPlan group = planner.of(0, load(0, 1, random.nextInt(60), calls));
         boolean corrupted = random.nextInt(3) > 0;
         for (int i = 0; corrupted && i < 1 + random.nextInt(2); i++) {
             double[] invalidValues = {Double.NaN, -1, Double.POSITIVE_INFINITY, 0, 1e-300, 7};
@@ -182,10 +179,10 @@
         if (rejection != PlanKeeper.Refusal.NONE) {
             return;
         }
-        GroupPlan targets = source.of(0, facts(0, 1, 1, calls));
+        GroupPlan targets = source.of(0, load(0, 1, 1, calls));
         for (long age = 0;
                 targets != null;
-                age += 5_000_000, targets = source.of(age, facts(0, 1, 1, calls))) {
+                age += 5_000_000, targets = source.of(age, load(0, 1, 1, calls))) {
             double least = Double.POSITIVE_INFINITY;
             double sum = 0;
             for (int i = 0; i < CLASSES; i++) {
@@ -242,7 +239,7 @@
         PlanKeeper plannedTargets = new PlanKeeper(SETTINGS, f -> {});
         assertThat(
                         plannedTargets.offer(
-                                now, plan(1, facts(now - 10_000_000, 1, 1000, 0, 0, 400, 0))))
+                                now, plan(1, load(now - 10_000_000, 1, 1000, 0, 0, 400, 0))))
                 .isEqualTo(PlanKeeper.Refusal.NONE);
         int[] cold = new int[2];
         int[] drained = new int[2];
@@ -289,8 +286,8 @@
                                         100_000,
                                         plan(
                                                 1,
-                                                facts(1, 1, 50, 0, 0, 400, 0),
-                                                facts(1, 2, 50, 0, 0, 10, 0))))
+                                                load(1, 1, 50, 0, 0, 400, 0),
+                                                load(1, 2, 50, 0, 0, 10, 0))))
                         .isEqualTo(PlanKeeper.Refusal.NONE);
             }
             assertThat(
