--- a/src/main/java/coralcove/GroupPlan.java
+++ b/src/main/java/coralcove/GroupPlan.java
@@ -1,9 +1,15 @@
 package coralcove;
 
 /**
- * The targets of one group, per class: c0 for calls taken, c1 for calls refused, whether the class
- * was seen at all, and the phantoms that a class seen for the first time begins with. β is the
- * group's; {@code at} is the moment of the facts.
+ * The targets of one trunk group; the arrays have one entry per class.
+ *
+ * @param at time of the measurements that the targets rest on
+ * @param number number of the exchange that the group leads to
+ * @param beta β, the exponent of the penalty
+ * @param c0 target for accepted calls, in circuits
+ * @param c1 target for refused calls, in circuits
+ * @param seen whether the class has any load
+ * @param phantoms phantom calls that a class starts with when it gets its first targets
  */
 public record GroupPlan(
         long at,
