--- a/src/main/java/coralcove/edge/EdgeCore.java
+++ b/src/main/java/coralcove/edge/EdgeCore.java
@@ -37,99 +37,102 @@
 import java.util.function.Consumer;
 
 /**
- * One call router: it tells the module what happens and does what the module decides. Back to back
- * user agent: a session is a leg in and, one after another, legs out, all through the own exchange.
- * It decides nothing.
+ * One call router. It is a back-to-back user agent: a session has an inbound leg and, one after
+ * another, outbound legs, all through the local exchange. It informs the routing policy of every
+ * event and carries out the policy's decisions; it makes no routing decision itself.
  */
-public final class EdgeCore extends AgentCore implements RosterDesk.User, Locating {
-    private static final String BUSY = "Temporarily Unavailable";
+public final class EdgeCore extends AgentCore implements RosterManager.Listener, Locating {
+    private static final String TEMPORARILY_UNAVAILABLE = "Temporarily Unavailable";
 
     /**
-     * Bytes: a peer message longer than this is dropped and counted (the module's own bound is
-     * 256).
+     * Peer messages longer than this are dropped and counted. The routing policy's own limit is
+     * 256.
      */
-    private static final int LONGEST_NEWS = 512;
+    private static final int MAX_PEER_MESSAGE_BYTES = 512;
 
-    /** µs between two looks for what is remembered of moved numbers and of no use any more. */
-    private static final long SWEEP = 60_000_000;
+    /** Interval between two removals of outdated entries from the cache of ported numbers. */
+    private static final long PORTING_SWEEP_INTERVAL_US = 60_000_000;
 
     /**
-     * A session or a call for the own lines, from its INVITE until nothing more can come for it.
+     * A session, or a call for a line of the local exchange, from its INVITE until it is rejected
+     * or its established call ends.
      */
-    private static final class Held {
+    private static final class ActiveSession {
         final long id;
-        final Call in;
-        final long arrived;
-        final long limit;
+        final Call inboundCall;
+        final long arrivedAt;
+        final long deadline;
         CallHeaders headers;
 
-        /** Null for a call to the own lines, and while the far end is not known yet. */
+        /** Null for a call to a local line, and while the far end is not known yet. */
         Session session;
 
-        /**
-         * The way from the dialled number to the far end; null where the caller names the far end.
-         */
-        Search search;
+        /** Analysis of the dialled number; null if the caller names the far end. */
+        Search numberSearch;
 
-        boolean holdsTable;
-        Leg leg;
-        Timers.Timer later;
-        Cause last = Cause.NONE;
+        boolean holdsNumberTable;
+        OutboundLeg outboundLeg;
+
+        /** Runs while the session waits for its next INVITE or for the portability server. */
+        Timers.Timer waitTimer;
+
+        Cause lastCause = Cause.NONE;
         boolean answered;
-        boolean circuitsIn;
+        boolean holdsIncomingCircuits;
 
-        Held(long id, Call in, CallHeaders headers, long arrived, long limit) {
+        ActiveSession(
+                long id, Call inboundCall, CallHeaders headers, long arrivedAt, long deadline) {
             this.id = id;
-            this.in = in;
+            this.inboundCall = inboundCall;
             this.headers = headers;
-            this.arrived = arrived;
-            this.limit = limit;
+            this.arrivedAt = arrivedAt;
+            this.deadline = deadline;
         }
     }
 
     /**
-     * One INVITE out; it keeps its circuits until it is over, also when its session no longer waits
-     * for it.
+     * One outgoing INVITE and its call. It holds its circuits until it has ended, even after its
+     * session has stopped waiting for it.
      */
-    private static final class Leg {
-        final Held held;
-        final int number;
-        final long exchange;
+    private static final class OutboundLeg {
+        final ActiveSession activeSession;
+        final int exchangeNumber;
+        final long exchangeId;
         final long sentAt;
         Call call;
-        Timers.Timer limit;
-        boolean seized;
+        Timers.Timer timeoutTimer;
+        boolean holdsCircuits;
 
-        Leg(Held held, int number, long exchange, long sentAt) {
-            this.held = held;
-            this.number = number;
-            this.exchange = exchange;
+        OutboundLeg(ActiveSession activeSession, int exchangeNumber, long exchangeId, long sentAt) {
+            this.activeSession = activeSession;
+            this.exchangeNumber = exchangeNumber;
+            this.exchangeId = exchangeId;
             this.sentAt = sentAt;
         }
     }
 
     private final EdgeSettings settings;
-    private final CallRouter router;
-    private final Trunks trunks = new Trunks();
-    private final RosterDesk roster;
-    private final Map<Long, Held> open = new LinkedHashMap<>();
-    private final Map<String, Held> bySession = new HashMap<>();
-    private final TreeMap<Integer, int[]> toldCircuits = new TreeMap<>();
-    private long nextId = 1;
-    private int unanswered;
-    private Timers.Timer wake;
+    private final CallRouter policy;
+    private final TrunkGroups trunkGroups = new TrunkGroups();
+    private final RosterManager rosterManager;
+    private final Map<Long, ActiveSession> activeSessions = new LinkedHashMap<>();
+    private final Map<String, ActiveSession> bySessionId = new HashMap<>();
+    private final TreeMap<Integer, int[]> reportedCircuits = new TreeMap<>();
+    private long nextSessionId = 1;
+    private int unansweredCount;
+    private Timers.Timer wakeTimer;
     private long wakeAt;
     private boolean stopping;
-    private NumberDesk numbers;
-    private EdgeLink link;
-    private EdgeLink.Out linkOut;
+    private NumberDesk numberAnalysis;
+    private EdgeLink plannerLink;
+    private EdgeLink.Out plannerLinkOut;
 
-    public EdgeCore(EdgeSettings settings, CallRouter router) {
+    public EdgeCore(EdgeSettings settings, CallRouter policy) {
         super(settings.self(), settings.start());
         this.settings = settings;
-        this.router = router;
-        roster =
-                new RosterDesk(
+        this.policy = policy;
+        rosterManager =
+                new RosterManager(
                         settings,
                         agent,
                         timers,
@@ -138,64 +141,74 @@
     }
 
     /**
-     * What was kept before this start, and who keeps what is said from now on; told before the
-     * start.
+     * Restores the directory reports stored before this start, and sends all reports to {@code
+     * sink} from now on. Must be called before {@link #start}.
+     *
+     * @return the number of stored reports used
      */
-    public int resume(long now, List<Roster.Said> kept, Consumer<List<Roster.Said>> keep) {
-        return roster.resume(now, kept, keep);
+    public int resume(long now, List<Roster.Said> stored, Consumer<List<Roster.Said>> sink) {
+        return rosterManager.restore(now, stored, sink);
     }
 
     @Override
     public void locate(
-            long now, LocatorSettings of, Questions questions, Consumer<LocatorResult> results) {
-        roster.locate(now, of, questions, results);
+            long now,
+            LocatorSettings locatorSettings,
+            Questions questions,
+            Consumer<LocatorResult> results) {
+        rosterManager.startDnsDiscovery(now, locatorSettings, questions, results);
     }
 
     @Override
-    public void found(long now, LocatorResult it, Out out) {
-        roster.found(now, it, out);
-        rest(now, out);
+    public void found(long now, LocatorResult result, Out out) {
+        rosterManager.dnsAnswered(now, result, out);
+        performPendingActions(now, out);
     }
 
-    /** What sources say and what is believed. */
+    /** The reports of directories and DNS, and the roster merged from them. */
     public Roster roster() {
-        return roster.roster();
+        return rosterManager.roster();
     }
 
-    /** Takes nothing new from now on; {@link #idle} tells when all that is held has its answer. */
+    /**
+     * Rejects new sessions from now on; {@link #idle} tells when all accepted ones have a final
+     * response.
+     */
     public void stop() {
         stopping = true;
     }
 
+    /** Whether every accepted session has a final response. */
     public boolean idle() {
-        return unanswered == 0;
+        return unansweredCount == 0;
     }
 
+    /** Number of active sessions: those without a final response, and established calls. */
     public int sessions() {
-        return open.size();
+        return activeSessions.size();
     }
 
-    // ---- driven from outside
+    // ---- inputs
 
     @Override
     public void start(long now, Out out) {
-        roster.start(now, out);
-        if (numbers != null) {
-            timers.set(now + SWEEP, this::sweep);
+        rosterManager.start(now, out);
+        if (numberAnalysis != null) {
+            timers.set(now + PORTING_SWEEP_INTERVAL_US, this::sweepPortingCache);
         }
-        rest(now, out);
+        performPendingActions(now, out);
     }
 
     @Override
     public void receive(long now, Hop from, SipMessage message, Out out) {
         super.receive(now, from, message, out);
-        rest(now, out);
+        performPendingActions(now, out);
     }
 
     @Override
-    public void turnAway(long now, Hop from, SipMessage message, long comeBack, Out out) {
-        agent.turnAway(now, from, message, Outcomes.retryAfter(comeBack), out);
-        rest(now, out);
+    public void turnAway(long now, Hop from, SipMessage message, long retryAfter, Out out) {
+        agent.turnAway(now, from, message, Outcomes.retryAfter(retryAfter), out);
+        performPendingActions(now, out);
     }
 
     @Override
@@ -206,28 +219,28 @@
     @Override
     public void broken(long now, Hop peer, boolean refused, Out out) {
         super.broken(now, peer, refused, out);
-        rest(now, out);
+        performPendingActions(now, out);
     }
 
     @Override
     public void tick(long now, Out out) {
         super.tick(now, out);
-        rest(now, out);
+        performPendingActions(now, out);
     }
 
-    private void rest(long now, Out out) {
-        Waiting waiting = router.waiting(now);
+    private void performPendingActions(long now, Out out) {
+        Waiting waiting = policy.waiting(now);
         if (waiting.subscribe()) {
-            roster.ask(now, out);
+            rosterManager.subscribe(now, out);
         }
         waiting.probes().forEach(id -> probe(now, id, out));
         for (byte[] body : waiting.broadcasts()) {
-            tell(body, out);
+            broadcastToPeers(body, out);
         }
         if (waiting.until() > 0 && waiting.until() != wakeAt) {
-            timers.cancel(wake);
+            timers.cancel(wakeTimer);
             wakeAt = waiting.until();
-            wake = timers.set(wakeAt, (at, o) -> {});
+            wakeTimer = timers.set(wakeAt, (at, o) -> {});
         }
     }
 
@@ -247,11 +260,11 @@
                     "Bad Request",
                     out,
                     "Warning",
-                    "399 coralcove \"" + quoted(e) + "\"");
+                    "399 coralcove \"" + messageForHeader(e) + "\"");
             return;
         }
         boolean dialled = headers.farEnd() < 0;
-        if (dialled && numbers == null) {
+        if (dialled && numberAnalysis == null) {
             agent.count("bad-invite");
             agent.reject(
                     now,
@@ -263,19 +276,18 @@
                     "399 coralcove \"X-Far-End is missing\"");
             return;
         }
-        if (!dialled && !reachable(headers.farEnd())) {
+        if (!dialled && !isReachable(headers.farEnd())) {
             agent.count("404");
             agent.reject(now, call, 404, "Not Found", out);
             return;
         }
-        if (bySession.containsKey(call.sessionId())) {
-            // The same session again while it is in hand: it went round in a circle (RFC 3261
-            // 16.3).
+        if (bySessionId.containsKey(call.sessionId())) {
+            // The session is already active here, so the request has looped (RFC 3261 16.3).
             agent.count("482");
             agent.reject(now, call, 482, "Loop Detected", out);
             return;
         }
-        if (stopping || unanswered >= settings.mostOpen()) {
+        if (stopping || unansweredCount >= settings.mostOpen()) {
             agent.count(stopping ? "stopping" : "too-many-open");
             agent.reject(
                     now,
@@ -287,167 +299,185 @@
                     Outcomes.retryAfter(settings.module().longestComeBack()));
             return;
         }
-        boolean trunk = headers.origin() >= 0;
-        if (trunk && trunks.free(now, headers.origin()) < headers.width()) {
-            noCircuit(now, call, headers, out);
+        boolean inTransit = headers.origin() >= 0;
+        if (inTransit && trunkGroups.free(now, headers.origin()) < headers.width()) {
+            rejectForNoCircuit(now, call, headers, out);
             return;
         }
-        long limit = now + Math.max(0, headers.left() - settings.answerMargin());
-        Held held = new Held(nextId++, call, headers, now, limit);
-        call.owner(held);
-        open.put(held.id, held);
+        long deadline = now + Math.max(0, headers.left() - settings.answerMargin());
+        ActiveSession active = new ActiveSession(nextSessionId++, call, headers, now, deadline);
+        call.owner(active);
+        activeSessions.put(active.id, active);
         if (!call.sessionId().isEmpty()) {
-            bySession.put(call.sessionId(), held);
+            bySessionId.put(call.sessionId(), active);
         }
-        unanswered++;
-        if (trunk) {
-            trunks.seizeIn(headers.origin(), headers.width());
-            held.circuitsIn = true;
-            circuits(now, headers.origin());
+        unansweredCount++;
+        if (inTransit) {
+            trunkGroups.seizeIncoming(headers.origin(), headers.width());
+            active.holdsIncomingCircuits = true;
+            reportCircuits(now, headers.origin());
         }
         if (dialled) {
-            held.search =
+            active.numberSearch =
                     new Search(
-                            numbers.tables.enter(),
-                            held.id,
+                            numberAnalysis.numberTables.enter(),
+                            active.id,
                             headers.number(),
                             headers.service(),
-                            limit);
-            held.holdsTable = true;
-            follow(now, held, held.search.next(now, numbers.porting), out);
+                            deadline);
+            active.holdsNumberTable = true;
+            applySearchStep(
+                    now, active, active.numberSearch.next(now, numberAnalysis.porting), out);
         } else {
-            begin(now, held, out);
+            startSession(now, active, out);
         }
     }
 
-    private boolean reachable(int farEnd) {
-        return farEnd == settings.number() || roster.farEnds().contains(farEnd);
+    private boolean isReachable(int farEnd) {
+        return farEnd == settings.number() || rosterManager.farEnds().contains(farEnd);
     }
 
-    /** Whether the directory lists this far end, or has not told yet; asked from any thread. */
+    /**
+     * Whether the roster contains this far end or no list has been received yet. May be called from
+     * any thread.
+     */
     public boolean mayReach(int farEnd) {
-        return roster.farEnds().isEmpty() || reachable(farEnd);
+        return rosterManager.farEnds().isEmpty() || isReachable(farEnd);
     }
 
-    /** The far end is known: the module is asked, but for a call to the own lines. */
-    private void begin(long now, Held held, Out out) {
-        CallHeaders headers = held.headers;
-        boolean mine = headers.farEnd() == settings.number();
-        boolean trunk = headers.origin() >= 0;
+    /**
+     * Continues a session whose far end is known: delivers it if it is for a local line, otherwise
+     * asks the routing policy.
+     */
+    private void startSession(long now, ActiveSession active, Out out) {
+        CallHeaders headers = active.headers;
+        boolean isLocal = headers.farEnd() == settings.number();
+        boolean inTransit = headers.origin() >= 0;
         out.log(
-                mine ? "arrived" : trunk ? "transit" : "session",
-                held.in.sessionId(),
+                isLocal ? "arrived" : inTransit ? "transit" : "session",
+                active.inboundCall.sessionId(),
                 "far end " + headers.farEnd());
-        if (mine) {
-            deliver(now, held, held.limit, out);
+        if (isLocal) {
+            deliverToLocalLine(now, active, active.deadline, out);
             return;
         }
-        held.session =
+        active.session =
                 new Session(
-                        held.id,
+                        active.id,
                         headers.service(),
                         0,
                         headers.farEnd(),
                         headers.width(),
                         -1,
-                        trunk,
-                        digits(headers.number()),
+                        inTransit,
+                        parseDigits(headers.number()),
                         headers.redial(),
                         headers.cut(),
-                        held.arrived,
-                        held.limit);
-        carryOut(now, held, router.route(now, held.session), out);
+                        active.arrivedAt,
+                        active.deadline);
+        applyDecision(now, active, policy.route(now, active.session), out);
     }
 
     // ---- the planner
 
-    /** Ticks the link to a planner from now on; told once, on the router's own thread. */
-    public void planner(long now, EdgeLink to, EdgeLink.Out over) {
-        link = to;
-        linkOut = over;
-        timers.set(now, this::tickLink);
+    /** Ticks the link to a planner from now on. Must be called once, on the router's own thread. */
+    public void planner(long now, EdgeLink link, EdgeLink.Out out) {
+        plannerLink = link;
+        plannerLinkOut = out;
+        timers.set(now, this::tickPlannerLink);
     }
 
-    private void tickLink(long now, Out out) {
-        link.tick(now, linkOut);
-        timers.set(now + EdgeLink.every(), this::tickLink);
+    private void tickPlannerLink(long now, Out out) {
+        plannerLink.tick(now, plannerLinkOut);
+        timers.set(now + EdgeLink.every(), this::tickPlannerLink);
     }
 
     // ---- dialled numbers
 
-    /** Makes far ends of dialled numbers from now on; told before the start. */
-    public void numbers(NumberDesk desk) {
-        numbers = desk;
+    /** Accepts dialled numbers from now on. Must be called before {@link #start}. */
+    public void numbers(NumberDesk context) {
+        numberAnalysis = context;
     }
 
-    private void sweep(long now, Out out) {
-        numbers.porting.sweep(now);
-        timers.set(now + SWEEP, this::sweep);
+    private void sweepPortingCache(long now, Out out) {
+        numberAnalysis.porting.sweep(now);
+        timers.set(now + PORTING_SWEEP_INTERVAL_US, this::sweepPortingCache);
     }
 
-    private void follow(long now, Held held, Search.Step step, Out out) {
-        String id = held.in.sessionId();
-        String table = "table " + held.search.version();
+    private void applySearchStep(long now, ActiveSession active, Search.Step step, Out out) {
+        String id = active.inboundCall.sessionId();
+        String table = "table " + active.numberSearch.version();
         if (step instanceof Search.Route route) {
             out.log(
                     "far-end",
                     id,
                     table + " number " + route.number() + " far end " + route.farEnd());
-            held.headers = held.headers.to(route.farEnd());
-            if (reachable(route.farEnd())) {
-                begin(now, held, out);
+            active.headers = active.headers.to(route.farEnd());
+            if (isReachable(route.farEnd())) {
+                startSession(now, active, out);
             } else {
                 agent.count("404");
-                answer(now, held, 404, "Not Found", out);
+                rejectSession(now, active, 404, "Not Found", out);
             }
-        } else if (step instanceof Search.Refused no) {
-            out.log("no-far-end", id, table + " " + no.status());
-            agent.count(Integer.toString(no.status()));
-            if (no.number().isEmpty()) {
-                answer(now, held, no.status(), no.reason(), out);
+        } else if (step instanceof Search.Refused refused) {
+            out.log("no-far-end", id, table + " " + refused.status());
+            agent.count(Integer.toString(refused.status()));
+            if (refused.number().isEmpty()) {
+                rejectSession(now, active, refused.status(), refused.reason(), out);
             } else {
-                answer(
+                rejectSession(
                         now,
-                        held,
-                        no.status(),
-                        no.reason(),
+                        active,
+                        refused.status(),
+                        refused.reason(),
                         out,
                         "Contact",
-                        "<tel:" + no.number() + ">");
+                        "<tel:" + refused.number() + ">");
             }
         } else if (step instanceof Search.Wait wait) {
             out.log("portability", id, table + (wait.ask() ? " asks" : " waits"));
-            held.later = timers.set(wait.until(), (at, o) -> resume(at, held, o));
+            active.waitTimer =
+                    timers.set(wait.until(), (at, o) -> resumeNumberSearch(at, active, o));
             if (wait.ask()) {
-                numbers.asker.ask(now, wait.number());
+                numberAnalysis.portabilityClient.ask(now, wait.number());
             }
         }
     }
 
-    private void resume(long now, Held held, Out out) {
-        if (!held.answered && !held.search.over()) {
-            timers.cancel(held.later);
-            follow(now, held, held.search.resume(now, numbers.porting), out);
+    private void resumeNumberSearch(long now, ActiveSession active, Out out) {
+        if (!active.answered && !active.numberSearch.over()) {
+            timers.cancel(active.waitTimer);
+            applySearchStep(
+                    now, active, active.numberSearch.resume(now, numberAnalysis.porting), out);
         }
     }
 
-    /** The portability server's answer, or that there is none; {@code life} in µs. */
+    /**
+     * The result of a query to the portability server: {@code routingNumber} if the number has
+     * moved, valid for {@code lifetime} µs.
+     */
     public void ported(
-            long now, long number, Porting.Outcome outcome, long routing, long life, Out out) {
-        for (long id : numbers.porting.ended(now, number, outcome, routing, life)) {
-            Held held = open.get(id);
-            if (held != null) {
-                resume(now, held, out);
+            long now,
+            long number,
+            Porting.Outcome outcome,
+            long routingNumber,
+            long lifetime,
+            Out out) {
+        for (long id :
+                numberAnalysis.porting.ended(now, number, outcome, routingNumber, lifetime)) {
+            ActiveSession active = activeSessions.get(id);
+            if (active != null) {
+                resumeNumberSearch(now, active, out);
             }
         }
-        rest(now, out);
+        performPendingActions(now, out);
     }
 
-    /** Puts a table in service; one that is not newer is logged and left. */
+    /** Puts a number table in service; one that is not newer is logged and ignored. */
     public void replace(long now, NumberTable table, Out out) {
-        List<Long> gone;
+        List<Long> discardedVersions;
         try {
-            gone = numbers.tables.replace(table);
+            discardedVersions = numberAnalysis.numberTables.replace(table);
         } catch (IllegalArgumentException e) {
             out.log("table-refused", "", e.getMessage());
             return;
@@ -455,42 +485,53 @@
         out.log(
                 "table",
                 "",
-                "version " + table.version() + ", " + numbers.tables.count() + " kept");
-        if (!gone.isEmpty()) {
-            for (Held held : List.copyOf(open.values())) {
-                if (held.holdsTable
-                        && !held.search.over()
-                        && gone.contains(held.search.version())) {
-                    timers.cancel(held.later);
-                    held.search.gone(numbers.porting);
-                    held.search.restart(numbers.tables.enter());
-                    follow(now, held, held.search.next(now, numbers.porting), out);
+                "version "
+                        + table.version()
+                        + ", "
+                        + numberAnalysis.numberTables.count()
+                        + " kept");
+        if (!discardedVersions.isEmpty()) {
+            for (ActiveSession active : List.copyOf(activeSessions.values())) {
+                if (active.holdsNumberTable
+                        && !active.numberSearch.over()
+                        && discardedVersions.contains(active.numberSearch.version())) {
+                    timers.cancel(active.waitTimer);
+                    active.numberSearch.gone(numberAnalysis.porting);
+                    active.numberSearch.restart(numberAnalysis.numberTables.enter());
+                    applySearchStep(
+                            now,
+                            active,
+                            active.numberSearch.next(now, numberAnalysis.porting),
+                            out);
                 }
             }
         }
-        rest(now, out);
+        performPendingActions(now, out);
     }
 
-    /** A session with its final answer tries nothing more: it needs its table no longer. */
-    private void leaveTable(Held held) {
-        if (held.holdsTable) {
-            held.holdsTable = false;
-            held.search.gone(numbers.porting);
-            numbers.tables.leave(held.search.version());
+    /** Releases a session's number table, which it no longer needs after its final response. */
+    private void releaseNumberTable(ActiveSession active) {
+        if (active.holdsNumberTable) {
+            active.holdsNumberTable = false;
+            active.numberSearch.gone(numberAnalysis.porting);
+            numberAnalysis.numberTables.leave(active.numberSearch.version());
         }
     }
 
-    private static String quoted(Exception e) {
+    private static String messageForHeader(Exception e) {
         return e.getMessage().replaceAll("[\"\\\\\\r\\n]", "'");
     }
 
-    /** The number called as the module knows it: its digits, 0 if it has none. */
-    private static long digits(String number) {
+    /**
+     * The digits of the called number, as passed to the routing policy; 0 if there are none or more
+     * than 18.
+     */
+    private static long parseDigits(String number) {
         String digits = number.replaceAll("\\D", "");
         return digits.isEmpty() || digits.length() > 18 ? 0 : Long.parseLong(digits);
     }
 
-    private void noCircuit(long now, Call call, CallHeaders headers, Out out) {
+    private void rejectForNoCircuit(long now, Call call, CallHeaders headers, Out out) {
         agent.count("no-circuit");
         agent.reject(
                 now,
@@ -501,190 +542,225 @@
                 "Reason",
                 Outcomes.reason(Outcomes.NO_CIRCUIT, "no circuit"),
                 "X-Circuits",
-                Integer.toString(trunks.busy(headers.origin())));
+                Integer.toString(trunkGroups.busy(headers.origin())));
     }
 
-    /** A call for the own lines: no choice is left, it goes to the own exchange. */
-    private void deliver(long now, Held held, long limit, Out out) {
-        Leg leg = new Leg(held, settings.number(), 0, now);
-        held.leg = leg;
-        SipMessage invite = outgoing(held, limit - now);
+    /** Sends a call for a local line to the local exchange; there is no route to choose. */
+    private void deliverToLocalLine(long now, ActiveSession active, long deadline, Out out) {
+        OutboundLeg leg = new OutboundLeg(active, settings.number(), 0, now);
+        active.outboundLeg = leg;
+        SipMessage invite = buildOutgoingInvite(active, deadline - now);
         leg.call = agent.invite(now, invite, settings.exchange(), leg, out);
-        leg.limit =
+        leg.timeoutTimer =
                 timers.set(
-                        limit,
+                        deadline,
                         (at, o) -> {
                             agent.cancel(at, leg.call, o);
-                            answer(at, held, 408, "Request Timeout", o);
+                            rejectSession(at, active, 408, "Request Timeout", o);
                         });
     }
 
-    private SipMessage outgoing(Held held, long left) {
+    private SipMessage buildOutgoingInvite(ActiveSession active, long remainingTime) {
         SipMessage invite =
-                agent.request("INVITE", SipUri.text(held.headers.number(), settings.exchange()));
-        invite.set("Max-Forwards", Long.toString(held.in.invite().number("Max-Forwards", 70) - 1));
-        CallHeaders.pass(held.in.invite(), invite);
+                agent.request("INVITE", SipUri.text(active.headers.number(), settings.exchange()));
+        invite.set(
+                "Max-Forwards",
+                Long.toString(active.inboundCall.invite().number("Max-Forwards", 70) - 1));
+        CallHeaders.pass(active.inboundCall.invite(), invite);
         return CallHeaders.write(
-                invite, held.headers, held.headers.origin(), left, held.in.sessionId());
+                invite,
+                active.headers,
+                active.headers.origin(),
+                remainingTime,
+                active.inboundCall.sessionId());
     }
 
-    private void carryOut(long now, Held held, Answer answer, Out out) {
-        switch (answer.kind()) {
-            case SEND -> send(now, held, answer, out);
+    private void applyDecision(long now, ActiveSession active, Answer decision, Out out) {
+        switch (decision.kind()) {
+            case SEND -> sendInvite(now, active, decision, out);
             case LATER -> {
-                out.log("later", held.in.sessionId(), "in " + (answer.time() - now) / 1000 + " ms");
-                held.later =
+                out.log(
+                        "later",
+                        active.inboundCall.sessionId(),
+                        "in " + (decision.time() - now) / 1000 + " ms");
+                active.waitTimer =
                         timers.set(
-                                answer.time(),
+                                decision.time(),
                                 (at, o) -> {
-                                    if (!held.answered) {
-                                        carryOut(at, held, router.route(at, held.session), o);
+                                    if (!active.answered) {
+                                        applyDecision(
+                                                at, active, policy.route(at, active.session), o);
                                     }
                                 });
             }
-            case REFUSE -> refuse(now, held, answer.time(), out);
-            case FAIL -> answer(now, held, 500, "Terminated", out);
+            case REFUSE -> rejectByPolicy(now, active, decision.time(), out);
+            case FAIL -> rejectSession(now, active, 500, "Terminated", out);
             case NOTHING -> {}
         }
     }
 
-    private void send(long now, Held held, Answer answer, Out out) {
-        RosterDesk.Place place = roster.place(answer.exchange());
-        int number = place == null ? -1 : place.exchange().number();
-        Leg leg = new Leg(held, number, answer.exchange(), now);
-        held.leg = leg;
-        if (place == null) {
-            settle(now, leg, Ending.NOT_SENT, Cause.NONE, 0, out);
+    private void sendInvite(long now, ActiveSession active, Answer decision, Out out) {
+        RosterManager.RouterLocation location = rosterManager.locationOf(decision.exchange());
+        int exchangeNumber = location == null ? -1 : location.exchange().number();
+        OutboundLeg leg = new OutboundLeg(active, exchangeNumber, decision.exchange(), now);
+        active.outboundLeg = leg;
+        if (location == null) {
+            finishInvite(now, leg, Ending.NOT_SENT, Cause.NONE, 0, out);
             return;
         }
-        if (trunks.free(now, number) < held.headers.width()) {
-            settle(now, leg, Ending.NOT_SENT, Cause.NO_CIRCUIT, 0, out);
+        if (trunkGroups.free(now, exchangeNumber) < active.headers.width()) {
+            finishInvite(now, leg, Ending.NOT_SENT, Cause.NO_CIRCUIT, 0, out);
             return;
         }
-        trunks.seizeOut(number, held.headers.width());
-        leg.seized = true;
-        circuits(now, number);
-        SipMessage invite = outgoing(held, answer.time());
+        trunkGroups.seizeOutgoing(exchangeNumber, active.headers.width());
+        leg.holdsCircuits = true;
+        reportCircuits(now, exchangeNumber);
+        SipMessage invite = buildOutgoingInvite(active, decision.time());
         invite.set("X-Origin", Integer.toString(settings.number()));
-        invite.add("Route", "<" + SipUri.text(Integer.toString(number), place.edge()) + ";lr>");
-        out.log("invite", held.in.sessionId(), "to " + answer.exchange() + " number " + number);
+        invite.add(
+                "Route",
+                "<" + SipUri.text(Integer.toString(exchangeNumber), location.router()) + ";lr>");
+        out.log(
+                "invite",
+                active.inboundCall.sessionId(),
+                "to " + decision.exchange() + " number " + exchangeNumber);
         leg.call = agent.invite(now, invite, settings.exchange(), leg, out);
-        leg.limit =
+        leg.timeoutTimer =
                 timers.set(
-                        now + answer.time(),
+                        now + decision.time(),
                         (at, o) -> {
                             agent.cancel(at, leg.call, o);
-                            // What it held may stay taken for the release wait, and no longer.
+                            // Its circuits stay busy at most for the release wait.
                             timers.set(
                                     at + settings.module().releaseWait(),
-                                    (later, p) -> release(later, leg));
-                            settle(at, leg, Ending.TIMED_OUT, Cause.NONE, 0, o);
+                                    (releaseAt, unused) -> releaseCircuits(releaseAt, leg));
+                            finishInvite(at, leg, Ending.TIMED_OUT, Cause.NONE, 0, o);
                         });
     }
 
-    private void settle(long now, Leg leg, Ending ending, Cause cause, long namedWait, Out out) {
-        Held held = leg.held;
-        timers.cancel(leg.limit);
-        if (held.leg != leg) {
+    private void finishInvite(
+            long now, OutboundLeg leg, Ending outcome, Cause cause, long namedWait, Out out) {
+        ActiveSession active = leg.activeSession;
+        timers.cancel(leg.timeoutTimer);
+        if (active.outboundLeg != leg) {
             return;
         }
-        held.leg = null;
-        held.last = cause;
-        out.log("ended-invite", held.in.sessionId(), ending + " " + cause);
-        carryOut(
+        active.outboundLeg = null;
+        active.lastCause = cause;
+        out.log("ended-invite", active.inboundCall.sessionId(), outcome + " " + cause);
+        applyDecision(
                 now,
-                held,
-                router.after(
+                active,
+                policy.after(
                         now,
-                        held.id,
-                        ending,
+                        active.id,
+                        outcome,
                         cause,
-                        leg.exchange,
+                        leg.exchangeId,
                         now - leg.sentAt,
                         namedWait,
-                        held.answered),
+                        active.answered),
                 out);
     }
 
-    private void release(long now, Leg leg) {
-        if (leg.seized) {
-            leg.seized = false;
-            trunks.freeOut(leg.number, leg.held.headers.width());
-            circuits(now, leg.number);
+    private void releaseCircuits(long now, OutboundLeg leg) {
+        if (leg.holdsCircuits) {
+            leg.holdsCircuits = false;
+            trunkGroups.releaseOutgoing(leg.exchangeNumber, leg.activeSession.headers.width());
+            reportCircuits(now, leg.exchangeNumber);
         }
     }
 
-    private void refuse(long now, Held held, long comeBack, Out out) {
-        if (held.headers.origin() >= 0) {
-            boolean beyond = held.last == Cause.PROCESSOR_FULL;
-            answer(
+    /**
+     * Rejects a session that the policy refused: with a crankback if it is in transit, otherwise
+     * with the time after which the caller may retry, if there is one.
+     */
+    private void rejectByPolicy(long now, ActiveSession active, long retryAfter, Out out) {
+        if (active.headers.origin() >= 0) {
+            boolean fullBeyond = active.lastCause == Cause.PROCESSOR_FULL;
+            rejectSession(
                     now,
-                    held,
+                    active,
                     503,
                     "Turned Back",
                     out,
                     "Reason",
-                    beyond
+                    fullBeyond
                             ? Outcomes.reason(Outcomes.FULL_BEYOND, "full beyond")
                             : Outcomes.reason(Outcomes.TURNED_BACK, "turned back"));
-        } else if (comeBack > 0) {
-            answer(now, held, 480, BUSY, out, "Retry-After", Outcomes.retryAfter(comeBack));
+        } else if (retryAfter > 0) {
+            rejectSession(
+                    now,
+                    active,
+                    480,
+                    TEMPORARILY_UNAVAILABLE,
+                    out,
+                    "Retry-After",
+                    Outcomes.retryAfter(retryAfter));
         } else {
-            answer(now, held, 480, BUSY, out);
+            rejectSession(now, active, 480, TEMPORARILY_UNAVAILABLE, out);
         }
     }
 
-    /** The one final answer that is no 200. */
-    private void answer(long now, Held held, int status, String reason, Out out, String... extra) {
-        if (held.answered) {
+    /**
+     * Sends the final response that rejects the session, unless it already has a final response.
+     */
+    private void rejectSession(
+            long now,
+            ActiveSession active,
+            int status,
+            String reason,
+            Out out,
+            String... extraHeaders) {
+        if (active.answered) {
             return;
         }
-        out.log("answer", held.in.sessionId(), status + " " + reason);
-        agent.reject(now, held.in, status, reason, out, extra);
-        over(now, held);
+        out.log("answer", active.inboundCall.sessionId(), status + " " + reason);
+        agent.reject(now, active.inboundCall, status, reason, out, extraHeaders);
+        endSession(now, active);
     }
 
-    private void over(long now, Held held) {
-        if (!held.answered) {
-            held.answered = true;
-            unanswered--;
+    private void endSession(long now, ActiveSession active) {
+        if (!active.answered) {
+            active.answered = true;
+            unansweredCount--;
         }
-        timers.cancel(held.later);
-        leaveTable(held);
-        if (held.circuitsIn) {
-            held.circuitsIn = false;
-            trunks.freeIn(held.headers.origin(), held.headers.width());
-            circuits(now, held.headers.origin());
+        timers.cancel(active.waitTimer);
+        releaseNumberTable(active);
+        if (active.holdsIncomingCircuits) {
+            active.holdsIncomingCircuits = false;
+            trunkGroups.releaseIncoming(active.headers.origin(), active.headers.width());
+            reportCircuits(now, active.headers.origin());
         }
-        open.remove(held.id);
-        bySession.remove(held.in.sessionId(), held);
+        activeSessions.remove(active.id);
+        bySessionId.remove(active.inboundCall.sessionId(), active);
     }
 
     @Override
     public void progressed(long now, Call call, SipMessage response, Out out) {
-        Leg leg = (Leg) call.owner();
-        if (response.status() == 180 && !leg.held.answered) {
-            agent.progress(now, leg.held.in, 180, "Ringing", out);
+        OutboundLeg leg = (OutboundLeg) call.owner();
+        if (response.status() == 180 && !leg.activeSession.answered) {
+            agent.progress(now, leg.activeSession.inboundCall, 180, "Ringing", out);
         }
     }
 
     @Override
     public void answered(long now, Call call, SipMessage response, Out out) {
-        Leg leg = (Leg) call.owner();
-        Held held = leg.held;
-        timers.cancel(leg.limit);
-        held.answered = true;
-        unanswered--;
-        leaveTable(held);
-        out.log("stands", held.in.sessionId(), (now - leg.sentAt) / 1000 + " ms");
-        agent.answer(now, held.in, response, out);
-        if (held.session != null) {
-            router.after(
+        OutboundLeg leg = (OutboundLeg) call.owner();
+        ActiveSession active = leg.activeSession;
+        timers.cancel(leg.timeoutTimer);
+        active.answered = true;
+        unansweredCount--;
+        releaseNumberTable(active);
+        out.log("stands", active.inboundCall.sessionId(), (now - leg.sentAt) / 1000 + " ms");
+        agent.answer(now, active.inboundCall, response, out);
+        if (active.session != null) {
+            policy.after(
                     now,
-                    held.id,
+                    active.id,
                     Ending.STANDS,
                     Cause.NONE,
-                    leg.exchange,
+                    leg.exchangeId,
                     now - leg.sentAt,
                     0,
                     true);
@@ -693,68 +769,76 @@
 
     @Override
     public void rejected(long now, Call call, SipMessage response, Agent.Lost lost, Out out) {
-        Leg leg = (Leg) call.owner();
-        Held held = leg.held;
-        timers.cancel(leg.limit);
-        release(now, leg);
+        OutboundLeg leg = (OutboundLeg) call.owner();
+        ActiveSession active = leg.activeSession;
+        timers.cancel(leg.timeoutTimer);
+        releaseCircuits(now, leg);
         if (response != null && response.header("X-Circuits") != null) {
-            // After the release: the far end does not count the INVITE that it refused.
-            trunks.told(now, leg.number, (int) response.number("X-Circuits", 0));
-            if (trunks.doubtEnds(now, leg.number) < Long.MAX_VALUE) {
-                timers.set(trunks.doubtEnds(now, leg.number), (at, o) -> circuits(at, leg.number));
+            // After the release, since the far end does not count the INVITE that it rejected.
+            trunkGroups.farEndReportedBusy(
+                    now, leg.exchangeNumber, (int) response.number("X-Circuits", 0));
+            if (trunkGroups.excessExpiresAt(now, leg.exchangeNumber) < Long.MAX_VALUE) {
+                timers.set(
+                        trunkGroups.excessExpiresAt(now, leg.exchangeNumber),
+                        (at, o) -> reportCircuits(at, leg.exchangeNumber));
             }
-            circuits(now, leg.number);
+            reportCircuits(now, leg.exchangeNumber);
         }
-        if (held.leg != leg || call.cancelled()) {
+        if (active.outboundLeg != leg || call.cancelled()) {
             return;
         }
-        if (held.session == null) {
-            // What the own lines say goes back as they said it.
+        if (active.session == null) {
+            // The response of a local line is passed back to the caller unchanged.
             Refusal refusal = Refusal.of(response, lost, "Reason", "Retry-After");
-            answer(now, held, refusal.status(), refusal.reason(), out, refusal.fields());
+            rejectSession(now, active, refusal.status(), refusal.reason(), out, refusal.fields());
             return;
         }
         Outcomes.Outcome outcome = Outcomes.of(response, lost);
-        settle(now, leg, outcome.ending(), outcome.cause(), outcome.namedWait(), out);
+        finishInvite(now, leg, outcome.ending(), outcome.cause(), outcome.namedWait(), out);
     }
 
     @Override
     public void cancelled(long now, Call call, Out out) {
-        Held held = (Held) call.owner();
+        ActiveSession active = (ActiveSession) call.owner();
         out.log("caller-gone", call.sessionId(), "");
-        Leg leg = held.leg;
-        over(now, held);
-        if (held.session != null) {
-            router.ended(now, held.id);
+        OutboundLeg leg = active.outboundLeg;
+        endSession(now, active);
+        if (active.session != null) {
+            policy.ended(now, active.id);
         }
         if (leg != null) {
             agent.cancel(now, leg.call, out);
-            timers.set(now + settings.module().releaseWait(), (later, o) -> release(later, leg));
-            if (held.session != null) {
-                settle(now, leg, Ending.CANCELLED, Cause.NONE, 0, out);
+            timers.set(
+                    now + settings.module().releaseWait(),
+                    (releaseAt, unused) -> releaseCircuits(releaseAt, leg));
+            if (active.session != null) {
+                finishInvite(now, leg, Ending.CANCELLED, Cause.NONE, 0, out);
             } else {
-                timers.cancel(leg.limit);
+                timers.cancel(leg.timeoutTimer);
             }
         }
     }
 
     @Override
     public void hungUp(long now, Call call, SipMessage bye, Out out) {
-        Held held = call.owner() instanceof Leg leg ? leg.held : (Held) call.owner();
-        Leg leg = held.leg;
-        boolean cut = bye == null || Outcomes.cause(bye) == Outcomes.CUT;
-        Call other = call == held.in ? leg.call : held.in;
-        out.log("over", held.in.sessionId(), cut ? "cut" : "");
-        agent.bye(now, other, cut ? Outcomes.reason(Outcomes.CUT, "cut") : null, out);
-        release(now, leg);
-        over(now, held);
-        if (held.session != null) {
-            router.after(
+        ActiveSession active =
+                call.owner() instanceof OutboundLeg leg
+                        ? leg.activeSession
+                        : (ActiveSession) call.owner();
+        OutboundLeg leg = active.outboundLeg;
+        boolean wasCut = bye == null || Outcomes.cause(bye) == Outcomes.CUT;
+        Call otherCall = call == active.inboundCall ? leg.call : active.inboundCall;
+        out.log("over", active.inboundCall.sessionId(), wasCut ? "cut" : "");
+        agent.bye(now, otherCall, wasCut ? Outcomes.reason(Outcomes.CUT, "cut") : null, out);
+        releaseCircuits(now, leg);
+        endSession(now, active);
+        if (active.session != null) {
+            policy.after(
                     now,
-                    held.id,
-                    cut ? Ending.RESET : Ending.OVER,
+                    active.id,
+                    wasCut ? Ending.RESET : Ending.OVER,
                     Cause.NONE,
-                    leg.exchange,
+                    leg.exchangeId,
                     now - leg.sentAt,
                     0,
                     true);
@@ -762,32 +846,32 @@
     }
 
     /**
-     * A change of a standing call crosses to its other leg; a change already under way there is
-     * glare.
+     * Forwards a re-INVITE of an established call to its other leg; one already in progress there
+     * is glare and answered 491.
      */
     @Override
     public void changing(long now, Call call, SipMessage invite, Out out) {
-        Call other = otherLeg(call);
-        boolean sent =
-                other != null
+        Call otherCall = otherLeg(call);
+        boolean forwarded =
+                otherCall != null
                         && agent.change(
                                 now,
-                                other,
+                                otherCall,
                                 invite.header("Content-Type", "application/sdp"),
                                 invite.body(),
                                 out);
-        if (!sent) {
+        if (!forwarded) {
             agent.answerChange(now, call, 491, "Request Pending", "", new byte[0], out);
         }
     }
 
     @Override
     public void changed(long now, Call call, SipMessage response, Out out) {
-        Call other = otherLeg(call);
-        if (other != null) {
+        Call otherCall = otherLeg(call);
+        if (otherCall != null) {
             agent.answerChange(
                     now,
-                    other,
+                    otherCall,
                     response.status(),
                     response.reason(),
                     response.header("Content-Type", "application/sdp"),
@@ -797,49 +881,53 @@
     }
 
     private static Call otherLeg(Call call) {
-        if (call.owner() instanceof Leg leg) {
-            return leg.held.in;
+        if (call.owner() instanceof OutboundLeg leg) {
+            return leg.activeSession.inboundCall;
         }
-        Held held = (Held) call.owner();
-        return held.leg == null ? null : held.leg.call;
+        ActiveSession active = (ActiveSession) call.owner();
+        return active.outboundLeg == null ? null : active.outboundLeg.call;
     }
 
-    /** Tells the module of a group's circuits, for each machine that has served its number. */
-    private void circuits(long now, int number) {
-        int free = trunks.free(now, number);
-        int size = trunks.size(number);
-        int[] told = toldCircuits.get(number);
-        if (told != null && told[0] == free && told[1] == size) {
+    /**
+     * Informs the routing policy of the circuits of a trunk group, for each exchange instance in
+     * the roster with its number.
+     */
+    private void reportCircuits(long now, int number) {
+        int free = trunkGroups.free(now, number);
+        int size = trunkGroups.size(number);
+        int[] lastReported = reportedCircuits.get(number);
+        if (lastReported != null && lastReported[0] == free && lastReported[1] == size) {
             return;
         }
-        toldCircuits.put(number, new int[] {free, size});
-        for (Belief each : roster.beliefs()) {
-            if (each.exchange().number() == number) {
-                router.circuits(now, each.exchange().id(), free, size);
+        reportedCircuits.put(number, new int[] {free, size});
+        for (Belief entry : rosterManager.entries()) {
+            if (entry.exchange().number() == number) {
+                policy.circuits(now, entry.exchange().id(), free, size);
             }
         }
     }
 
-    // ---- news
+    // ---- probes, peer messages and the roster
 
     private void probe(long now, long id, Out out) {
-        RosterDesk.Place place = roster.place(id);
-        if (place != null) {
+        RosterManager.RouterLocation location = rosterManager.locationOf(id);
+        if (location != null) {
             SipMessage request =
-                    agent.request("OPTIONS", SipUri.text("", place.edge())).add("X-Probe", "yes");
-            agent.send(now, request, place.edge(), new Object[] {id, now}, out);
+                    agent.request("OPTIONS", SipUri.text("", location.router()))
+                            .add("X-Probe", "yes");
+            agent.send(now, request, location.router(), new Object[] {id, now}, out);
         }
     }
 
-    private void tell(byte[] body, Out out) {
-        for (Belief each : roster.beliefs()) {
-            if (each.exchange().number() != settings.number()
-                    && each.exchange().phase() == Phase.READY) {
-                Hop edge = roster.edge(each);
-                SipMessage message = agent.request("MESSAGE", SipUri.text("", edge));
+    private void broadcastToPeers(byte[] body, Out out) {
+        for (Belief entry : rosterManager.entries()) {
+            if (entry.exchange().number() != settings.number()
+                    && entry.exchange().phase() == Phase.READY) {
+                Hop peer = rosterManager.routerHop(entry);
+                SipMessage message = agent.request("MESSAGE", SipUri.text("", peer));
                 message.add("X-Number", Integer.toString(settings.number()));
                 agent.sendOnce(
-                        message.body("application/octet-stream", body), edge.over(false), out);
+                        message.body("application/octet-stream", body), peer.over(false), out);
             }
         }
     }
@@ -848,10 +936,10 @@
     public void request(long now, ServerTx tx, Hop from, Out out) {
         SipMessage request = tx.request();
         switch (request.method()) {
-            case "NOTIFY" -> roster.subscriber().notified(now, tx, from, out);
+            case "NOTIFY" -> rosterManager.subscriber().notified(now, tx, from, out);
             case "MESSAGE" -> {
-                if (request.body().length <= LONGEST_NEWS) {
-                    router.peer(now, (int) request.number("X-Number", -1), request.body());
+                if (request.body().length <= MAX_PEER_MESSAGE_BYTES) {
+                    policy.peer(now, (int) request.number("X-Number", -1), request.body());
                 } else {
                     agent.count("long-news");
                 }
@@ -861,8 +949,9 @@
                 if (request.header("X-Probe") == null) {
                     agent.respond(now, tx, agent.reply(tx, 200, "OK"), out);
                 } else {
-                    SipMessage on = agent.request("OPTIONS", SipUri.text("", settings.exchange()));
-                    agent.send(now, on.add("X-Probe", "yes"), settings.exchange(), tx, out);
+                    SipMessage forwarded =
+                            agent.request("OPTIONS", SipUri.text("", settings.exchange()));
+                    agent.send(now, forwarded.add("X-Probe", "yes"), settings.exchange(), tx, out);
                 }
             }
             default -> agent.respond(now, tx, agent.reply(tx, 405, "Method Not Allowed"), out);
@@ -871,27 +960,29 @@
 
     @Override
     public void replied(long now, ClientTx tx, SipMessage response, Out out) {
-        boolean good = response != null && response.status() < 300;
-        if (roster.subscriber().replied(now, tx, response, out)) {
+        boolean succeeded = response != null && response.status() < 300;
+        if (rosterManager.subscriber().replied(now, tx, response, out)) {
             return;
         }
-        if (tx.owner() instanceof ServerTx asked) {
-            SipMessage reply = agent.reply(asked, good ? 200 : 503, good ? "OK" : "No Answer");
-            if (good) {
+        if (tx.owner() instanceof ServerTx probeRequest) {
+            SipMessage reply =
+                    agent.reply(
+                            probeRequest, succeeded ? 200 : 503, succeeded ? "OK" : "No Answer");
+            if (succeeded) {
                 reply.add("X-Load", response.header("X-Load", ""));
             }
-            agent.respond(now, asked, reply, out);
+            agent.respond(now, probeRequest, reply, out);
         } else if (tx.owner() instanceof Object[] probe) {
-            router.report(
+            policy.report(
                     now,
                     (Long) probe[0],
-                    good,
+                    succeeded,
                     now - (Long) probe[1],
-                    good ? columns(response.header("X-Load", "")) : new float[0]);
+                    succeeded ? parseLoadColumns(response.header("X-Load", "")) : new float[0]);
         }
     }
 
-    private static float[] columns(String load) {
+    private static float[] parseLoadColumns(String load) {
         String[] parts = load.isBlank() ? new String[0] : load.split(",");
         float[] columns = new float[Math.min(4, parts.length)];
         for (int i = 0; i < columns.length; i++) {
@@ -905,24 +996,24 @@
     }
 
     @Override
-    public void rostered(long now, List<Exchange> news) {
-        router.roster(now, false, news);
-        toldCircuits.clear();
-        trunks.numbers().forEach(number -> circuits(now, number));
+    public void rosterChanged(long now, List<Exchange> changes) {
+        policy.roster(now, false, changes);
+        reportedCircuits.clear();
+        trunkGroups.numbers().forEach(number -> reportCircuits(now, number));
     }
 
     @Override
-    public void rosterLost(long now) {
-        router.rosterLost(now);
+    public void directorySubscriptionEnded(long now) {
+        policy.rosterLost(now);
     }
 
     @Override
-    public boolean groups(long now, List<String> lines) {
+    public boolean trunkGroupsReceived(long now, List<String> lines) {
         try {
             for (String line : lines) {
                 String[] parts = line.split(" ");
-                trunks.size(Integer.parseInt(parts[0]), Integer.parseInt(parts[1]));
-                circuits(now, Integer.parseInt(parts[0]));
+                trunkGroups.setSize(Integer.parseInt(parts[0]), Integer.parseInt(parts[1]));
+                reportCircuits(now, Integer.parseInt(parts[0]));
             }
             return true;
         } catch (IllegalArgumentException | IndexOutOfBoundsException e) {
--- a/src/main/java/coralcove/edge/EdgeFile.java
+++ b/src/main/java/coralcove/edge/EdgeFile.java
@@ -14,10 +14,18 @@
 import java.util.SplittableRandom;
 
 /**
- * Reads a call router's settings file (docs/operating.md lists its keys); {@code numbers} and
- * {@code planner}, where a planner connects, are null without their tables; {@code store}, where it
- * keeps what it has learnt, and {@code plans}, where the edge keeps the plan in force, and {@code
- * roster}, where it keeps what directories said, without their keys; {@code dns} without its table.
+ * The contents of a call router's settings file; docs/operating.md describes its keys. Components
+ * of optional tables and keys are null if these are absent.
+ *
+ * @param settings settings of the router itself
+ * @param policy name of the routing policy
+ * @param numbers settings of number analysis, or null
+ * @param planner address at which the planner connects, or null
+ * @param store file in which the planner stores what it has learnt, or null
+ * @param plans file in which the router stores the plans in force, or null
+ * @param ahead whether the planner plans for forecast loads
+ * @param roster file in which the router stores what directories reported, or null
+ * @param dns settings for finding routers through DNS, or null
  */
 public record EdgeFile(
         EdgeSettings settings,
@@ -29,57 +37,60 @@
         boolean ahead,
         Path roster,
         LocatorSettings dns) {
+    /**
+     * Reads and checks a settings file; throws {@link BadConfig} with the line and key at fault.
+     */
     public static EdgeFile of(Toml toml) throws BadConfig {
         Toml.Table edge = toml.table("edge");
         int number = edge.whole("number", 0, 65_535);
         long seed = edge.whole("seed", 1, Integer.MAX_VALUE, 1);
         String policy = edge.oneOf("policy", Policies.NAMES, "choice");
-        String roster = edge.text("roster", "");
+        String rosterStore = edge.text("roster", "");
         List<Settings.Service> services = new ArrayList<>();
-        long shortest = Long.MAX_VALUE;
-        for (ServiceTable each : ServiceTable.read(toml, false)) {
-            shortest = Math.min(shortest, each.limit());
+        long shortestLimit = Long.MAX_VALUE;
+        for (ServiceTable service : ServiceTable.read(toml, false)) {
+            shortestLimit = Math.min(shortestLimit, service.limit());
             services.add(
                     new Settings.Service(
-                            each.target(),
-                            each.value(),
-                            each.lateValue(),
-                            each.width(),
-                            each.hold(),
+                            service.target(),
+                            service.value(),
+                            service.lateValue(),
+                            service.width(),
+                            service.hold(),
                             true,
                             List.of()));
         }
         Toml.Table limits = toml.table("limits");
-        long comeBack = limits.millis("come_back_ms", 0, 60_000, 2000);
-        long margin = limits.millis("answer_margin_ms", 0, 5000, 20);
-        if (margin >= shortest) {
+        long maxRetryAfter = limits.millis("come_back_ms", 0, 60_000, 2000);
+        long answerMargin = limits.millis("answer_margin_ms", 0, 5000, 20);
+        if (answerMargin >= shortestLimit) {
             throw limits.bad("answer_margin_ms", "leaves no time of the shortest limit_ms");
         }
-        int invites = limits.whole("invites", 1, 20, 4);
-        boolean marked = limits.flag("redials_marked", true);
-        boolean peers = limits.flag("peers", true);
-        int routers = limits.whole("routers", 1, 65_535);
-        int mostOpen = limits.whole("max_open", 1, 1_000_000, 20_000);
+        int maxInvites = limits.whole("invites", 1, 20, 4);
+        boolean redialsMarked = limits.flag("redials_marked", true);
+        boolean peerMessages = limits.flag("peers", true);
+        int routerCount = limits.whole("routers", 1, 65_535);
+        int maxOpen = limits.whole("max_open", 1, 1_000_000, 20_000);
         Toml.Table rules = toml.table("rules");
-        long release = rules.millis("release_ms", 0, 60_000);
-        if (release >= shortest) {
+        long releaseWait = rules.millis("release_ms", 0, 60_000);
+        if (releaseWait >= shortestLimit) {
             throw rules.bad(
                     "release_ms",
                     "is longer than the shortest limit_ms: no second INVITE could be sent");
         }
-        Settings module =
+        Settings policySettings =
                 new Settings(
-                        routers,
+                        routerCount,
                         number,
                         false,
                         services,
-                        invites,
-                        marked,
-                        comeBack > 0,
-                        comeBack,
-                        peers,
+                        maxInvites,
+                        redialsMarked,
+                        maxRetryAfter > 0,
+                        maxRetryAfter,
+                        peerMessages,
                         true,
-                        release,
+                        releaseWait,
                         rules.number("fall_multiple", 1, 100),
                         rules.millis("fall_ms", 1, 60_000),
                         rules.number("cold_from", 0.01, 1),
@@ -90,9 +101,9 @@
                         Hops.read(edge, "listen"),
                         Hops.read(edge, "exchange"),
                         Hops.readAll(edge, "directory"),
-                        module,
-                        margin,
-                        mostOpen,
+                        policySettings,
+                        answerMargin,
+                        maxOpen,
                         seed,
                         Starts.tag());
         if (settings.self().port() == settings.exchange().port()
@@ -105,26 +116,28 @@
                         ? LocatorSettings.of(
                                 toml.table("dns"),
                                 number,
-                                routers,
+                                routerCount,
                                 new SplittableRandom(settings.start().hashCode()))
                         : null;
         Hop planner = null;
-        String store = "";
-        String plans = "";
-        boolean ahead = false;
+        String plannerStore = "";
+        String planStore = "";
+        boolean planAhead = false;
         if (toml.has("planner")) {
             Toml.Table table = toml.table("planner");
             planner = Hops.read(table, "listen");
-            store = table.text("store", "");
-            plans = table.text("plans", "");
-            ahead = table.flag("ahead", false);
-            if (!plans.isEmpty() && plans.equals(store)) {
-                throw table.bad("plans", "is the planner's own store");
+            plannerStore = table.text("store", "");
+            planStore = table.text("plans", "");
+            planAhead = table.flag("ahead", false);
+            if (!planStore.isEmpty() && planStore.equals(plannerStore)) {
+                throw table.bad("plans", "is also the planner's store");
             }
             if (!planner.tcp() || !policy.equals("choice")) {
                 throw table.bad(
                         "listen",
-                        planner.tcp() ? "only policy choice has a planner" : "is not tcp:");
+                        planner.tcp()
+                                ? "a planner is supported only with policy choice"
+                                : "is not a tcp: address");
             }
         }
         toml.nothingElse();
@@ -133,10 +146,10 @@
                 policy,
                 numbers,
                 planner,
-                store.isEmpty() ? null : Path.of(store),
-                plans.isEmpty() ? null : Path.of(plans),
-                ahead,
-                roster.isEmpty() ? null : Path.of(roster),
+                plannerStore.isEmpty() ? null : Path.of(plannerStore),
+                planStore.isEmpty() ? null : Path.of(planStore),
+                planAhead,
+                rosterStore.isEmpty() ? null : Path.of(rosterStore),
                 dns);
     }
 }
--- a/src/main/java/coralcove/edge/EdgeSettings.java
+++ b/src/main/java/coralcove/edge/EdgeSettings.java
@@ -5,9 +5,18 @@
 import java.util.List;
 
 /**
- * One call router's settings. {@code answerMargin} µs is kept back from a caller's timer limit so
- * that the final answer reaches it in time; {@code mostOpen} bounds the sessions held that have no
- * final answer yet.
+ * Settings of one call router.
+ *
+ * @param number number of the local exchange
+ * @param self address at which the router listens
+ * @param exchange address of the local exchange
+ * @param directories addresses of the directories
+ * @param module settings of the routing policy
+ * @param answerMargin µs subtracted from a caller's timer limit so that the final answer reaches
+ *     the caller in time
+ * @param mostOpen maximum sessions without a final answer
+ * @param seed seed of the router's random choices
+ * @param start tag of this start, part of the ids the router generates
  */
 public record EdgeSettings(
         int number,
--- a/src/main/java/coralcove/edge/Locating.java
+++ b/src/main/java/coralcove/edge/Locating.java
@@ -4,11 +4,18 @@
 import coralcove.sip.Out;
 import java.util.function.Consumer;
 
-/** A core that takes DNS for a source of where routers are. */
+/** A core that can use DNS as a further source of router addresses. */
 public interface Locating {
-    /** Asks from now on; {@code results} carries each answer back to {@link #found}. */
-    void locate(long now, LocatorSettings of, Questions questions, Consumer<LocatorResult> results);
+    /**
+     * Starts querying DNS. The owner of {@code results} passes each result back through {@link
+     * #found} on the core's own thread.
+     */
+    void locate(
+            long now,
+            LocatorSettings settings,
+            Questions questions,
+            Consumer<LocatorResult> results);
 
-    /** An answer from a name server. */
-    void found(long now, LocatorResult it, Out out);
+    /** The result of a DNS query. */
+    void found(long now, LocatorResult result, Out out);
 }
--- a/src/main/java/coralcove/edge/LocatorResult.java
+++ b/src/main/java/coralcove/edge/LocatorResult.java
@@ -2,5 +2,5 @@
 
 import coralcove.dns.Resolver;
 
-/** How a question of a router's locator ended. */
+/** The result of one DNS query of a router's locator, for a name and record type. */
 public record LocatorResult(String name, int type, Resolver.Result result) {}
--- a/src/main/java/coralcove/edge/LocatorSettings.java
+++ b/src/main/java/coralcove/edge/LocatorSettings.java
@@ -8,8 +8,14 @@
 import java.util.random.RandomGenerator;
 
 /**
- * DNS as a source of where routers are: {@code pattern} is a name with one %d for the number, and
- * {@code servers} are asked for the SRV record of _sip._{transport}. before it.
+ * Settings for finding routers through DNS.
+ *
+ * @param numbers exchange numbers whose routers are looked up
+ * @param pattern domain name with one %d for the number; the SRV record of _sip._{transport}. and
+ *     this name is queried
+ * @param transport udp or tcp
+ * @param servers settings of the resolver, with the name servers
+ * @param chance source of randomness for the times of queries and the choice of targets
  */
 public record LocatorSettings(
         List<Integer> numbers,
@@ -17,29 +23,32 @@
         String transport,
         Resolver.Settings servers,
         RandomGenerator chance) {
-    /** µs that one question may take, and how often it is asked: a look-up is in nobody's way. */
-    private static final long TRY_FOR = 1_000_000;
+    /** Time-out of one try. No session waits for these look-ups, so it may be long. */
+    private static final long TRY_TIMEOUT_US = 1_000_000;
 
-    private static final int TRIES = 3;
+    private static final int MAX_TRIES = 3;
 
-    /** Ports of the resolver to one server: with the id 20 bits that a forger must guess. */
-    private static final int SOCKETS = 16;
+    /** Source ports per server: with the id they make 20 bits that a forger must guess. */
+    private static final int SOCKETS_PER_SERVER = 16;
 
-    private static final int MOST_OUT = 1000;
+    private static final int MAX_PENDING_QUERIES = 1000;
 
     String name(int number) {
         return pattern.replace("%d", Integer.toString(number));
     }
 
+    /** Resolver settings for looking up routers at these name servers. */
     public static Resolver.Settings resolver(List<Resolver.Server> servers) {
-        return new Resolver.Settings(servers, TRY_FOR, TRIES, SOCKETS, MOST_OUT);
+        return new Resolver.Settings(
+                servers, TRY_TIMEOUT_US, MAX_TRIES, SOCKETS_PER_SERVER, MAX_PENDING_QUERIES);
     }
 
     /**
-     * [dns] of a router's settings; {@code routers} numbers from 0 on are asked for, unless it
-     * lists others.
+     * Reads the table [dns] of a router's settings file. Unless the table lists numbers, the first
+     * {@code routerCount} numbers from 0 are looked up; the local number never is.
      */
-    static LocatorSettings of(Toml.Table table, int own, int routers, RandomGenerator chance)
+    static LocatorSettings of(
+            Toml.Table table, int localNumber, int routerCount, RandomGenerator random)
             throws BadConfig {
         String pattern = table.text("name");
         if (pattern.indexOf("%d") < 0
@@ -47,22 +56,21 @@
                 || !pattern.replace("%d", "0")
                         .matches("([A-Za-z0-9_-]{1,63}\\.)*[A-Za-z0-9-]{1,63}")) {
             throw table.bad(
-                    "name",
-                    "\"" + pattern + "\" is no name with one %d in the place of the number");
+                    "name", "\"" + pattern + "\" is not a domain name with one %d for the number");
         }
         List<Integer> numbers = new ArrayList<>();
-        for (int each : table.wholes("numbers", 0, 65_535)) {
-            numbers.add(each);
+        for (int number : table.wholes("numbers", 0, 65_535)) {
+            numbers.add(number);
         }
-        for (int i = 0; numbers.isEmpty() && !table.has("numbers") && i < routers; i++) {
+        for (int i = 0; numbers.isEmpty() && !table.has("numbers") && i < routerCount; i++) {
             numbers.add(i);
         }
-        numbers.removeIf(each -> each == own);
+        numbers.removeIf(number -> number == localNumber);
         return new LocatorSettings(
                 List.copyOf(numbers),
                 pattern,
                 table.oneOf("transport", List.of("udp", "tcp"), "udp"),
                 resolver(NumbersFile.servers(table)),
-                chance);
+                random);
     }
 }
--- a/src/main/java/coralcove/edge/NumberDesk.java
+++ b/src/main/java/coralcove/edge/NumberDesk.java
@@ -5,33 +5,41 @@
 import coralcove.numbers.Tables;
 
 /**
- * What one router needs to make far ends of dialled numbers: its tables, what it knows of moved
- * numbers, and the way to ask the portability server. The answer to a question comes by {@link
- * EdgeCore#ported}.
+ * What one router needs to find the far ends of dialled numbers: its number tables, its cache of
+ * ported numbers, and a client of the portability server. The answer to a query is delivered by
+ * {@link EdgeCore#ported}.
  */
 public final class NumberDesk {
-    /** Sends a question; each ends by {@link EdgeCore#ported} once, on the router's own thread. */
+    /** Sends queries to the portability server. */
     public interface Asker {
+        /**
+         * Queries the server about a number. Every query ends with one call of {@link
+         * EdgeCore#ported} on the router's own thread.
+         */
         void ask(long now, long number);
     }
 
-    final Tables tables;
+    final Tables numberTables;
     final Porting porting;
-    final Asker asker;
+    final Asker portabilityClient;
 
-    /** Keeps at most {@code mostTables}, the one in service counted. */
-    public NumberDesk(int mostTables, NumberTable first, Porting.Settings settings, Asker asker) {
-        tables = new Tables(mostTables, first);
+    /** Holds at most {@code maxTables} tables, including the one in service. */
+    public NumberDesk(
+            int maxTables, NumberTable first, Porting.Settings settings, Asker portabilityClient) {
+        numberTables = new Tables(maxTables, first);
         porting = new Porting(settings);
-        this.asker = asker;
+        this.portabilityClient = portabilityClient;
     }
 
-    /** Tables kept now. */
-    public int tables() {
-        return tables.count();
+    /** Number of tables held now. */
+    public int tableCount() {
+        return numberTables.count();
     }
 
-    /** Answered from memory, questions sent, answered past their lifetime, sent to the donor. */
+    /**
+     * Four counts: answered from memory, queries sent, answered from entries past their lifetime,
+     * and calls sent to the donor exchange.
+     */
     public long[] counts() {
         return porting.counts();
     }
--- a/src/main/java/coralcove/edge/NumbersFile.java
+++ b/src/main/java/coralcove/edge/NumbersFile.java
@@ -9,8 +9,14 @@
 import java.util.List;
 
 /**
- * A router's settings of number analysis (docs/numbers.md lists the keys); {@code changes} may be
- * null.
+ * A router's settings of number analysis; docs/numbers.md describes the keys.
+ *
+ * @param table file with the number table
+ * @param changes file with changes to the table, or null
+ * @param mostTables maximum number tables held at once, including the one in service
+ * @param porting settings of portability queries
+ * @param suffix domain under which ported numbers are looked up
+ * @param resolver settings of the resolver for portability queries
  */
 public record NumbersFile(
         Path table,
@@ -19,8 +25,8 @@
         Porting.Settings porting,
         String suffix,
         Resolver.Settings resolver) {
-    /** Ports of the resolver to one server: with the id 20 bits that a forger must guess. */
-    private static final int SOCKETS = 16;
+    /** Source ports per server: with the id they make 20 bits that a forger must guess. */
+    private static final int SOCKETS_PER_SERVER = 16;
 
     static NumbersFile of(Toml.Table table) throws BadConfig {
         Porting.Settings porting = porting(table);
@@ -36,20 +42,20 @@
                         servers,
                         table.millis("try_ms", 1, 10_000, 120),
                         table.whole("tries", 1, 10, 2),
-                        SOCKETS,
+                        SOCKETS_PER_SERVER,
                         porting.asked()));
     }
 
-    /** HOST:PORT, several with commas between. */
+    /** Reads the key {@code servers}: HOST:PORT, or several of them separated by commas. */
     static List<Resolver.Server> servers(Toml.Table table) throws BadConfig {
         List<Resolver.Server> servers = new ArrayList<>();
-        for (String each : table.text("servers").split(",")) {
-            String text = each.strip();
+        for (String item : table.text("servers").split(",")) {
+            String text = item.strip();
             int colon = text.lastIndexOf(':');
             if (colon < 1
                     || !text.substring(colon + 1).matches("[1-9]\\d{0,4}")
                     || Integer.parseInt(text.substring(colon + 1)) > 65_535) {
-                throw table.bad("servers", "'" + text + "' is no HOST:PORT");
+                throw table.bad("servers", "'" + text + "' is not HOST:PORT");
             }
             servers.add(
                     new Resolver.Server(
@@ -58,7 +64,7 @@
         return servers;
     }
 
-    /** What a router and a day have in common. */
+    /** Reads the portability settings, which a router and a simulated day have in common. */
     public static Porting.Settings porting(Toml.Table table) throws BadConfig {
         return new Porting.Settings(
                 table.millis("budget_ms", 1, 60_000, 300),
--- a/src/main/java/coralcove/edge/SourcesCore.java
+++ b/src/main/java/coralcove/edge/SourcesCore.java
@@ -14,16 +14,16 @@
 import java.util.function.Consumer;
 
 /**
- * Asks all sources of a router as the router does, and routes nothing: for who wants to know what
- * is believed and why.
+ * Queries all sources of a router as the router does, but routes nothing. For diagnosis: it shows
+ * what the sources report and the roster that results.
  */
-public final class SourcesCore extends CallFreeCore implements RosterDesk.User, Locating {
-    private final RosterDesk desk;
+public final class SourcesCore extends CallFreeCore implements RosterManager.Listener, Locating {
+    private final RosterManager rosterManager;
 
     public SourcesCore(EdgeSettings settings) {
         super(settings.self(), settings.start());
-        desk =
-                new RosterDesk(
+        rosterManager =
+                new RosterManager(
                         settings,
                         agent,
                         timers,
@@ -33,28 +33,32 @@
 
     @Override
     public void start(long now, Out out) {
-        desk.ask(now, out);
+        rosterManager.subscribe(now, out);
     }
 
     @Override
     public void locate(
-            long now, LocatorSettings of, Questions questions, Consumer<LocatorResult> results) {
-        desk.locate(now, of, questions, results);
+            long now,
+            LocatorSettings settings,
+            Questions questions,
+            Consumer<LocatorResult> results) {
+        rosterManager.startDnsDiscovery(now, settings, questions, results);
     }
 
     @Override
-    public void found(long now, LocatorResult it, Out out) {
-        desk.found(now, it, out);
+    public void found(long now, LocatorResult result, Out out) {
+        rosterManager.dnsAnswered(now, result, out);
     }
 
+    /** The reports of the sources and the roster merged from them. */
     public Roster roster() {
-        return desk.roster();
+        return rosterManager.roster();
     }
 
     @Override
     public void request(long now, ServerTx tx, Hop from, Out out) {
         if (tx.request().method().equals("NOTIFY")) {
-            desk.subscriber().notified(now, tx, from, out);
+            rosterManager.subscriber().notified(now, tx, from, out);
         } else {
             agent.respond(now, tx, agent.reply(tx, 405, "Method Not Allowed"), out);
         }
@@ -62,21 +66,21 @@
 
     @Override
     public void replied(long now, ClientTx tx, SipMessage response, Out out) {
-        desk.subscriber().replied(now, tx, response, out);
+        rosterManager.subscriber().replied(now, tx, response, out);
     }
 
     @Override
-    public void rostered(long now, List<Exchange> news) {
-        // Looked at when it is printed.
+    public void rosterChanged(long now, List<Exchange> changes) {
+        // The roster is read when it is printed.
     }
 
     @Override
-    public void rosterLost(long now) {
-        // It asks once.
+    public void directorySubscriptionEnded(long now) {
+        // Each directory is queried only once.
     }
 
     @Override
-    public boolean groups(long now, List<String> lines) {
+    public boolean trunkGroupsReceived(long now, List<String> lines) {
         return false;
     }
 }
--- a/src/main/java/coralcove/sources/Belief.java
+++ b/src/main/java/coralcove/sources/Belief.java
@@ -2,29 +2,34 @@
 
 import coralcove.Exchange;
 
-/** One machine as believed: what the module is told of it, where its router is reached, and why. */
+/**
+ * One exchange in the roster: the state reported to the routing policy, the address of its router,
+ * and the reason for that state.
+ */
 public record Belief(Exchange exchange, String address, Why why) {
-    /** What the belief rests on. */
+    /** What the state of a roster entry rests on. The names appear in the log. */
     public enum Why {
-        /** A list that is renewed names it. */
+        /** A list that is being renewed names the exchange. */
         LISTED,
-        /** Only lists that nobody renews any more name it: served on with it. */
+        /** Only lists that are no longer renewed name it; the router keeps using it. */
         LIST_OLD,
-        /** The machine said that it drains. */
+        /** The exchange announced that it is draining. */
         DRAINS,
-        /** The machine said that it ends. */
+        /** The exchange announced that it has stopped. */
         LEFT,
-        /** A directory heard nothing of it any more, and no other has since. */
+        /**
+         * A directory no longer receives its heartbeats, and no other directory has a later one.
+         */
         SILENT,
-        /** Only lists past their last step name it, and one that is renewed does not. */
+        /** Only expired lists name it, and a complete list that is being renewed does not. */
         OUTLIVED,
-        /** Only DNS names it; taken for cold from when it was first seen. */
+        /** Only DNS names it; counts as cold from the time it was first seen. */
         DNS_ONLY,
-        /** DNS does not name it any more, and no list ever did. */
+        /** DNS no longer names it, and no directory ever listed it. */
         DNS_DROPPED,
-        /** DNS names one address for two numbers, as a wildcard does: whose it is nobody knows. */
+        /** DNS gives one address for two numbers, as a wildcard does, so its owner is unknown. */
         DNS_SHARED,
-        /** A directory lists a machine of its number, which counts before DNS. */
+        /** A directory lists an exchange with its number; directories take precedence over DNS. */
         DNS_YIELDS
     }
 }
--- a/src/main/java/coralcove/sources/Life.java
+++ b/src/main/java/coralcove/sources/Life.java
@@ -3,11 +3,14 @@
 import coralcove.Exchange.Phase;
 
 /**
- * What is known of one machine, as an element of a join-semilattice: joining is commutative,
- * associative and idempotent, so that neither order nor doubling of what sources say matters. Only
- * a newer {@code start}, the machine's own number of it, takes back a drain or an end; {@code beat}
- * is the highest of its own signs of life that anyone heard in this start, {@code quiet} the
- * highest after which a source says that no more came (-1: nobody does).
+ * The known liveness of one exchange instance, as an element of a join-semilattice: joining is
+ * commutative, associative and idempotent, so neither the order nor the duplication of reports
+ * matters.
+ *
+ * <p>Only a higher {@code start}, a number that the exchange assigns to each of its starts,
+ * reverses a drain or a departure. {@code beat} is the highest heartbeat number of this start that
+ * any source has received. {@code quiet} is the highest heartbeat number after which some source
+ * reports that no further one arrived, or {@link #HEARD} if no source reports that.
  */
 public record Life(
         long start,
@@ -17,18 +20,20 @@
         boolean left,
         int number,
         String address) {
-    /** {@code quiet} where no source misses the machine. */
+    /** Value of {@code quiet} when no source reports the exchange silent. */
     public static final long HEARD = -1;
 
+    /** The liveness of an exchange that is up and neither draining nor silent. */
     public static Life runs(long start, long beat, int number, String address) {
         return new Life(start, beat, false, HEARD, false, number, address);
     }
 
+    /** Least upper bound of both: what is known from both reports together. */
     public Life join(Life other) {
         if (start != other.start) {
             return start > other.start ? this : other;
         }
-        boolean mine =
+        boolean useThisAddress =
                 beat > other.beat
                         || beat == other.beat
                                 && (number < other.number
@@ -40,20 +45,21 @@
                 drains || other.drains,
                 Math.max(quiet, other.quiet),
                 left || other.left,
-                mine ? number : other.number,
-                mine ? address : other.address);
+                useThisAddress ? number : other.number,
+                useThisAddress ? address : other.address);
     }
 
-    /** Not heard any more, by a source that is not contradicted by a later sign of life. */
+    /** Whether a source reports the exchange silent and no later heartbeat contradicts it. */
     public boolean silent() {
         return quiet >= beat;
     }
 
+    /** The phase of the exchange as far as known. */
     public Phase phase() {
         return left || silent() ? Phase.GONE : drains ? Phase.DRAINING : Phase.READY;
     }
 
-    /** The same, missed by a source that has heard no more than this of it. */
+    /** A copy that is silent after its last known heartbeat. */
     public Life missed() {
         return new Life(start, beat, drains, Math.max(quiet, beat), left, number, address);
     }
--- a/src/main/java/coralcove/sources/Listing.java
+++ b/src/main/java/coralcove/sources/Listing.java
@@ -3,20 +3,30 @@
 import java.util.List;
 
 /**
- * What a directory says at once. {@code epoch} is drawn at its start, {@code version} counts its
- * changes within it. A WHOLE list names all that run; a LEARNING one comes from a directory that is
- * up too short to know who is missing, so that absence from it says nothing; CHANGES name what
- * changed after {@code after}.
+ * One notification from a directory. {@code epoch} is chosen when the directory starts, {@code
+ * version} counts its changes within the epoch. {@code after} is the version that a listing of kind
+ * {@link Kind#CHANGES} builds on.
  */
 public record Listing(String epoch, long version, Kind kind, long after, List<Line> lines) {
+    /** How complete a listing is. The names appear in the log. */
     public enum Kind {
+        /** Names every exchange that is up. */
         WHOLE,
+        /**
+         * From a directory that has not been up long enough to know who is missing: absence from it
+         * means nothing.
+         */
         LEARNING,
+        /** Names only what changed after version {@code after}. */
         CHANGES
     }
 
-    /** One machine; {@code age} is µs since its start as of the telling, or {@link #LONG_AGO}. */
+    /**
+     * One exchange instance; {@code age} is the time in µs from its start to the sending of the
+     * listing, or {@link #LONG_AGO}.
+     */
     public record Line(long id, Life life, long age) {}
 
+    /** Age of an exchange that started too long ago to be cold. */
     public static final long LONG_AGO = -1;
 }
--- a/src/main/java/coralcove/sources/Roster.java
+++ b/src/main/java/coralcove/sources/Roster.java
@@ -14,21 +14,25 @@
 import java.util.TreeSet;
 
 /**
- * The roster as believed, made by one merge of what sources say: directories, DNS, and the lists
- * kept from before this router's start. Times and what was said go in; beliefs with their reasons
- * come out. docs/design/sources.md has the rules as one table. It holds no clock and no wire.
+ * The roster of exchanges, merged from the lists of directories, from DNS, and from the lists
+ * stored before this router's start. It takes timed reports and yields roster entries with their
+ * reasons; docs/design/sources.md tabulates the merge rules. It reads no clock and does no I/O.
  */
 public final class Roster {
-    /** How much say a directory's list still has. */
+    /** How much a directory's list still counts, by the time since it was last renewed. */
     public enum Say {
+        /** No list has been received. */
         NONE,
+        /** Renewed recently: also proves who is missing. */
         FRESH,
-        OLD,
-        VOID
+        /** Counts fully for the exchanges it names, but is no proof of absence. */
+        STALE,
+        /** Yields to any complete list that is fresh. */
+        EXPIRED
     }
 
-    /** Why a listing was not taken. */
-    public enum Refusal {
+    /** Why a listing was rejected. The names appear in the log and in counters. */
+    public enum ListingRejection {
         NONE,
         OTHER_EPOCH,
         OLDER_VERSION,
@@ -36,485 +40,526 @@
     }
 
     /**
-     * What a source has said of one machine, for the store and the command line; {@code since} on
-     * the router's clock.
+     * What a source has reported about one exchange instance, for the store and the command line.
+     * {@code since} is the time of its start (0: long ago) and {@code renewed} the last renewal of
+     * the source's list, both in µs on the router's clock.
      */
     public record Said(String source, long id, Life life, long since, long renewed) {}
 
     /**
-     * µs after its last renewal for which a list says who is missing: two and a half lives of a
-     * subscription.
+     * Time after its last renewal for which a list proves who is missing: two and a half lifetimes
+     * of a subscription.
      */
-    public static final long FRESH_FOR = 30_000_000;
+    public static final long FRESH_FOR_US = 30_000_000;
 
     /**
-     * µs after which a list that nobody renews yields to any that is renewed: as long as a
-     * directory's repair takes.
+     * Time after its last renewal at which a list yields to any list that is renewed: as long as
+     * the repair of a directory takes.
      */
-    public static final long OLD_FOR = 600_000_000;
+    public static final long EXPIRES_AFTER_US = 600_000_000;
 
     /**
-     * Machines of one source at most, those that it misses included; a listing past that is refused
-     * whole.
+     * Maximum exchange instances of one source, including those it misses; a listing that would
+     * exceed it is rejected as a whole.
      */
-    public static final int MOST = 10_000;
+    public static final int MAX_INSTANCES_PER_SOURCE = 10_000;
 
     /**
-     * µs for which it is kept that a source misses a machine: by then no other has an older list of
-     * it.
+     * Time for which it is remembered that a source misses an exchange: by then no other source has
+     * an older list that names it.
      */
-    private static final long MISSED_FOR = 3_600_000_000L;
+    private static final long MISSING_RETENTION_US = 3_600_000_000L;
 
-    /**
-     * Addresses from DNS of one number that are remembered: the ones past it are forgotten, oldest
-     * first.
-     */
-    private static final int MOST_ADDRESSES = 16;
+    /** Maximum DNS addresses remembered for one number; beyond it the oldest is discarded. */
+    private static final int MAX_ADDRESSES_PER_NUMBER = 16;
 
+    /** What one directory has reported. */
     private static final class Directory {
         final String name;
-        final Map<Long, Life> lines = new LinkedHashMap<>();
+        final Map<Long, Life> livenessById = new LinkedHashMap<>();
 
-        /** When a machine that it lists no more was missed. */
-        final Map<Long, Long> missed = new LinkedHashMap<>();
+        /** Exchanges that a complete list no longer named, with the time this was first seen. */
+        final Map<Long, Long> missingSince = new LinkedHashMap<>();
 
+        /** Epoch of the current subscription; empty until its first listing. */
         String epoch = "";
+
         long version;
-        long renewed = Long.MIN_VALUE;
-        boolean whole;
-        boolean wanted;
-        Say saidLast = Say.NONE;
-        boolean wholeLast;
+        long renewedAt = Long.MIN_VALUE;
+
+        /** Whether the lines come from a complete list, with all changes since. */
+        boolean complete;
+
+        boolean completeListWanted;
+        Say lastAuthority = Say.NONE;
+        boolean lastComplete;
 
         Directory(String name) {
             this.name = name;
         }
 
-        Say say(long now) {
-            if (renewed == Long.MIN_VALUE) {
+        Say authority(long now) {
+            if (renewedAt == Long.MIN_VALUE) {
                 return Say.NONE;
             }
-            long age = now - renewed;
-            return age < FRESH_FOR ? Say.FRESH : age < OLD_FOR ? Say.OLD : Say.VOID;
+            long age = now - renewedAt;
+            return age < FRESH_FOR_US
+                    ? Say.FRESH
+                    : age < EXPIRES_AFTER_US ? Say.STALE : Say.EXPIRED;
         }
     }
 
     /**
-     * The start of a machine and its moment on this router's clock: the first that was told holds.
+     * The start of an exchange instance: its start number and its time on this router's clock. The
+     * first time reported for a start number is retained.
      */
-    private record Start(long start, long since) {}
+    private record Start(long startNumber, long startedAt) {}
 
-    /** What DNS says of one number: the address in use, and the ids of all addresses seen. */
-    private static final class Located {
-        String address = "";
+    /**
+     * The DNS addresses of one number: the one in use, and the pseudo id (as start number) and
+     * first-seen time of every address seen.
+     */
+    private static final class DnsRecord {
+        String currentAddress = "";
         final LinkedHashMap<String, Start> seen = new LinkedHashMap<>();
     }
 
     private final List<Directory> directories = new ArrayList<>();
     private final Map<Long, Start> starts = new HashMap<>();
-    private final TreeMap<Integer, Located> located = new TreeMap<>();
-    private final Map<Long, Belief> believed = new LinkedHashMap<>();
-    private final Set<Long> touched = new TreeSet<>();
-    private long dnsIds;
+    private final TreeMap<Integer, DnsRecord> dnsRecords = new TreeMap<>();
+    private final Map<Long, Belief> entries = new LinkedHashMap<>();
+    private final Set<Long> changedIds = new TreeSet<>();
+
+    /** Last pseudo id given to a DNS address; these ids are negative. */
+    private long lastDnsId;
 
+    /**
+     * {@code names} are the names of the directories; a source is referred to by its index here.
+     */
     public Roster(List<String> names) {
         names.forEach(name -> directories.add(new Directory(name)));
     }
 
-    // ---- what sources say
+    // ---- reports of the sources
 
-    /** A subscription at a directory has begun anew: the next listing may be of any epoch. */
-    public void begun(int source) {
+    /** A new subscription to a directory has started: its first listing may have any epoch. */
+    public void subscriptionStarted(int source) {
         directories.get(source).epoch = "";
     }
 
     /**
-     * A listing within a subscription. Its lines count in any order; versions only tell gaps and
-     * who is missing.
+     * Applies a listing received within a subscription. Its lines count in any order; versions only
+     * reveal gaps and who is missing.
      */
-    public Refusal listed(long now, int source, Listing listing) {
-        Directory from = directories.get(source);
-        if (!from.epoch.isEmpty() && !from.epoch.equals(listing.epoch())) {
-            return Refusal.OTHER_EPOCH;
+    public ListingRejection applyListing(long now, int source, Listing listing) {
+        Directory directory = directories.get(source);
+        if (!directory.epoch.isEmpty() && !directory.epoch.equals(listing.epoch())) {
+            return ListingRejection.OTHER_EPOCH;
         }
-        if (!from.epoch.isEmpty() && listing.version() < from.version) {
-            return Refusal.OLDER_VERSION;
+        if (!directory.epoch.isEmpty() && listing.version() < directory.version) {
+            return ListingRejection.OLDER_VERSION;
         }
         long unknown =
-                listing.lines().stream().filter(line -> !from.lines.containsKey(line.id())).count();
-        if (from.lines.size()
-                        - (listing.kind() == Listing.Kind.WHOLE ? from.missed.size() : 0)
+                listing.lines().stream()
+                        .filter(line -> !directory.livenessById.containsKey(line.id()))
+                        .count();
+        if (directory.livenessById.size()
+                        - (listing.kind() == Listing.Kind.WHOLE ? directory.missingSince.size() : 0)
                         + unknown
-                > MOST) {
-            return Refusal.TOO_LONG;
+                > MAX_INSTANCES_PER_SOURCE) {
+            return ListingRejection.TOO_LONG;
         }
-        boolean first = from.epoch.isEmpty();
-        from.epoch = listing.epoch();
-        from.renewed = now;
-        Set<Long> named = new TreeSet<>();
+        boolean first = directory.epoch.isEmpty();
+        directory.epoch = listing.epoch();
+        directory.renewedAt = now;
+        Set<Long> listedIds = new TreeSet<>();
         for (Listing.Line line : listing.lines()) {
-            named.add(line.id());
-            take(now, from, line);
+            listedIds.add(line.id());
+            applyLine(now, directory, line);
         }
         if (listing.kind() == Listing.Kind.CHANGES) {
-            from.wanted |= first || listing.after() > from.version;
-            from.whole &= !first;
+            directory.completeListWanted |= first || listing.after() > directory.version;
+            directory.complete &= !first;
         } else {
-            from.wanted = false;
-            from.whole = listing.kind() == Listing.Kind.WHOLE;
+            directory.completeListWanted = false;
+            directory.complete = listing.kind() == Listing.Kind.WHOLE;
         }
-        from.version = Math.max(first ? 0 : from.version, listing.version());
-        if (from.whole && listing.kind() == Listing.Kind.WHOLE) {
-            miss(now, from, named);
+        directory.version = Math.max(first ? 0 : directory.version, listing.version());
+        if (directory.complete && listing.kind() == Listing.Kind.WHOLE) {
+            markMissing(now, directory, listedIds);
         }
-        return Refusal.NONE;
+        return ListingRejection.NONE;
     }
 
-    private void take(long now, Directory from, Listing.Line line) {
-        Life before = from.lines.get(line.id());
+    private void applyLine(long now, Directory directory, Listing.Line line) {
+        Life before = directory.livenessById.get(line.id());
         Life after = before == null ? line.life() : before.join(line.life());
         Start start = starts.get(line.id());
-        if (start == null || line.life().start() > start.start) {
-            // An age, not a date: the clocks of two machines need not agree.
-            long since = line.age() == Listing.LONG_AGO ? 0 : Math.max(1, now - line.age());
-            starts.put(line.id(), new Start(line.life().start(), since));
+        if (start == null || line.life().start() > start.startNumber) {
+            // The listing gives an age, not a date: the clocks of two machines need not agree.
+            long startedAt = line.age() == Listing.LONG_AGO ? 0 : Math.max(1, now - line.age());
+            starts.put(line.id(), new Start(line.life().start(), startedAt));
         }
         if (!after.equals(before)) {
-            from.lines.put(line.id(), after);
-            touched.add(line.id());
+            directory.livenessById.put(line.id(), after);
+            changedIds.add(line.id());
         }
         if (after.phase() != Phase.GONE) {
-            from.missed.remove(line.id());
+            directory.missingSince.remove(line.id());
         }
         if (after.silent()) {
-            doubt(now, from, line.id(), after);
+            requestContradictingLists(now, directory, line.id(), after);
         }
     }
 
     /**
-     * One source misses a machine that another lists: the other is asked what it has heard since.
+     * One directory reports an exchange silent: requests complete lists from the directories that
+     * still list it, since they may have received a later heartbeat.
      */
-    private void doubt(long now, Directory from, long id, Life missed) {
+    private void requestContradictingLists(long now, Directory reporter, long id, Life reported) {
         for (Directory other : directories) {
-            Life theirs = other.lines.get(id);
-            if (other != from
-                    && theirs != null
-                    && other.say(now) == Say.FRESH
-                    && theirs.start() == missed.start()
-                    && theirs.phase() != Phase.GONE
-                    && theirs.beat() <= missed.quiet()) {
-                other.wanted = true;
+            Life known = other.livenessById.get(id);
+            if (other != reporter
+                    && known != null
+                    && other.authority(now) == Say.FRESH
+                    && known.start() == reported.start()
+                    && known.phase() != Phase.GONE
+                    && known.beat() <= reported.quiet()) {
+                other.completeListWanted = true;
             }
         }
     }
 
     /**
-     * Whoever a whole list does not name is missing, as of the last sign of life that this source
-     * told of.
+     * Marks every exchange that a complete list does not name as silent after the last heartbeat
+     * that this directory reported.
      */
-    private void miss(long now, Directory from, Set<Long> named) {
-        for (Map.Entry<Long, Life> each : from.lines.entrySet()) {
-            if (!named.contains(each.getKey())
-                    && from.missed.putIfAbsent(each.getKey(), now) == null) {
+    private void markMissing(long now, Directory directory, Set<Long> listedIds) {
+        for (Map.Entry<Long, Life> each : directory.livenessById.entrySet()) {
+            if (!listedIds.contains(each.getKey())
+                    && directory.missingSince.putIfAbsent(each.getKey(), now) == null) {
                 each.setValue(each.getValue().missed());
-                touched.add(each.getKey());
-                doubt(now, from, each.getKey(), each.getValue());
+                changedIds.add(each.getKey());
+                requestContradictingLists(now, directory, each.getKey(), each.getValue());
             }
         }
-        from.missed
+        directory
+                .missingSince
                 .entrySet()
                 .removeIf(
                         each -> {
-                            boolean over = now - each.getValue() >= MISSED_FOR;
-                            if (over) {
-                                from.lines.remove(each.getKey());
-                                touched.add(each.getKey());
+                            boolean expired = now - each.getValue() >= MISSING_RETENTION_US;
+                            if (expired) {
+                                directory.livenessById.remove(each.getKey());
+                                changedIds.add(each.getKey());
                             }
-                            return over;
+                            return expired;
                         });
     }
 
-    /** A directory said that its list still holds. */
-    public void renewed(long now, int source) {
-        directories.get(source).renewed = now;
+    /** A directory has confirmed that its last list is still current. */
+    public void listRenewed(long now, int source) {
+        directories.get(source).renewedAt = now;
     }
 
     /**
-     * Whether a directory is to be asked for its whole list: after a gap, or since another
-     * contradicts it.
+     * Whether a directory should be queried for its complete list, after a gap or because another
+     * directory contradicts it. Clears the request.
      */
-    public boolean wantsWhole(int source) {
-        boolean wanted = directories.get(source).wanted;
-        directories.get(source).wanted = false;
+    public boolean pollCompleteListWanted(int source) {
+        boolean wanted = directories.get(source).completeListWanted;
+        directories.get(source).completeListWanted = false;
         return wanted;
     }
 
     /**
-     * Where DNS says that the router of a number is; none where it says that there is no such
-     * service. An answer past its life ({@code stale}) keeps what is in use and brings nothing new.
+     * Applies a DNS answer about the router of a number; no addresses means that DNS knows no such
+     * service. An answer past its lifetime ({@code stale}) keeps the address in use and adds none.
      */
-    public void located(long now, int number, List<String> addresses, boolean stale) {
-        Located it = located.computeIfAbsent(number, n -> new Located());
-        if (addresses.contains(it.address) || stale) {
+    public void applyDnsAnswer(long now, int number, List<String> addresses, boolean stale) {
+        DnsRecord dnsRecord = dnsRecords.computeIfAbsent(number, n -> new DnsRecord());
+        if (addresses.contains(dnsRecord.currentAddress) || stale) {
             return;
         }
-        located.values().forEach(each -> touched.add(dnsId(each)));
-        it.address = addresses.isEmpty() ? "" : addresses.get(0);
-        if (!it.address.isEmpty()) {
-            // A machine that nobody proves to be warm counts as cold from its first sight.
-            Start known = it.seen.remove(it.address);
-            it.seen.put(it.address, known == null ? new Start(--dnsIds, now) : known);
-            if (it.seen.size() > MOST_ADDRESSES) {
-                String eldest = it.seen.keySet().iterator().next();
-                touched.add(it.seen.remove(eldest).start);
+        dnsRecords.values().forEach(each -> changedIds.add(dnsId(each)));
+        dnsRecord.currentAddress = addresses.isEmpty() ? "" : addresses.get(0);
+        if (!dnsRecord.currentAddress.isEmpty()) {
+            // Nothing proves that the exchange is warm, so it counts as cold from first sight.
+            Start known = dnsRecord.seen.remove(dnsRecord.currentAddress);
+            dnsRecord.seen.put(
+                    dnsRecord.currentAddress, known == null ? new Start(--lastDnsId, now) : known);
+            if (dnsRecord.seen.size() > MAX_ADDRESSES_PER_NUMBER) {
+                String eldest = dnsRecord.seen.keySet().iterator().next();
+                changedIds.add(dnsRecord.seen.remove(eldest).startNumber);
             }
-            touched.add(dnsId(it));
+            changedIds.add(dnsId(dnsRecord));
         }
     }
 
-    private static long dnsId(Located it) {
-        return it.address.isEmpty() ? 0 : it.seen.get(it.address).start;
+    /** The pseudo id of the address in use, or 0 if there is none. */
+    private static long dnsId(DnsRecord dnsRecord) {
+        return dnsRecord.currentAddress.isEmpty()
+                ? 0
+                : dnsRecord.seen.get(dnsRecord.currentAddress).startNumber;
     }
 
     /**
-     * What was kept before this router's start, of directories that are still asked. Told before
-     * all else.
+     * Restores the reports stored before this router's start, for directories that are still
+     * configured. Must be called before any other report is applied.
+     *
+     * @return the number of reports used
      */
-    public int kept(long now, List<Said> them) {
-        int taken = 0;
-        for (Said each : them) {
-            for (Directory from : directories) {
-                if (from.name.equals(each.source) && from.lines.size() < MOST) {
-                    from.lines.merge(each.id, each.life, Life::join);
-                    // A moment still to come, as after a clock was set back: old at once, and cold
-                    // from now.
-                    long renewed = each.renewed > now ? now - FRESH_FOR : each.renewed;
-                    from.renewed = Math.max(from.renewed, Math.min(renewed, now - FRESH_FOR));
-                    Start start = starts.get(each.id);
-                    if (start == null || each.life.start() > start.start) {
+    public int restore(long now, List<Said> reports) {
+        int restored = 0;
+        for (Said report : reports) {
+            for (Directory directory : directories) {
+                if (directory.name.equals(report.source)
+                        && directory.livenessById.size() < MAX_INSTANCES_PER_SOURCE) {
+                    directory.livenessById.merge(report.id, report.life, Life::join);
+                    // A time in the future means that the clock was set back: the list is stale at
+                    // once, and its exchanges count as cold from now.
+                    long renewedAt = report.renewed > now ? now - FRESH_FOR_US : report.renewed;
+                    directory.renewedAt =
+                            Math.max(directory.renewedAt, Math.min(renewedAt, now - FRESH_FOR_US));
+                    Start start = starts.get(report.id);
+                    if (start == null || report.life.start() > start.startNumber) {
                         starts.put(
-                                each.id, new Start(each.life.start(), Math.min(each.since, now)));
+                                report.id,
+                                new Start(report.life.start(), Math.min(report.since, now)));
                     }
-                    if (each.life.phase() == Phase.GONE) {
-                        from.missed.putIfAbsent(each.id, now);
+                    if (report.life.phase() == Phase.GONE) {
+                        directory.missingSince.putIfAbsent(report.id, now);
                     }
-                    touched.add(each.id);
-                    taken++;
+                    changedIds.add(report.id);
+                    restored++;
                 }
             }
         }
-        return taken;
+        return restored;
     }
 
-    // ---- what is believed
+    // ---- the merged roster
 
     /**
-     * What has changed since this was last asked, as the module is told it; what is believed no
-     * more is GONE.
+     * Updates the roster and returns the exchanges whose state has changed since the last call;
+     * those no longer in the roster are {@link Phase#GONE}.
      */
-    public List<Exchange> news(long now) {
-        if (sayChanged(now)) {
-            directories.forEach(from -> touched.addAll(from.lines.keySet()));
+    public List<Exchange> pollChanges(long now) {
+        if (authorityChanged(now)) {
+            directories.forEach(directory -> changedIds.addAll(directory.livenessById.keySet()));
         }
-        if (touched.isEmpty()) {
+        if (changedIds.isEmpty()) {
             return List.of();
         }
-        // Whether DNS has a say on a number depends on what directories say of it.
+        // Whether DNS counts for a number depends on what directories report about it.
         Set<Integer> numbers = new TreeSet<>();
-        touched.forEach(id -> numbers.add(id < 0 ? Integer.MIN_VALUE : numberOf(id)));
-        located.forEach(
-                (number, it) -> {
+        changedIds.forEach(id -> numbers.add(id < 0 ? Integer.MIN_VALUE : numberOf(id)));
+        dnsRecords.forEach(
+                (number, dnsRecord) -> {
                     if (numbers.contains(number)) {
-                        touched.add(dnsId(it));
+                        changedIds.add(dnsId(dnsRecord));
                     }
                 });
-        List<Exchange> news = new ArrayList<>();
-        for (long id : touched) {
-            Belief before = believed.get(id);
-            Belief after = id == 0 ? null : id < 0 ? fromDns(now, id) : believe(now, id);
+        List<Exchange> changes = new ArrayList<>();
+        for (long id : changedIds) {
+            Belief before = entries.get(id);
+            Belief after = id == 0 ? null : id < 0 ? mergeDns(now, id) : mergeLists(now, id);
             if (after == null && before != null) {
-                Exchange was = before.exchange();
+                Exchange old = before.exchange();
                 after =
                         new Belief(
-                                new Exchange(id, was.number(), Phase.GONE, was.since()),
+                                new Exchange(id, old.number(), Phase.GONE, old.since()),
                                 before.address(),
                                 id < 0 ? Why.DNS_DROPPED : Why.OUTLIVED);
             }
-            boolean neverTold =
+            boolean neverReported =
                     before == null
                             && id < 0
                             && after != null
                             && after.exchange().phase() == Phase.GONE;
             if (after != null
-                    && !neverTold
+                    && !neverReported
                     && (before == null || !before.exchange().equals(after.exchange()))) {
-                news.add(after.exchange());
+                changes.add(after.exchange());
             }
             if (after != null
                     && after.exchange().phase() == Phase.GONE
-                    && (id < 0 || nobodySays(id))) {
-                believed.remove(id);
+                    && (id < 0 || isUnlisted(id))) {
+                entries.remove(id);
             } else if (after != null) {
-                believed.put(id, after);
+                entries.put(id, after);
             }
         }
-        touched.clear();
-        return news;
+        changedIds.clear();
+        return changes;
     }
 
-    private boolean nobodySays(long id) {
-        return directories.stream().noneMatch(from -> from.lines.containsKey(id));
+    private boolean isUnlisted(long id) {
+        return directories.stream().noneMatch(directory -> directory.livenessById.containsKey(id));
     }
 
     private int numberOf(long id) {
-        for (Directory from : directories) {
-            Life life = from.lines.get(id);
-            if (life != null) {
-                return life.number();
+        for (Directory directory : directories) {
+            Life liveness = directory.livenessById.get(id);
+            if (liveness != null) {
+                return liveness.number();
             }
         }
-        return believed.containsKey(id) ? believed.get(id).exchange().number() : Integer.MIN_VALUE;
+        return entries.containsKey(id) ? entries.get(id).exchange().number() : Integer.MIN_VALUE;
     }
 
-    /** Whether some list has gone a step down or up since this was last asked. */
-    private boolean sayChanged(long now) {
+    /** Whether the authority or completeness of any list has changed since the last call. */
+    private boolean authorityChanged(long now) {
         boolean changed = false;
-        for (Directory from : directories) {
-            changed |= from.say(now) != from.saidLast || from.whole != from.wholeLast;
-            from.saidLast = from.say(now);
-            from.wholeLast = from.whole;
+        for (Directory directory : directories) {
+            changed |=
+                    directory.authority(now) != directory.lastAuthority
+                            || directory.complete != directory.lastComplete;
+            directory.lastAuthority = directory.authority(now);
+            directory.lastComplete = directory.complete;
         }
         return changed;
     }
 
-    /** The moment at which some list goes a step down, Long.MAX_VALUE for never. */
-    public long due(long now) {
-        long due = Long.MAX_VALUE;
-        for (Directory from : directories) {
-            Say say = from.say(now);
-            long step = say == Say.FRESH ? FRESH_FOR : say == Say.OLD ? OLD_FOR : 0;
-            due = step == 0 ? due : Math.min(due, from.renewed + step);
+    /** The time at which some list next loses authority, or Long.MAX_VALUE for never. */
+    public long nextAuthorityChange(long now) {
+        long next = Long.MAX_VALUE;
+        for (Directory directory : directories) {
+            Say authority = directory.authority(now);
+            long step =
+                    authority == Say.FRESH
+                            ? FRESH_FOR_US
+                            : authority == Say.STALE ? EXPIRES_AFTER_US : 0;
+            next = step == 0 ? next : Math.min(next, directory.renewedAt + step);
         }
-        return due;
+        return next;
     }
 
-    /** One machine by all that directories have said of it; null where none did. */
-    private Belief believe(long now, long id) {
-        Life life = null;
+    /** Merges all directories' reports about one exchange instance; null if there are none. */
+    private Belief mergeLists(long now, long id) {
+        Life liveness = null;
         boolean fresh = false;
-        boolean onlyVoid = true;
-        boolean whole = false;
-        for (Directory from : directories) {
-            Say say = from.say(now);
-            Life said = from.lines.get(id);
-            whole |= say == Say.FRESH && from.whole;
-            if (said != null) {
-                life = life == null ? said : life.join(said);
-                fresh |= say == Say.FRESH;
-                onlyVoid &= say == Say.VOID;
+        boolean onlyExpired = true;
+        boolean freshCompleteList = false;
+        for (Directory directory : directories) {
+            Say authority = directory.authority(now);
+            Life reported = directory.livenessById.get(id);
+            freshCompleteList |= authority == Say.FRESH && directory.complete;
+            if (reported != null) {
+                liveness = liveness == null ? reported : liveness.join(reported);
+                fresh |= authority == Say.FRESH;
+                onlyExpired &= authority == Say.EXPIRED;
             }
         }
-        if (life == null) {
+        if (liveness == null) {
             return null;
         }
-        Why why =
-                life.left()
+        Why reason =
+                liveness.left()
                         ? Why.LEFT
-                        : life.silent()
+                        : liveness.silent()
                                 ? Why.SILENT
-                                : onlyVoid && whole
+                                : onlyExpired && freshCompleteList
                                         ? Why.OUTLIVED
-                                        : life.drains()
+                                        : liveness.drains()
                                                 ? Why.DRAINS
                                                 : fresh ? Why.LISTED : Why.LIST_OLD;
-        Phase phase = why == Why.OUTLIVED ? Phase.GONE : life.phase();
+        Phase phase = reason == Why.OUTLIVED ? Phase.GONE : liveness.phase();
         Start start = starts.get(id);
-        long since = start != null && start.start == life.start() ? start.since : 0;
-        return new Belief(new Exchange(id, life.number(), phase, since), life.address(), why);
+        long startedAt =
+                start != null && start.startNumber == liveness.start() ? start.startedAt : 0;
+        return new Belief(
+                new Exchange(id, liveness.number(), phase, startedAt), liveness.address(), reason);
     }
 
     /**
-     * A machine that DNS names counts only while no directory knows its number, and never at a
-     * place one called off.
+     * The entry of a DNS address. It counts only while no directory lists an active exchange with
+     * its number, and never at an address that a directory has reported gone.
      */
-    private Belief fromDns(long now, long id) {
-        for (Map.Entry<Integer, Located> each : located.entrySet()) {
-            Located it = each.getValue();
-            if (dnsId(it) != id) {
+    private Belief mergeDns(long now, long id) {
+        for (Map.Entry<Integer, DnsRecord> each : dnsRecords.entrySet()) {
+            DnsRecord dnsRecord = each.getValue();
+            if (dnsId(dnsRecord) != id) {
                 continue;
             }
-            Why why = Why.DNS_ONLY;
-            for (Map.Entry<Integer, Located> other : located.entrySet()) {
-                // A router serves one number: an address of two is a wildcard's, or a mistake, and
-                // whose nobody knows.
+            Why reason = Why.DNS_ONLY;
+            for (Map.Entry<Integer, DnsRecord> other : dnsRecords.entrySet()) {
+                // A router serves one number: an address of two numbers comes from a wildcard or a
+                // mistake, and its owner is unknown.
                 if (!other.getKey().equals(each.getKey())
-                        && other.getValue().address.equals(it.address)) {
-                    why = Why.DNS_SHARED;
+                        && other.getValue().currentAddress.equals(dnsRecord.currentAddress)) {
+                    reason = Why.DNS_SHARED;
                 }
             }
-            for (Directory from : directories) {
-                for (Map.Entry<Long, Life> line : from.lines.entrySet()) {
-                    Belief known =
+            for (Directory directory : directories) {
+                for (Map.Entry<Long, Life> line : directory.livenessById.entrySet()) {
+                    Belief listed =
                             line.getValue().number() == each.getKey()
-                                    ? believe(now, line.getKey())
+                                    ? mergeLists(now, line.getKey())
                                     : null;
-                    if (known != null
-                            && (known.exchange().phase() != Phase.GONE
-                                    || known.address().equals(it.address))) {
-                        why = Why.DNS_YIELDS;
+                    if (listed != null
+                            && (listed.exchange().phase() != Phase.GONE
+                                    || listed.address().equals(dnsRecord.currentAddress))) {
+                        reason = Why.DNS_YIELDS;
                     }
                 }
             }
-            Phase phase = why == Why.DNS_ONLY ? Phase.READY : Phase.GONE;
+            Phase phase = reason == Why.DNS_ONLY ? Phase.READY : Phase.GONE;
             return new Belief(
-                    new Exchange(id, each.getKey(), phase, it.seen.get(it.address).since),
-                    it.address,
-                    why);
+                    new Exchange(
+                            id,
+                            each.getKey(),
+                            phase,
+                            dnsRecord.seen.get(dnsRecord.currentAddress).startedAt),
+                    dnsRecord.currentAddress,
+                    reason);
         }
         return null;
     }
 
-    /** What is believed of a machine; null where nothing is. */
-    public Belief belief(long id) {
-        return believed.get(id);
+    /** The entry of one exchange instance, or null if it is not in the roster. */
+    public Belief entry(long id) {
+        return entries.get(id);
     }
 
+    /** All entries, including those of exchanges that are gone but still remembered. */
     public Collection<Belief> beliefs() {
-        return believed.values();
+        return entries.values();
     }
 
     /**
-     * Numbers of which some machine is known, gone ones too: a session to one is refused, not
-     * unknown.
+     * The numbers of all known exchanges, including those that are gone: a session to one of them
+     * is refused rather than answered as unknown.
      */
     public Set<Integer> numbers() {
         Set<Integer> numbers = new TreeSet<>();
-        believed.values().forEach(belief -> numbers.add(belief.exchange().number()));
+        entries.values().forEach(entry -> numbers.add(entry.exchange().number()));
         return numbers;
     }
 
+    /** How much the list of a directory counts at {@code now}. */
     public Say say(long now, int source) {
-        return directories.get(source).say(now);
+        return directories.get(source).authority(now);
     }
 
-    /** All that directories have said, for the store and for who asks why. */
+    /** Everything that directories have reported, for the store and for diagnosis. */
     public List<Said> said() {
-        List<Said> all = new ArrayList<>();
-        for (Directory from : directories) {
-            from.lines.forEach(
-                    (id, life) -> {
+        List<Said> reports = new ArrayList<>();
+        for (Directory directory : directories) {
+            directory.livenessById.forEach(
+                    (id, liveness) -> {
                         Start start = starts.get(id);
-                        all.add(
+                        reports.add(
                                 new Said(
-                                        from.name,
+                                        directory.name,
                                         id,
-                                        life,
-                                        start != null && start.start == life.start()
-                                                ? start.since
+                                        liveness,
+                                        start != null && start.startNumber == liveness.start()
+                                                ? start.startedAt
                                                 : 0,
-                                        from.renewed));
+                                        directory.renewedAt));
                     });
         }
-        return all;
+        return reports;
     }
 }
--- a/src/main/java/coralcove/sources/store/RosterStore.java
+++ b/src/main/java/coralcove/sources/store/RosterStore.java
@@ -13,73 +13,79 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What directories have said, on a router's own disk, for its restart while no directory is up: one
- * entry a source and machine, a line of text behind its form's version and CRC-32C. Written on a
- * thread of its own, the newest only.
+ * Stores what directories have reported on the router's own disk, for a restart while no directory
+ * is up. There is one entry for each source and exchange instance: a line of text that starts with
+ * the format version and ends with its CRC-32C. Only the newest state is written, on a separate
+ * thread.
  */
 public final class RosterStore implements AutoCloseable {
-    private static final String FORM = "1";
+    private static final String FORMAT_VERSION = "1";
 
     /**
-     * Milliseconds between two writes: what a kill loses at most, and far under the time a
-     * directory takes to return.
+     * Interval between two writes: the most that a kill loses, and far less than the time a
+     * directory takes to come back.
      */
-    private static final long EVERY = 500;
+    private static final long WRITE_INTERVAL_MS = 500;
 
     private static final int FIELDS = 13;
 
     private final EntryStore<String, Roster.Said> store;
-    private final AtomicReference<List<Roster.Said>> newest = new AtomicReference<>();
-    private final Thread writer = new Thread(this::write, "roster-store");
+    private final AtomicReference<List<Roster.Said>> pendingReports = new AtomicReference<>();
+    private final Thread writer = new Thread(this::writePeriodically, "roster-store");
 
-    public RosterStore(Path path, Consumer<String> said) {
+    /** Opens or creates the store; {@code warnings} receives what could not be read or written. */
+    public RosterStore(Path path, Consumer<String> warnings) {
         store =
                 new EntryStore<>(
                         path,
                         new EntryStore.Form<>(
                                 "roster",
-                                each -> each.source() + " " + each.id(),
-                                RosterStore::out,
-                                RosterStore::in),
-                        said);
+                                report -> report.source() + " " + report.id(),
+                                RosterStore::encode,
+                                RosterStore::decode),
+                        warnings);
     }
 
-    /**
-     * Takes what was kept before a start, and whom all that is said from now on is handed to; how
-     * much counted.
-     */
-    public interface Resuming {
-        int resume(List<Roster.Said> kept, Consumer<List<Roster.Said>> to);
+    /** A router whose roster can be restored from a store. */
+    public interface RestorableRouter {
+        /**
+         * Restores the stored reports, and sends the complete set of reports to {@code sink} from
+         * now on.
+         *
+         * @return the number of stored reports used
+         */
+        int resume(List<Roster.Said> stored, Consumer<List<Roster.Said>> sink);
     }
 
-    /** Resumes from a store and keeps on writing to it, until the program ends. */
-    public static void keep(Path path, String node, Resuming core) {
+    /** Restores a router from the store at {@code path} and stores its reports until it exits. */
+    public static void keep(Path path, String node, RestorableRouter router) {
         Logger log = LoggerFactory.getLogger(node);
-        RosterStore store = new RosterStore(path, said -> log.warn("roster: {}", said));
-        int taken = core.resume(store.read(), store::keep);
+        RosterStore store = new RosterStore(path, warning -> log.warn("roster: {}", warning));
+        int restored = router.resume(store.read(), store::save);
         store.start();
-        log.info("roster: {} lines of the last start resumed", taken);
+        log.info("roster: {} entries restored from the previous run", restored);
     }
 
-    /** All that is sound; read before {@link #start}. */
+    /** All valid entries; must be called before {@link #start}. */
     public List<Roster.Said> read() {
         return store.read();
     }
 
+    /** Starts the writer thread. */
     public void start() {
         writer.setDaemon(true);
         writer.start();
     }
 
-    /** What is to be on disk from now on; told on the router's thread, and never waits. */
-    public void keep(List<Roster.Said> all) {
-        newest.set(all);
+    /** Sets what the store is to hold from now on. Called on the router's thread; never blocks. */
+    public void save(List<Roster.Said> reports) {
+        pendingReports.set(reports);
     }
 
-    private void write() {
+    private void writePeriodically() {
         try {
             while (true) {
-                Thread.sleep(EVERY);
+                Thread.sleep(WRITE_INTERVAL_MS);
                 flush();
             }
         } catch (InterruptedException e) {
@@ -88,62 +94,63 @@
     }
 
     private void flush() {
-        List<Roster.Said> all = newest.getAndSet(null);
-        if (all != null) {
-            store.replace(all);
+        List<Roster.Said> reports = pendingReports.getAndSet(null);
+        if (reports != null) {
+            store.replace(reports);
         }
     }
 
-    private static byte[] out(Roster.Said it) {
-        Life life = it.life();
+    private static byte[] encode(Roster.Said report) {
+        Life liveness = report.life();
         String text =
                 String.join(
                         " ",
-                        FORM,
-                        it.source(),
-                        Long.toString(it.id()),
-                        Long.toString(life.start()),
-                        Long.toString(life.beat()),
-                        Boolean.toString(life.drains()),
-                        Long.toString(life.quiet()),
-                        Boolean.toString(life.left()),
-                        Integer.toString(life.number()),
-                        life.address(),
-                        Long.toString(it.since()),
-                        Long.toString(it.renewed()));
-        return (text + " " + sum(text)).getBytes(StandardCharsets.UTF_8);
+                        FORMAT_VERSION,
+                        report.source(),
+                        Long.toString(report.id()),
+                        Long.toString(liveness.start()),
+                        Long.toString(liveness.beat()),
+                        Boolean.toString(liveness.drains()),
+                        Long.toString(liveness.quiet()),
+                        Boolean.toString(liveness.left()),
+                        Integer.toString(liveness.number()),
+                        liveness.address(),
+                        Long.toString(report.since()),
+                        Long.toString(report.renewed()));
+        return (text + " " + checksum(text)).getBytes(StandardCharsets.UTF_8);
     }
 
-    private static Roster.Said in(byte[] entry) {
+    /** Null if the entry has another format version or a wrong checksum. */
+    private static Roster.Said decode(byte[] entry) {
         String text = new String(entry, StandardCharsets.UTF_8);
-        String[] parts = text.split(" ");
-        int last = text.lastIndexOf(' ');
-        if (parts.length != FIELDS
-                || !parts[0].equals(FORM)
-                || !parts[12].equals(sum(text.substring(0, last)))) {
+        String[] fields = text.split(" ");
+        int checksumSeparator = text.lastIndexOf(' ');
+        if (fields.length != FIELDS
+                || !fields[0].equals(FORMAT_VERSION)
+                || !fields[12].equals(checksum(text.substring(0, checksumSeparator)))) {
             return null;
         }
-        Life life =
+        Life liveness =
                 new Life(
-                        Long.parseLong(parts[3]),
-                        Long.parseLong(parts[4]),
-                        Boolean.parseBoolean(parts[5]),
-                        Long.parseLong(parts[6]),
-                        Boolean.parseBoolean(parts[7]),
-                        Integer.parseInt(parts[8]),
-                        parts[9]);
+                        Long.parseLong(fields[3]),
+                        Long.parseLong(fields[4]),
+                        Boolean.parseBoolean(fields[5]),
+                        Long.parseLong(fields[6]),
+                        Boolean.parseBoolean(fields[7]),
+                        Integer.parseInt(fields[8]),
+                        fields[9]);
         return new Roster.Said(
-                parts[1],
-                Long.parseLong(parts[2]),
-                life,
-                Long.parseLong(parts[10]),
-                Long.parseLong(parts[11]));
+                fields[1],
+                Long.parseLong(fields[2]),
+                liveness,
+                Long.parseLong(fields[10]),
+                Long.parseLong(fields[11]));
     }
 
-    private static String sum(String text) {
-        CRC32C sum = new CRC32C();
-        sum.update(text.getBytes(StandardCharsets.UTF_8));
-        return Long.toHexString(sum.getValue());
+    private static String checksum(String text) {
+        CRC32C crc = new CRC32C();
+        crc.update(text.getBytes(StandardCharsets.UTF_8));
+        return Long.toHexString(crc.getValue());
     }
 
     @Override
--- a/src/test/java/coralcove/edge/EdgeDesk.java
+++ b/src/test/java/coralcove/edge/EdgeCoreHarness.java
@@ -26,30 +26,30 @@
 import java.util.Map;
 
 /**
- * A call router with a scripted module, its exchange and directory played by the test; all is
- * printed.
+ * Runs an {@link EdgeCore} with a scripted routing policy. The test plays the router's exchange and
+ * directory; every output and every call of the policy is written to a trace.
  */
-final class EdgeDesk implements Out, CallRouter {
-    static final Hop SELF = new Hop(false, "r", 1);
+final class EdgeCoreHarness implements Out, CallRouter {
+    static final Hop ROUTER = new Hop(false, "r", 1);
     static final Hop EXCHANGE = new Hop(false, "x", 2);
     static final Hop DIRECTORY = new Hop(false, "d", 3);
-    static final Hop FAR = new Hop(false, "far", 4);
+    static final Hop FAR_ROUTER = new Hop(false, "far", 4);
 
     final EdgeCore core;
-    private final ArrayDeque<Answer> answers = new ArrayDeque<>();
+    private final ArrayDeque<Answer> decisions = new ArrayDeque<>();
     private final StringBuilder trace = new StringBuilder();
-    private final Map<String, SipMessage> invites = new HashMap<>();
-    private final Map<String, SipMessage> subscribes = new HashMap<>();
-    private boolean subscribe = true;
+    private final Map<String, SipMessage> invitesByCall = new HashMap<>();
+    private final Map<String, SipMessage> subscribesByEvent = new HashMap<>();
+    private boolean wantsSubscription = true;
     private SipMessage lastInvite;
     private Hop lastInviteTo = EXCHANGE;
-    private SipMessage lastOut;
-    private SipMessage firstOk;
+    private SipMessage lastResponse;
+    private SipMessage firstInviteOk;
     private long now = 1_000_000;
-    private int ids;
+    private int messageCount;
 
-    EdgeDesk() {
-        Settings module =
+    EdgeCoreHarness() {
+        Settings policySettings =
                 new Settings(
                         3,
                         0,
@@ -71,73 +71,85 @@
         core =
                 new EdgeCore(
                         new EdgeSettings(
-                                0, SELF, EXCHANGE, List.of(DIRECTORY), module, 20_000, 4, 1, "s"),
+                                0,
+                                ROUTER,
+                                EXCHANGE,
+                                List.of(DIRECTORY),
+                                policySettings,
+                                20_000,
+                                4,
+                                1,
+                                "s"),
                         this);
         core.start(now, this);
         notify(EXCHANGE, "trunk-groups", "1 2\n2 2\n");
-        list(
+        directoryNotifies(
                 "epoch e version 5 whole\n"
                         + "101 1 ready 1 1 - udp:far:4\n"
                         + "102 2 ready 1 1 - udp:far2:5\n");
         trace.setLength(0);
     }
 
-    /** What the module will answer, in turn. */
-    EdgeDesk module(Answer... next) {
-        answers.addAll(List.of(next));
+    /** Sets the next decisions of the routing policy, in order. */
+    EdgeCoreHarness policyDecides(Answer... next) {
+        decisions.addAll(List.of(next));
         return this;
     }
 
-    EdgeDesk list(String body) {
+    /** Delivers a list or changes from the directory. */
+    EdgeCoreHarness directoryNotifies(String body) {
         return notify(DIRECTORY, "exchanges", body);
     }
 
-    /** A NOTIFY in the dialog of the subscription that was asked for last. */
-    EdgeDesk notify(Hop from, String event, String body) {
-        return take(from, news(event, body));
+    /** Delivers a NOTIFY in the dialog of the last subscription to this event. */
+    EdgeCoreHarness notify(Hop from, String event, String body) {
+        return receive(from, notifyRequest(event, body));
     }
 
-    SipMessage news(String event, String body) {
-        ids++;
-        SipMessage asked = subscribes.get(event);
-        return request("NOTIFY", asked.callId(), ids)
-                .set("Via", "SIP/2.0/UDP x:2;branch=z9hG4bKn" + ids)
+    private SipMessage notifyRequest(String event, String body) {
+        messageCount++;
+        SipMessage subscribe = subscribesByEvent.get(event);
+        return request("NOTIFY", subscribe.callId(), messageCount)
+                .set("Via", "SIP/2.0/UDP x:2;branch=z9hG4bKn" + messageCount)
                 .set("From", "<sip:d>;tag=d")
-                .set("To", asked.header("From"))
+                .set("To", subscribe.header("From"))
                 .add("Event", event)
                 .add("Subscription-State", "active;expires=60")
-                .add("SIP-ETag", "t" + ids)
+                .add("SIP-ETag", "t" + messageCount)
                 .body("text/plain", body.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** The last SUBSCRIBE out for this event is answered. */
-    EdgeDesk answered(String event, int status, String... extra) {
+    /**
+     * Answers the last SUBSCRIBE sent for this event; extra headers are names and values in turn.
+     */
+    EdgeCoreHarness answerSubscribe(String event, int status, String... extraHeaders) {
         SipMessage reply =
-                SipMessage.reply(subscribes.get(event), status, "x", "d")
+                SipMessage.reply(subscribesByEvent.get(event), status, "x", "d")
                         .set(
                                 "To",
-                                subscribes.get(event).header("To")
-                                        + (subscribes.get(event).toTag().isEmpty()
+                                subscribesByEvent.get(event).header("To")
+                                        + (subscribesByEvent.get(event).toTag().isEmpty()
                                                 ? ";tag=d"
                                                 : ""));
-        for (int i = 0; i < extra.length; i += 2) {
-            reply.add(extra[i], extra[i + 1]);
+        for (int i = 0; i < extraHeaders.length; i += 2) {
+            reply.add(extraHeaders[i], extraHeaders[i + 1]);
         }
-        return take(event.equals("exchanges") ? DIRECTORY : EXCHANGE, reply);
+        return receive(event.equals("exchanges") ? DIRECTORY : EXCHANGE, reply);
     }
 
-    /** The last SUBSCRIBE out for this event. */
-    SipMessage subscribed(String event) {
-        return subscribes.get(event);
+    /** The last SUBSCRIBE sent for this event. */
+    SipMessage lastSubscribe(String event) {
+        return subscribesByEvent.get(event);
     }
 
-    EdgeDesk pass(long millis) {
-        long to = now + millis * 1000;
-        while (core.due() <= to) {
+    /** Advances the time, running the timers that expire. */
+    EdgeCoreHarness advance(long millis) {
+        long end = now + millis * 1000;
+        while (core.due() <= end) {
             now = Math.max(now, core.due());
             core.tick(now, this);
         }
-        now = to;
+        now = end;
         return this;
     }
 
@@ -153,72 +165,78 @@
                 .add("Session-ID", call);
     }
 
-    /** A caller's INVITE; {@code extra} are names and values in turn. */
-    SipMessage invite(String call, int farEnd, long left, String... extra) {
+    /** A caller's INVITE; extra headers are names and values in turn. */
+    SipMessage invite(String call, int farEnd, long timeLeft, String... extraHeaders) {
         SipMessage invite =
                 request("INVITE", call, 1)
                         .add("X-Service", "0;value=1;width=1")
                         .add("X-Far-End", Integer.toString(farEnd))
-                        .add("X-Time-Left", Long.toString(left));
-        for (int i = 0; i < extra.length; i += 2) {
-            invite.set(extra[i], extra[i + 1]);
+                        .add("X-Time-Left", Long.toString(timeLeft));
+        for (int i = 0; i < extraHeaders.length; i += 2) {
+            invite.set(extraHeaders[i], extraHeaders[i + 1]);
         }
         return invite;
     }
 
-    EdgeDesk call(String call, int farEnd, long left, String... extra) {
-        SipMessage invite = invite(call, farEnd, left, extra);
-        invites.put(call, invite);
-        return take(EXCHANGE, invite);
+    /** A caller sends an INVITE. */
+    EdgeCoreHarness call(String call, int farEnd, long timeLeft, String... extraHeaders) {
+        SipMessage invite = invite(call, farEnd, timeLeft, extraHeaders);
+        invitesByCall.put(call, invite);
+        return receive(EXCHANGE, invite);
     }
 
-    /** From now on numbers can be dialled; questions to the portability server are noted. */
-    EdgeDesk numbers(int mostTables, NumberTable first, Porting.Settings settings) {
+    /** Accepts dialled numbers from now on; queries to the portability server are traced. */
+    EdgeCoreHarness enableNumbers(int maxTables, NumberTable first, Porting.Settings settings) {
         core.numbers(
                 new NumberDesk(
-                        mostTables,
+                        maxTables,
                         first,
                         settings,
                         (at, number) -> note("asks for " + Digits.text(number))));
         return this;
     }
 
-    /** A caller dials. */
-    EdgeDesk dial(String call, String number, long left) {
-        return raw(
+    /** A caller sends an INVITE with a dialled number instead of a far end. */
+    EdgeCoreHarness dial(String call, String number, long timeLeft) {
+        return receiveText(
                 EXCHANGE,
-                new String(invite(call, 0, left).bytes(), StandardCharsets.UTF_8)
+                new String(invite(call, 0, timeLeft).bytes(), StandardCharsets.UTF_8)
                         .replace("sip:77@r:1", "sip:" + number + "@r:1")
                         .replaceFirst("X-Far-End: \\d+\r\n", ""));
     }
 
-    EdgeDesk ported(String number, Porting.Outcome outcome, String routing) {
-        note(number + " " + outcome + " " + routing);
-        core.ported(now, Digits.pack(number), outcome, Digits.pack(routing), 60_000_000, this);
+    /** The portability server answers, or its query has failed. */
+    EdgeCoreHarness portabilityAnswers(
+            String number, Porting.Outcome outcome, String routingNumber) {
+        note(number + " " + outcome + " " + routingNumber);
+        core.ported(
+                now, Digits.pack(number), outcome, Digits.pack(routingNumber), 60_000_000, this);
         return this;
     }
 
-    EdgeDesk replace(NumberTable table) {
+    EdgeCoreHarness replaceTable(NumberTable table) {
         note("table " + table.version());
         core.replace(now, table, this);
         return this;
     }
 
-    /** A header of the last INVITE out. */
-    String sent(String header) {
+    /** A header of the last INVITE sent. */
+    String lastInviteHeader(String header) {
         return lastInvite.header(header);
     }
 
-    /** A header of the last response out. */
-    String answer(String header) {
-        return lastOut.header(header);
+    /** A header of the last response sent. */
+    String lastResponseHeader(String header) {
+        return lastResponse.header(header);
     }
 
-    EdgeDesk take(Hop from, SipMessage message) {
-        return raw(from, new String(message.bytes(), StandardCharsets.UTF_8));
+    /** Delivers a message to the router. */
+    EdgeCoreHarness receive(Hop from, SipMessage message) {
+        return receiveText(from, new String(message.bytes(), StandardCharsets.UTF_8));
     }
 
-    EdgeDesk raw(Hop from, String text) {
+    /** Delivers a text to the router, whether it is a SIP message or not. */
+    EdgeCoreHarness receiveText(Hop from, String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         try {
             core.receive(now, from, SipParser.parse(bytes, 0, bytes.length), this);
@@ -228,45 +246,50 @@
         return this;
     }
 
-    EdgeDesk cancel(String call) {
+    /** The caller cancels its INVITE. */
+    EdgeCoreHarness cancel(String call) {
         SipMessage cancel = request("CANCEL", call, 1);
         cancel.set("Via", "SIP/2.0/UDP x:2;branch=z9hG4bK" + call + "INVITE");
-        return take(EXCHANGE, cancel);
+        return receive(EXCHANGE, cancel);
     }
 
-    EdgeDesk change(String call) {
-        return take(
+    /** The caller sends a re-INVITE in its established call. */
+    EdgeCoreHarness reinvite(String call) {
+        return receive(
                 EXCHANGE,
                 request("INVITE", call, 2)
                         .set("Via", "SIP/2.0/UDP x:2;branch=z9hG4bKchange")
-                        .set("To", firstOk.header("To"))
+                        .set("To", firstInviteOk.header("To"))
                         .body("application/sdp", "v=0".getBytes(StandardCharsets.UTF_8)));
     }
 
-    EdgeDesk bye(String call, String... extra) {
-        SipMessage bye = request("BYE", call, 2).set("To", lastOut.header("To"));
-        for (int i = 0; i < extra.length; i += 2) {
-            bye.set(extra[i], extra[i + 1]);
+    /** The caller ends its established call; extra headers are names and values in turn. */
+    EdgeCoreHarness bye(String call, String... extraHeaders) {
+        SipMessage bye = request("BYE", call, 2).set("To", lastResponse.header("To"));
+        for (int i = 0; i < extraHeaders.length; i += 2) {
+            bye.set(extraHeaders[i], extraHeaders[i + 1]);
         }
-        return take(EXCHANGE, bye);
+        return receive(EXCHANGE, bye);
     }
 
-    /** The last INVITE out is answered; extra are names and values in turn. */
-    EdgeDesk answered(int status, String... extra) {
+    /** Answers the last INVITE sent; extra headers are names and values in turn. */
+    EdgeCoreHarness answerInvite(int status, String... extraHeaders) {
         SipMessage reply =
                 SipMessage.reply(lastInvite, status, "x", "far").add("Contact", "<sip:far:4>");
-        for (int i = 0; i < extra.length; i += 2) {
-            reply.add(extra[i], extra[i + 1]);
+        for (int i = 0; i < extraHeaders.length; i += 2) {
+            reply.add(extraHeaders[i], extraHeaders[i + 1]);
         }
-        return take(lastInviteTo, reply);
+        return receive(lastInviteTo, reply);
     }
 
-    EdgeDesk note(String text) {
+    /** Adds a line to the trace. */
+    EdgeCoreHarness note(String text) {
         trace.append(now / 1000).append(" ms  ").append(text).append('\n');
         return this;
     }
 
-    void reads(String name) {
+    /** Checks the trace against the stored one. */
+    void assertTrace(String name) {
         assertThat(trace.toString()).isEqualTo(Kept.trace(name));
     }
 
@@ -282,16 +305,16 @@
             lastInviteTo = to;
             line.append(" call ").append(message.callId());
         } else if (!message.isRequest()) {
-            lastOut = message;
-            firstOk =
-                    firstOk == null
+            lastResponse = message;
+            firstInviteOk =
+                    firstInviteOk == null
                                     && message.status() == 200
                                     && message.cseqMethod().equals("INVITE")
                             ? message
-                            : firstOk;
+                            : firstInviteOk;
         }
         if (message.isRequest() && message.method().equals("SUBSCRIBE")) {
-            subscribes.put(message.header("Event"), message.copy());
+            subscribesByEvent.put(message.header("Event"), message.copy());
             String match = message.header("Suppress-If-Match");
             line.append(
                     message.toTag().isEmpty()
@@ -320,18 +343,18 @@
 
     @Override
     public void log(String event, String session, String detail) {
-        // The trace has the messages.
+        // The trace shows the messages instead.
     }
 
-    private Answer next(String asked) {
-        Answer answer = answers.isEmpty() ? Answer.NOTHING : answers.poll();
-        note("module: " + asked + " -> " + answer.kind());
-        return answer;
+    private Answer nextDecision(String call) {
+        Answer decision = decisions.isEmpty() ? Answer.NOTHING : decisions.poll();
+        note("module: " + call + " -> " + decision.kind());
+        return decision;
     }
 
     @Override
     public Answer route(long at, Session session) {
-        return next(
+        return nextDecision(
                 "route "
                         + session.id()
                         + (session.transit() ? " in transit" : "")
@@ -346,17 +369,17 @@
     public Answer after(
             long at,
             long session,
-            Ending ending,
+            Ending outcome,
             Cause cause,
             long exchange,
             long took,
             long namedWait,
             boolean over) {
-        return next(
+        return nextDecision(
                 "after "
                         + session
                         + " "
-                        + ending
+                        + outcome
                         + " "
                         + cause
                         + (namedWait > 0 ? " wait " + namedWait : "")
@@ -365,9 +388,9 @@
 
     @Override
     public Waiting waiting(long at) {
-        boolean ask = subscribe;
-        subscribe = false;
-        return new Waiting(0, List.of(), List.of(), ask);
+        boolean subscribe = wantsSubscription;
+        wantsSubscription = false;
+        return new Waiting(0, List.of(), List.of(), subscribe);
     }
 
     @Override
--- a/src/test/java/coralcove/edge/EdgeCoreTest.java
+++ b/src/test/java/coralcove/edge/EdgeCoreTest.java
@@ -8,80 +8,81 @@
 import org.junit.jupiter.api.Test;
 
 class EdgeCoreTest {
-    private final EdgeDesk desk = new EdgeDesk();
+    private final EdgeCoreHarness harness = new EdgeCoreHarness();
 
     @Test
-    void setsASessionUpAndEndsIt() {
-        desk.module(Answer.send(101, 900_000))
+    void establishesAndEndsASession() {
+        harness.policyDecides(Answer.send(101, 900_000))
                 .call("a", 1, 3_000_000)
-                .pass(10)
-                .answered(180)
-                .answered(200)
-                .pass(5)
+                .advance(10)
+                .answerInvite(180)
+                .answerInvite(200)
+                .advance(5)
                 .note("the 200 comes again")
-                .answered(200)
-                .pass(20)
+                .answerInvite(200)
+                .advance(20)
                 .bye("a")
-                .reads("edge-plain");
+                .assertTrace("edge-plain");
     }
 
     @Test
-    void waitsAndSendsAgainAsOneSession() {
-        desk.module(
+    void retriesAfterATimeOutWithinTheSameSession() {
+        harness.policyDecides(
                         Answer.send(101, 200_000),
                         Answer.later(1_500_000),
                         Answer.send(102, 500_000),
                         Answer.refuse(400_000))
                 .call("a", 1, 3_000_000)
-                .pass(1)
-                .answered(100)
-                .pass(299)
+                .advance(1)
+                .answerInvite(100)
+                .advance(299)
                 .note("the INVITE's limit has passed")
-                .pass(300)
-                .answered(
+                .advance(300)
+                .answerInvite(
                         503,
                         "Reason",
                         Outcomes.reason(Outcomes.PROCESSOR_FULL, "full"),
                         "Retry-After",
                         "1;ms=250")
-                .reads("edge-again");
+                .assertTrace("edge-again");
     }
 
     @Test
-    void leavesNothingHeldWhenCancelAnd200Cross() {
-        desk.module(Answer.send(101, 900_000))
+    void releasesEverythingWhenCancelAnd200Cross() {
+        harness.policyDecides(Answer.send(101, 900_000))
                 .call("a", 1, 3_000_000)
-                .answered(100)
-                .pass(5)
+                .answerInvite(100)
+                .advance(5)
                 .cancel("a")
                 .note("the 200 was on its way")
-                .answered(200)
-                .pass(400)
-                .reads("edge-crossing");
+                .answerInvite(200)
+                .advance(400)
+                .assertTrace("edge-crossing");
     }
 
     @Test
-    void sendsAnInviteNoMoreThatWasGivenUpUnheard() {
-        // Retransmissions of an INVITE that had been given up put two INVITEs of one session out.
-        desk.module(Answer.send(101, 300_000), Answer.send(102, 900_000))
+    void stopsRetransmittingAnAbandonedInvite() {
+        // An INVITE without any response cannot be cancelled. Its retransmissions continued after
+        // it had been abandoned, so that two INVITEs of one session were out at once.
+        harness.policyDecides(Answer.send(101, 300_000), Answer.send(102, 900_000))
                 .call("a", 1, 3_000_000)
-                .pass(800)
-                .reads("edge-unheard");
+                .advance(800)
+                .assertTrace("edge-unheard");
     }
 
     @Test
-    void answersARepeatedInviteAsBeforeWithoutAskingAgain() {
-        desk.module(Answer.refuse(700_000));
-        SipMessage invite = desk.invite("a", 1, 3_000_000);
-        desk.take(EdgeDesk.EXCHANGE, invite)
-                .pass(10)
-                .take(EdgeDesk.EXCHANGE, desk.invite("a", 1, 3_000_000))
-                .reads("edge-repeat");
+    void answersARepeatedInviteFromMemoryWithoutAskingThePolicy() {
+        harness.policyDecides(Answer.refuse(700_000));
+        SipMessage invite = harness.invite("a", 1, 3_000_000);
+        harness.receive(EdgeCoreHarness.EXCHANGE, invite)
+                .advance(10)
+                .receive(EdgeCoreHarness.EXCHANGE, harness.invite("a", 1, 3_000_000))
+                .assertTrace("edge-repeat");
     }
 
     @Test
-    void countsCircuitsAtThisEndAndBelievesTheFarEnd() {
-        desk.module(
+    void countsCircuitsLocallyAndUsesTheHigherCountOfTheFarEnd() {
+        harness.policyDecides(
                 Answer.send(101, 900_000),
                 Answer.NOTHING,
                 Answer.send(101, 900_000),
@@ -90,11 +91,11 @@
                 Answer.refuse(0),
                 Answer.send(101, 900_000),
                 Answer.refuse(0));
-        desk.call("a", 1, 3_000_000)
-                .answered(200)
+        harness.call("a", 1, 3_000_000)
+                .answerInvite(200)
                 .note("one of two is taken; the far end counts both")
                 .call("b", 1, 3_000_000)
-                .answered(
+                .answerInvite(
                         503,
                         "Reason",
                         Outcomes.reason(Outcomes.NO_CIRCUIT, "none"),
@@ -102,106 +103,114 @@
                         "2")
                 .note("so a third is not sent")
                 .call("c", 1, 3_000_000)
-                .pass(1600)
+                .advance(1600)
                 .note("for a while")
                 .call("d", 1, 3_000_000)
-                .reads("edge-circuits");
+                .assertTrace("edge-circuits");
     }
 
     @Test
-    void carriesTransitAndTurnsItBack() {
-        desk.module(Answer.send(102, 900_000), Answer.refuse(0))
+    void routesATransitSessionAndCranksItBack() {
+        harness.policyDecides(Answer.send(102, 900_000), Answer.refuse(0))
                 .call("a", 2, 3_000_000, "X-Origin", "1", "Max-Forwards", "9")
-                .answered(503, "Reason", Outcomes.reason(Outcomes.PROCESSOR_FULL, "full"))
-                .reads("edge-transit");
+                .answerInvite(503, "Reason", Outcomes.reason(Outcomes.PROCESSOR_FULL, "full"))
+                .assertTrace("edge-transit");
     }
 
     @Test
-    void refusesATrunkCallWithoutACircuitAndPassesTheOwnLinesWords() {
-        desk.call("a", 0, 3_000_000, "X-Origin", "1")
+    void rejectsATrunkCallWithoutACircuitAndForwardsTheResponseOfALocalLine() {
+        harness.call("a", 0, 3_000_000, "X-Origin", "1")
                 .call("b", 0, 3_000_000, "X-Origin", "1")
                 .call("c", 0, 3_000_000, "X-Origin", "1")
-                .answered(486, "Reason", "Q.850;cause=17")
-                .reads("edge-lines");
+                .answerInvite(486, "Reason", "Q.850;cause=17")
+                .assertTrace("edge-lines");
     }
 
     @Test
-    void answersBadInputByTheBook() {
-        desk.raw(EdgeDesk.EXCHANGE, "nonsense\r\n\r\n").note("nonsense is dropped");
-        desk.take(EdgeDesk.EXCHANGE, EdgeDesk.request("INVITE", "a", 1).set("CSeq", "1 BYE"));
-        desk.call("b", 1, 3_000_000, "X-Service", "5").call("c", 1, 3_000_000, "X-Time-Left", "x");
-        desk.call("d", 9, 3_000_000).call("e", 1, 3_000_000, "Max-Forwards", "0");
-        desk.take(EdgeDesk.EXCHANGE, EdgeDesk.request("FROB", "f", 1));
-        desk.take(EdgeDesk.EXCHANGE, EdgeDesk.request("BYE", "g", 1).set("To", "<sip:r>;tag=gone"));
-        desk.take(EdgeDesk.EXCHANGE, EdgeDesk.request("CANCEL", "h", 1));
-        desk.reads("edge-bad-input");
+    void answersMalformedInputAsRfc3261Requires() {
+        harness.receiveText(EdgeCoreHarness.EXCHANGE, "nonsense\r\n\r\n")
+                .note("nonsense is dropped");
+        harness.receive(
+                EdgeCoreHarness.EXCHANGE,
+                EdgeCoreHarness.request("INVITE", "a", 1).set("CSeq", "1 BYE"));
+        harness.call("b", 1, 3_000_000, "X-Service", "5")
+                .call("c", 1, 3_000_000, "X-Time-Left", "x");
+        harness.call("d", 9, 3_000_000).call("e", 1, 3_000_000, "Max-Forwards", "0");
+        harness.receive(EdgeCoreHarness.EXCHANGE, EdgeCoreHarness.request("FROB", "f", 1));
+        harness.receive(
+                EdgeCoreHarness.EXCHANGE,
+                EdgeCoreHarness.request("BYE", "g", 1).set("To", "<sip:r>;tag=gone"));
+        harness.receive(EdgeCoreHarness.EXCHANGE, EdgeCoreHarness.request("CANCEL", "h", 1));
+        harness.assertTrace("edge-bad-input");
     }
 
     @Test
-    void asksForTheWholeListAfterAGapAndReadsNoBadOne() {
-        desk.list("epoch e version 8 changes after 7\n101 1 draining 1 2 - udp:far:4\n")
+    void requestsTheCompleteListAfterAGapAndRejectsMalformedLists() {
+        harness.directoryNotifies(
+                        "epoch e version 8 changes after 7\n101 1 draining 1 2 - udp:far:4\n")
                 .note("7 was lost")
-                .answered("exchanges", 200)
-                .list("epoch e version 8 whole\n101 1 draining 1 3 - udp:far:4\n")
-                .list("epoch e version 9 changes after 8\nnonsense\n")
-                .list("epoch e version 7 whole\n")
-                .reads("edge-lists");
+                .answerSubscribe("exchanges", 200)
+                .directoryNotifies("epoch e version 8 whole\n101 1 draining 1 3 - udp:far:4\n")
+                .directoryNotifies("epoch e version 9 changes after 8\nnonsense\n")
+                .directoryNotifies("epoch e version 7 whole\n")
+                .assertTrace("edge-lists");
     }
 
     @Test
-    void takesNothingNewOnceStoppedAndAnswersWhatItHolds() {
-        desk.module(Answer.send(101, 900_000), Answer.refuse(0)).call("a", 1, 3_000_000);
-        desk.core.stop();
-        desk.call("b", 1, 3_000_000)
-                .note("idle " + desk.core.idle())
-                .answered(486, "Reason", "Q.850;cause=17")
-                .note("idle " + desk.core.idle())
-                .reads("edge-stopping");
+    void rejectsNewSessionsOnceStoppedAndAnswersThoseAccepted() {
+        harness.policyDecides(Answer.send(101, 900_000), Answer.refuse(0)).call("a", 1, 3_000_000);
+        harness.core.stop();
+        harness.call("b", 1, 3_000_000)
+                .note("idle " + harness.core.idle())
+                .answerInvite(486, "Reason", "Q.850;cause=17")
+                .note("idle " + harness.core.idle())
+                .assertTrace("edge-stopping");
     }
 
     @Test
-    void answersOnceWhenTheAnswerAndTheTimeOutFallTogether() {
-        desk.module(Answer.send(101, 500_000), Answer.refuse(0))
+    void answersOnceWhenResponseAndTimeOutCoincide() {
+        harness.policyDecides(Answer.send(101, 500_000), Answer.refuse(0))
                 .call("a", 1, 3_000_000)
-                .answered(100)
-                .pass(500)
+                .answerInvite(100)
+                .advance(500)
                 .note("in the same millisecond")
-                .answered(200)
-                .pass(400)
-                .reads("edge-same-moment");
+                .answerInvite(200)
+                .advance(400)
+                .assertTrace("edge-same-moment");
     }
 
     @Test
-    void refusesASessionThatComesRoundAgain() {
-        desk.module(Answer.send(101, 900_000)).call("a", 1, 3_000_000);
-        desk.take(
-                        EdgeDesk.EXCHANGE,
-                        desk.invite("other", 2, 2_000_000, "X-Origin", "1", "Session-ID", "a"))
-                .reads("edge-loop");
+    void refusesRepeatedSession() {
+        harness.policyDecides(Answer.send(101, 900_000)).call("a", 1, 3_000_000);
+        harness.receive(
+                        EdgeCoreHarness.EXCHANGE,
+                        harness.invite("other", 2, 2_000_000, "X-Origin", "1", "Session-ID", "a"))
+                .assertTrace("edge-loop");
     }
 
     @Test
-    void passesAChangeToTheOtherLegAndItsAnswerBack() {
-        desk.module(Answer.send(101, 900_000))
+    void forwardsAReinviteToTheOtherLegAndItsResponseBack() {
+        harness.policyDecides(Answer.send(101, 900_000))
                 .call("a", 1, 3_000_000)
-                .answered(200)
-                .pass(5)
-                .change("a")
-                .pass(5)
-                .answered(200)
-                .reads("edge-change");
+                .answerInvite(200)
+                .advance(5)
+                .reinvite("a")
+                .advance(5)
+                .answerInvite(200)
+                .assertTrace("edge-change");
     }
 
     @Test
-    void turnsAwayWhatItCannotHold() {
+    void rejectsSessionsBeyondTheLimit() {
         for (int i = 0; i < 5; i++) {
-            desk.module(Answer.send(101 + i % 2, 900_000)).call("c" + i, 1 + i % 2, 3_000_000);
+            harness.policyDecides(Answer.send(101 + i % 2, 900_000))
+                    .call("c" + i, 1 + i % 2, 3_000_000);
         }
-        assertThat(desk.core.agent().counters()).containsEntry("too-many-open", 1L);
+        assertThat(harness.core.agent().counters()).containsEntry("too-many-open", 1L);
     }
 
     @Test
-    void mapsEveryOutcomeToOneEndingAndCause() {
+    void mapsEveryResponseToOneOutcomeAndCause() {
         StringBuilder table = new StringBuilder();
         for (int cause : new int[] {17, 27, 34, 38, 41, 42, 44, 47, 16}) {
             SipMessage reply =
--- a/src/test/java/coralcove/sources/LifeTest.java
+++ b/src/test/java/coralcove/sources/LivenessTest.java
@@ -12,16 +12,16 @@
 import net.jqwik.api.Provide;
 
 /**
- * What is known of a machine is a join-semilattice, and only a newer start takes a drain or an end
- * back.
+ * The liveness of an exchange instance is a join-semilattice, and only a newer start reverses a
+ * drain or a departure.
  */
-class LifeTest {
+class LivenessTest {
     @Provide
-    Arbitrary<Life> lives() {
-        Arbitrary<Long> small = Arbitraries.longs().between(0, 3);
+    Arbitrary<Life> livenessValues() {
+        Arbitrary<Long> smallNumbers = Arbitraries.longs().between(0, 3);
         return Combinators.combine(
-                        small,
-                        small,
+                        smallNumbers,
+                        smallNumbers,
                         Arbitraries.of(true, false),
                         Arbitraries.longs().between(-1, 3),
                         Arbitraries.of(true, false),
@@ -31,8 +31,10 @@
     }
 
     @Property
-    void orderAndDoublingDoNotMatter(
-            @ForAll("lives") Life a, @ForAll("lives") Life b, @ForAll("lives") Life c) {
+    void orderAndDuplicationDoNotMatter(
+            @ForAll("livenessValues") Life a,
+            @ForAll("livenessValues") Life b,
+            @ForAll("livenessValues") Life c) {
         assertThat(a.join(b)).isEqualTo(b.join(a));
         assertThat(a.join(b).join(c)).isEqualTo(a.join(b.join(c)));
         assertThat(a.join(a)).isEqualTo(a);
@@ -40,8 +42,8 @@
     }
 
     @Property
-    void aDrainOrAnEndIsTakenBackByANewerStartOnly(
-            @ForAll("lives") Life a, @ForAll("lives") Life b) {
+    void onlyANewerStartReversesADrainOrADeparture(
+            @ForAll("livenessValues") Life a, @ForAll("livenessValues") Life b) {
         Life joined = a.join(b);
         if (b.start() <= a.start()) {
             assertThat(!a.drains() || joined.drains()).isTrue();
@@ -51,8 +53,8 @@
     }
 
     @Property
-    void silenceIsTakenBackByALaterSignOfLifeOnly(
-            @ForAll("lives") Life a, @ForAll("lives") Life b) {
+    void onlyALaterHeartbeatReversesSilence(
+            @ForAll("livenessValues") Life a, @ForAll("livenessValues") Life b) {
         Life joined = a.join(b);
         if (a.silent() && !joined.silent()) {
             assertThat(b.start() > a.start() || b.beat() > a.quiet()).isTrue();
@@ -60,18 +62,18 @@
     }
 
     @Property
-    void aRosterBelievesTheSameWhateverOrderItsLinesComeIn(
-            @ForAll List<@net.jqwik.api.From("lives") Life> lives) {
-        List<Life> back = new java.util.ArrayList<>(lives);
-        java.util.Collections.reverse(back);
-        assertThat(believed(back)).isEqualTo(believed(lives));
+    void theRosterDoesNotDependOnTheOrderOfLines(
+            @ForAll List<@net.jqwik.api.From("livenessValues") Life> reports) {
+        List<Life> reversed = new java.util.ArrayList<>(reports);
+        java.util.Collections.reverse(reversed);
+        assertThat(rosterEntryAfter(reversed)).isEqualTo(rosterEntryAfter(reports));
     }
 
-    private static String believed(List<Life> lives) {
+    private static String rosterEntryAfter(List<Life> reports) {
         Roster roster = new Roster(List.of("d"));
         long version = 1;
-        for (Life life : lives) {
-            roster.listed(
+        for (Life liveness : reports) {
+            roster.applyListing(
                     1000,
                     0,
                     new Listing(
@@ -79,10 +81,10 @@
                             version,
                             Listing.Kind.CHANGES,
                             version,
-                            List.of(new Listing.Line(7, life, Listing.LONG_AGO))));
-            roster.news(1000);
+                            List.of(new Listing.Line(7, liveness, Listing.LONG_AGO))));
+            roster.pollChanges(1000);
             version++;
         }
-        return String.valueOf(roster.belief(7));
+        return String.valueOf(roster.entry(7));
     }
 }
--- a/src/test/java/coralcove/sources/RosterTest.java
+++ b/src/test/java/coralcove/sources/RosterTest.java
@@ -12,201 +12,216 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Who is believed when sources disagree, restart, go silent or lie; each test a row of the table in
- * the design note.
+ * How the roster merges sources that disagree, restart, fall silent or report wrong data. Each test
+ * covers a row of the table in docs/design/sources.md.
  */
 class RosterTest {
-    private static final String READY = "101 1 ready 7 3 - udp:a:1\n";
+    private static final String READY_LINE = "101 1 ready 7 3 - udp:a:1\n";
     private Roster roster = new Roster(List.of("d0", "d1"));
     private final StringBuilder trace = new StringBuilder();
     private long now = 1_000_000;
 
-    private RosterTest list(int source, String text) {
-        Roster.Refusal refusal = roster.listed(now, source, ListingText.read(text));
-        String wants =
+    private RosterTest receiveListing(int source, String text) {
+        Roster.ListingRejection rejection =
+                roster.applyListing(now, source, ListingText.read(text));
+        String queried =
                 IntStream.range(0, 2)
-                        .filter(i -> roster.wantsWhole(i))
+                        .filter(i -> roster.pollCompleteListWanted(i))
                         .mapToObj(i -> " asks d" + i)
                         .collect(Collectors.joining());
-        return tell(
+        return traceChanges(
                 "d"
                         + source
                         + " "
                         + text.lines().findFirst().orElse("")
-                        + (refusal == Roster.Refusal.NONE ? "" : " refused " + refusal)
-                        + wants);
+                        + (rejection == Roster.ListingRejection.NONE ? "" : " refused " + rejection)
+                        + queried);
     }
 
-    private RosterTest tell(String what) {
-        trace.append(now / 1_000_000).append(" s  ").append(what).append('\n');
-        for (Exchange each : roster.news(now)) {
-            Belief belief = roster.belief(each.id());
+    /** Traces an event and the changes of the roster after it. */
+    private RosterTest traceChanges(String event) {
+        trace.append(now / 1_000_000).append(" s  ").append(event).append('\n');
+        for (Exchange exchange : roster.pollChanges(now)) {
+            Belief entry = roster.entry(exchange.id());
             trace.append("      ")
-                    .append(each.id())
+                    .append(exchange.id())
                     .append(" of ")
-                    .append(each.number())
+                    .append(exchange.number())
                     .append(' ')
-                    .append(each.phase())
-                    .append(each.since() == 0 ? "" : " since " + each.since() / 1000 + " ms")
+                    .append(exchange.phase())
                     .append(
-                            belief == null
+                            exchange.since() == 0
+                                    ? ""
+                                    : " since " + exchange.since() / 1000 + " ms")
+                    .append(
+                            entry == null
                                     ? " forgotten"
-                                    : " " + belief.why() + " at " + belief.address())
+                                    : " " + entry.why() + " at " + entry.address())
                     .append('\n');
         }
         return this;
     }
 
-    private RosterTest pass(long seconds) {
+    private RosterTest advance(long seconds) {
         now += seconds * 1_000_000;
-        return tell("passes");
+        return traceChanges("passes");
     }
 
-    private RosterTest dns(int number, boolean stale, String... addresses) {
-        roster.located(now, number, List.of(addresses), stale);
-        return tell("dns " + number + " " + List.of(addresses) + (stale ? " past its life" : ""));
+    private RosterTest receiveDnsAnswer(int number, boolean stale, String... addresses) {
+        roster.applyDnsAnswer(now, number, List.of(addresses), stale);
+        return traceChanges(
+                "dns " + number + " " + List.of(addresses) + (stale ? " past its life" : ""));
     }
 
-    private RosterTest anew(int source) {
-        roster.begun(source);
-        return tell("d" + source + " is asked anew");
+    private RosterTest resubscribe(int source) {
+        roster.subscriptionStarted(source);
+        return traceChanges("d" + source + " is asked anew");
     }
 
-    private void reads(String name) {
+    private void assertTrace(String name) {
         assertThat(trace.toString()).isEqualTo(Kept.trace(name));
     }
 
     @Test
-    void aDirectoryThatRestartsDropsNobodyUntilItHasLearnt() {
-        list(0, "epoch a version 7 whole\n" + READY + "102 2 ready 7 3 - udp:b:1\n")
-                .list(0, "epoch b version 1 learning\n")
-                .anew(0)
-                .list(0, "epoch b version 1 learning\n")
-                .list(0, "epoch b version 2 changes after 1\n" + READY)
-                .pass(10)
-                .list(0, "epoch b version 3 whole\n101 1 ready 7 12 - udp:a:1\n")
-                .reads("roster-restart");
+    void aRestartedDirectoryRemovesNobodyWhileItIsLearning() {
+        receiveListing(0, "epoch a version 7 whole\n" + READY_LINE + "102 2 ready 7 3 - udp:b:1\n")
+                .receiveListing(0, "epoch b version 1 learning\n")
+                .resubscribe(0)
+                .receiveListing(0, "epoch b version 1 learning\n")
+                .receiveListing(0, "epoch b version 2 changes after 1\n" + READY_LINE)
+                .advance(10)
+                .receiveListing(0, "epoch b version 3 whole\n101 1 ready 7 12 - udp:a:1\n")
+                .assertTrace("roster-restart");
     }
 
     @Test
-    void aDrainHoldsOverTheDirectorysRestartUntilANewStart() {
-        list(0, "epoch a version 7 whole\n" + READY)
-                .list(0, "epoch a version 8 changes after 7\n" + "101 1 draining 7 4 - udp:a:1\n")
-                .anew(0)
-                .list(0, "epoch b version 1 learning\n101 1 ready 7 5 - udp:a:1\n")
-                .list(0, "epoch b version 2 changes after 1\n101 1 ready 8 1 200000 udp:a:1\n")
-                .reads("roster-drain");
+    void aDrainSurvivesTheDirectorysRestartUntilANewStart() {
+        receiveListing(0, "epoch a version 7 whole\n" + READY_LINE)
+                .receiveListing(
+                        0, "epoch a version 8 changes after 7\n" + "101 1 draining 7 4 - udp:a:1\n")
+                .resubscribe(0)
+                .receiveListing(0, "epoch b version 1 learning\n101 1 ready 7 5 - udp:a:1\n")
+                .receiveListing(
+                        0, "epoch b version 2 changes after 1\n101 1 ready 8 1 200000 udp:a:1\n")
+                .assertTrace("roster-drain");
     }
 
     @Test
-    void ofTwoDirectoriesTheOneCutOffTakesNobodyDown() {
-        list(0, "epoch a version 1 whole\n" + READY)
-                .list(1, "epoch b version 1 whole\n" + READY)
-                .pass(10)
-                .list(1, "epoch b version 2 changes after 1\n101 1 silent 7 4 - udp:a:1\n")
-                .list(0, "epoch a version 1 whole\n101 1 ready 7 13 - udp:a:1\n")
-                .pass(5)
-                .list(0, "epoch a version 2 changes after 1\n101 1 silent 7 15 - udp:a:1\n")
-                .reads("roster-contradicted");
+    void aDirectoryCutOffFromAnExchangeIsContradictedByTheOther() {
+        receiveListing(0, "epoch a version 1 whole\n" + READY_LINE)
+                .receiveListing(1, "epoch b version 1 whole\n" + READY_LINE)
+                .advance(10)
+                .receiveListing(
+                        1, "epoch b version 2 changes after 1\n101 1 silent 7 4 - udp:a:1\n")
+                .receiveListing(0, "epoch a version 1 whole\n101 1 ready 7 13 - udp:a:1\n")
+                .advance(5)
+                .receiveListing(
+                        0, "epoch a version 2 changes after 1\n101 1 silent 7 15 - udp:a:1\n")
+                .assertTrace("roster-contradicted");
     }
 
     @Test
-    void aMachineReplacedWhileNoDirectoryIsUp() {
-        list(0, "epoch a version 1 whole\n" + READY)
-                .pass(40)
-                .anew(0)
-                .list(0, "epoch b version 1 learning\n1101 1 ready 9 2 5000000 udp:a:1\n")
-                .pass(10)
-                .list(0, "epoch b version 2 whole\n1101 1 ready 9 12 15000000 udp:a:1\n")
-                .reads("roster-replaced");
+    void anExchangeIsReplacedWhileNoDirectoryIsUp() {
+        receiveListing(0, "epoch a version 1 whole\n" + READY_LINE)
+                .advance(40)
+                .resubscribe(0)
+                .receiveListing(0, "epoch b version 1 learning\n1101 1 ready 9 2 5000000 udp:a:1\n")
+                .advance(10)
+                .receiveListing(0, "epoch b version 2 whole\n1101 1 ready 9 12 15000000 udp:a:1\n")
+                .assertTrace("roster-replaced");
     }
 
     @Test
-    void listsLoseTheirSayByStepsAndAreServedOnWhenAllAreSilent() {
-        list(0, "epoch a version 1 whole\n" + READY)
-                .pass(29)
-                .pass(1)
-                .pass(570)
-                .pass(3600)
-                .list(1, "epoch b version 1 whole\n102 2 ready 7 3 - udp:b:1\n")
-                .reads("roster-steps");
+    void listsLoseAuthorityInStepsButStayInUseWhenNoneIsRenewed() {
+        receiveListing(0, "epoch a version 1 whole\n" + READY_LINE)
+                .advance(29)
+                .advance(1)
+                .advance(570)
+                .advance(3600)
+                .receiveListing(1, "epoch b version 1 whole\n102 2 ready 7 3 - udp:b:1\n")
+                .assertTrace("roster-steps");
     }
 
     @Test
-    void aGapIsAskedForAndItsLinesCountMeanwhile() {
-        list(0, "epoch a version 1 whole\n" + READY)
-                .list(0, "epoch a version 4 changes after 3\n101 1 draining 7 5 - udp:a:1\n")
-                .list(0, "epoch a version 3 changes after 1\n102 2 ready 7 1 - udp:b:1\n")
-                .list(0, "epoch a version 4 whole\n101 1 draining 7 5 - udp:a:1\n")
-                .reads("roster-gap");
+    void aGapTriggersAQueryAndItsLinesCountMeanwhile() {
+        receiveListing(0, "epoch a version 1 whole\n" + READY_LINE)
+                .receiveListing(
+                        0, "epoch a version 4 changes after 3\n101 1 draining 7 5 - udp:a:1\n")
+                .receiveListing(0, "epoch a version 3 changes after 1\n102 2 ready 7 1 - udp:b:1\n")
+                .receiveListing(0, "epoch a version 4 whole\n101 1 draining 7 5 - udp:a:1\n")
+                .assertTrace("roster-gap");
     }
 
     @Test
-    void dnsAddsAnExchangeAndLiftsNothing() {
-        dns(1, false, "udp:a:1")
-                .list(0, "epoch a version 1 learning\n101 1 draining 7 3 - udp:a:1\n")
-                .pass(5)
-                .list(0, "epoch a version 2 changes after 1\n101 1 left 7 4 - udp:a:1\n")
-                .dns(1, false, "udp:a:1")
-                .dns(1, false, "udp:new:1")
-                .pass(1)
-                .list(0, "epoch a version 3 changes after 2\n" + "201 1 ready 20 1 0 udp:new:1\n")
-                .dns(2, true, "udp:stale:1")
-                .dns(2, false, "udp:b:1")
-                .dns(2, true, "udp:other:1")
-                .dns(2, false)
-                .reads("roster-dns");
+    void dnsAddsAnExchangeButOverridesNoDirectory() {
+        receiveDnsAnswer(1, false, "udp:a:1")
+                .receiveListing(0, "epoch a version 1 learning\n101 1 draining 7 3 - udp:a:1\n")
+                .advance(5)
+                .receiveListing(0, "epoch a version 2 changes after 1\n101 1 left 7 4 - udp:a:1\n")
+                .receiveDnsAnswer(1, false, "udp:a:1")
+                .receiveDnsAnswer(1, false, "udp:new:1")
+                .advance(1)
+                .receiveListing(
+                        0, "epoch a version 3 changes after 2\n" + "201 1 ready 20 1 0 udp:new:1\n")
+                .receiveDnsAnswer(2, true, "udp:stale:1")
+                .receiveDnsAnswer(2, false, "udp:b:1")
+                .receiveDnsAnswer(2, true, "udp:other:1")
+                .receiveDnsAnswer(2, false)
+                .assertTrace("roster-dns");
     }
 
     @Test
-    void agesNotDatesTellHowColdAMachineIs() {
-        // A directory whose clock is an hour ahead; the moment is the first that was told, whatever
-        // its messages' delays.
-        list(0, "epoch a version 1 whole\n101 1 ready 3600007000000 3 200000 udp:a:1\n")
-                .pass(4)
-                .list(0, "epoch a version 1 whole\n101 1 ready 3600007000000 7 4500000 udp:a:1\n")
-                .list(1, "epoch b version 1 whole\n101 1 ready 3600007000000 7 3900000 udp:a:1\n")
-                .reads("roster-ages");
+    void theAgeOfAnExchangeDoesNotDependOnTheDirectorysClock() {
+        // The directory's clock is an hour ahead. The first start time derived is retained,
+        // whatever
+        // the delays of later messages.
+        receiveListing(0, "epoch a version 1 whole\n101 1 ready 3600007000000 3 200000 udp:a:1\n")
+                .advance(4)
+                .receiveListing(
+                        0, "epoch a version 1 whole\n101 1 ready 3600007000000 7 4500000 udp:a:1\n")
+                .receiveListing(
+                        1, "epoch b version 1 whole\n101 1 ready 3600007000000 7 3900000 udp:a:1\n")
+                .assertTrace("roster-ages");
     }
 
     @Test
-    void whatWasKeptHoldsUntilItsDirectorySaysOtherwise() {
-        list(
+    void restoredReportsCountUntilTheirDirectoryContradictsThem() {
+        receiveListing(
                 0,
                 "epoch a version 1 whole\n"
-                        + READY
+                        + READY_LINE
                         + "102 2 draining 7 3 - udp:b:1\n103 3 ready 7 3 1000000 udp:c:1\n");
-        List<Roster.Said> disk = roster.said();
+        List<Roster.Said> stored = roster.said();
         roster = new Roster(List.of("d0", "d1"));
         now += 60_000_000;
-        assertThat(roster.kept(now, disk)).isEqualTo(3);
-        tell("starts again")
-                .list(0, "epoch b version 1 learning\n102 2 ready 7 50 - udp:b:1\n")
-                .list(0, "epoch b version 2 whole\n" + READY)
-                .reads("roster-kept");
+        assertThat(roster.restore(now, stored)).isEqualTo(3);
+        traceChanges("starts again")
+                .receiveListing(0, "epoch b version 1 learning\n102 2 ready 7 50 - udp:b:1\n")
+                .receiveListing(0, "epoch b version 2 whole\n" + READY_LINE)
+                .assertTrace("roster-kept");
     }
 
     @Test
-    void aClockSetBackOverARestartMakesNothingWarmOrFresh() {
-        list(0, "epoch a version 1 whole\n103 3 ready 7 3 1000 udp:c:1\n");
-        List<Roster.Said> disk = roster.said();
+    void aClockSetBackDuringARestartMakesNothingWarmOrFresh() {
+        receiveListing(0, "epoch a version 1 whole\n103 3 ready 7 3 1000 udp:c:1\n");
+        List<Roster.Said> stored = roster.said();
         roster = new Roster(List.of("d0"));
         now = 500_000;
-        roster.kept(now, disk);
-        tell("starts again an hour earlier").reads("roster-clock");
-        assertThat(roster.say(now, 0)).isEqualTo(Roster.Say.OLD);
+        roster.restore(now, stored);
+        traceChanges("starts again an hour earlier").assertTrace("roster-clock");
+        assertThat(roster.say(now, 0)).isEqualTo(Roster.Say.STALE);
     }
 
     @Test
-    void aListPastTheBoundIsRefusedWhole() {
+    void aListAboveTheLimitIsRejectedAsAWhole() {
         List<Listing.Line> lines = new ArrayList<>();
-        for (int i = 0; i <= Roster.MOST; i++) {
+        for (int i = 0; i <= Roster.MAX_INSTANCES_PER_SOURCE; i++) {
             lines.add(
                     new Listing.Line(
                             i + 1, Life.runs(1, 1, i % 65_536, "udp:a:1"), Listing.LONG_AGO));
         }
-        assertThat(roster.listed(now, 0, new Listing("a", 1, Listing.Kind.WHOLE, 0, lines)))
-                .isEqualTo(Roster.Refusal.TOO_LONG);
-        assertThat(roster.news(now)).isEmpty();
+        assertThat(roster.applyListing(now, 0, new Listing("a", 1, Listing.Kind.WHOLE, 0, lines)))
+                .isEqualTo(Roster.ListingRejection.TOO_LONG);
+        assertThat(roster.pollChanges(now)).isEmpty();
     }
 }
--- a/src/test/java/coralcove/sources/store/RosterStoreTest.java
+++ b/src/test/java/coralcove/sources/store/RosterStoreTest.java
@@ -11,11 +11,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What is on disk of the roster: the newest, or nothing that is not sound. */
+/** The store holds the newest reports, and returns no corrupt ones. */
 class RosterStoreTest {
-    private final List<String> told = new ArrayList<>();
+    private final List<String> warnings = new ArrayList<>();
 
-    private static Roster.Said said(long id, long beat) {
+    private static Roster.Said report(long id, long beat) {
         return new Roster.Said(
                 "udp:d:3",
                 id,
@@ -25,55 +25,55 @@
     }
 
     @Test
-    void theNewestIsReadAgainAndWhatIsGoneIsNot(@TempDir Path folder) {
-        Path path = folder.resolve("roster");
-        try (RosterStore store = new RosterStore(path, told::add)) {
+    void readsTheNewestReportsAndNoneThatWereRemoved(@TempDir Path directory) {
+        Path path = directory.resolve("roster");
+        try (RosterStore store = new RosterStore(path, warnings::add)) {
             store.start();
-            store.keep(List.of(said(1, 1), said(2, 1), said(3, 1)));
-            store.keep(List.of(said(1, 2), said(2, 2)));
+            store.save(List.of(report(1, 1), report(2, 1), report(3, 1)));
+            store.save(List.of(report(1, 2), report(2, 2)));
         }
-        try (RosterStore store = new RosterStore(path, told::add)) {
-            assertThat(store.read()).containsExactlyInAnyOrder(said(1, 2), said(2, 2));
+        try (RosterStore store = new RosterStore(path, warnings::add)) {
+            assertThat(store.read()).containsExactlyInAnyOrder(report(1, 2), report(2, 2));
             store.start();
-            store.keep(List.of(said(2, 3)));
+            store.save(List.of(report(2, 3)));
         }
-        try (RosterStore store = new RosterStore(path, told::add)) {
-            assertThat(store.read()).containsExactly(said(2, 3));
+        try (RosterStore store = new RosterStore(path, warnings::add)) {
+            assertThat(store.read()).containsExactly(report(2, 3));
         }
-        assertThat(told).isEmpty();
+        assertThat(warnings).isEmpty();
     }
 
     @Test
-    void aSpoiltFileIsPutAsideAndASpoiltEntryLeft(@TempDir Path folder) throws Exception {
-        Path path = folder.resolve("roster");
-        try (RosterStore store = new RosterStore(path, told::add)) {
+    void putsACorruptFileAsideAndSkipsACorruptEntry(@TempDir Path directory) throws Exception {
+        Path path = directory.resolve("roster");
+        try (RosterStore store = new RosterStore(path, warnings::add)) {
             store.start();
-            store.keep(List.of(said(1, 1)));
+            store.save(List.of(report(1, 1)));
         }
         byte[] bytes = Files.readAllBytes(path);
         for (int i = 0; i < bytes.length - 12; i++) {
-            // The address within the entry: its checksum is of another text then.
+            // Changes the address within the entry, so that its checksum no longer matches.
             if (new String(bytes, i, 7, java.nio.charset.StandardCharsets.ISO_8859_1)
                     .equals("udp:a:1")) {
                 bytes[i + 4] = 'b';
             }
         }
-        Path spoilt = folder.resolve("spoilt");
-        Files.write(spoilt, bytes);
-        try (RosterStore store = new RosterStore(spoilt, told::add)) {
+        Path corrupt = directory.resolve("corrupt");
+        Files.write(corrupt, bytes);
+        try (RosterStore store = new RosterStore(corrupt, warnings::add)) {
             assertThat(store.read()).isEmpty();
         }
-        assertThat(told).isNotEmpty();
-        Path nonsense = folder.resolve("nonsense");
+        assertThat(warnings).isNotEmpty();
+        Path nonsense = directory.resolve("nonsense");
         Files.write(
                 nonsense,
                 "nonsense".repeat(2000).getBytes(java.nio.charset.StandardCharsets.UTF_8));
-        told.clear();
-        try (RosterStore store = new RosterStore(nonsense, told::add)) {
+        warnings.clear();
+        try (RosterStore store = new RosterStore(nonsense, warnings::add)) {
             assertThat(store.read()).isEmpty();
             store.start();
-            store.keep(List.of(said(1, 1)));
+            store.save(List.of(report(1, 1)));
         }
-        assertThat(told).first().asString().startsWith("store put aside as nonsense.bad-1");
+        assertThat(warnings).first().asString().startsWith("store put aside as nonsense.bad-1");
     }
 }
