--- a/src/main/java/coralcove/edge/EdgeCore.java
+++ b/src/main/java/coralcove/edge/EdgeCore.java
@@ -305,31 +305,35 @@
             return;
         }
         long deadline = now + Math.max(0, headers.left() - settings.answerMargin());
-        ActiveSession active = new ActiveSession(nextSessionId++, call, headers, now, deadline);
-        call.owner(active);
-        activeSessions.put(active.id, active);
+        ActiveSession activeSession =
+                new ActiveSession(nextSessionId++, call, headers, now, deadline);
+        call.owner(activeSession);
+        activeSessions.put(activeSession.id, activeSession);
         if (!call.sessionId().isEmpty()) {
-            bySessionId.put(call.sessionId(), active);
+            bySessionId.put(call.sessionId(), activeSession);
         }
         unansweredCount++;
         if (inTransit) {
             trunkGroups.seizeIncoming(headers.origin(), headers.width());
-            active.holdsIncomingCircuits = true;
+            activeSession.holdsIncomingCircuits = true;
             reportCircuits(now, headers.origin());
         }
         if (dialled) {
-            active.numberSearch =
+            activeSession.numberSearch =
                     new Search(
                             numberAnalysis.numberTables.enter(),
-                            active.id,
+                            activeSession.id,
                             headers.number(),
                             headers.service(),
                             deadline);
-            active.holdsNumberTable = true;
+            activeSession.holdsNumberTable = true;
             applySearchStep(
-                    now, active, active.numberSearch.next(now, numberAnalysis.porting), out);
+                    now,
+                    activeSession,
+                    activeSession.numberSearch.next(now, numberAnalysis.porting),
+                    out);
         } else {
-            startSession(now, active, out);
+            startSession(now, activeSession, out);
         }
     }
 
@@ -349,21 +353,21 @@
      * Continues a session whose far end is known: delivers it if it is for a local line, otherwise
      * asks the routing policy.
      */
-    private void startSession(long now, ActiveSession active, Out out) {
-        CallHeaders headers = active.headers;
+    private void startSession(long now, ActiveSession activeSession, Out out) {
+        CallHeaders headers = activeSession.headers;
         boolean isLocal = headers.farEnd() == settings.number();
         boolean inTransit = headers.origin() >= 0;
         out.log(
                 isLocal ? "arrived" : inTransit ? "transit" : "session",
-                active.inboundCall.sessionId(),
+                activeSession.inboundCall.sessionId(),
                 "far end " + headers.farEnd());
         if (isLocal) {
-            deliverToLocalLine(now, active, active.deadline, out);
+            deliverToLocalLine(now, activeSession, activeSession.deadline, out);
             return;
         }
-        active.session =
+        activeSession.session =
                 new Session(
-                        active.id,
+                        activeSession.id,
                         headers.service(),
                         0,
                         headers.farEnd(),
@@ -373,9 +377,9 @@
                         parseDigits(headers.number()),
                         headers.redial(),
                         headers.cut(),
-                        active.arrivedAt,
-                        active.deadline);
-        applyDecision(now, active, policy.route(now, active.session), out);
+                        activeSession.arrivedAt,
+                        activeSession.deadline);
+        applyDecision(now, activeSession, policy.route(now, activeSession.session), out);
     }
 
     // ---- the planner
@@ -404,30 +408,30 @@
         timers.set(now + PORTING_SWEEP_INTERVAL_US, this::sweepPortingCache);
     }
 
-    private void applySearchStep(long now, ActiveSession active, Search.Step step, Out out) {
-        String id = active.inboundCall.sessionId();
-        String table = "table " + active.numberSearch.version();
+    private void applySearchStep(long now, ActiveSession activeSession, Search.Step step, Out out) {
+        String id = activeSession.inboundCall.sessionId();
+        String table = "table " + activeSession.numberSearch.version();
         if (step instanceof Search.Route route) {
             out.log(
                     "far-end",
                     id,
                     table + " number " + route.number() + " far end " + route.farEnd());
-            active.headers = active.headers.to(route.farEnd());
+            activeSession.headers = activeSession.headers.to(route.farEnd());
             if (isReachable(route.farEnd())) {
-                startSession(now, active, out);
+                startSession(now, activeSession, out);
             } else {
                 agent.count("404");
-                rejectSession(now, active, 404, "Not Found", out);
+                rejectSession(now, activeSession, 404, "Not Found", out);
             }
         } else if (step instanceof Search.Refused refused) {
             out.log("no-far-end", id, table + " " + refused.status());
             agent.count(Integer.toString(refused.status()));
             if (refused.number().isEmpty()) {
-                rejectSession(now, active, refused.status(), refused.reason(), out);
+                rejectSession(now, activeSession, refused.status(), refused.reason(), out);
             } else {
                 rejectSession(
                         now,
-                        active,
+                        activeSession,
                         refused.status(),
                         refused.reason(),
                         out,
@@ -436,19 +440,22 @@
             }
         } else if (step instanceof Search.Wait wait) {
             out.log("portability", id, table + (wait.ask() ? " asks" : " waits"));
-            active.waitTimer =
-                    timers.set(wait.until(), (at, o) -> resumeNumberSearch(at, active, o));
+            activeSession.waitTimer =
+                    timers.set(wait.until(), (at, o) -> resumeNumberSearch(at, activeSession, o));
             if (wait.ask()) {
                 numberAnalysis.portabilityClient.ask(now, wait.number());
             }
         }
     }
 
-    private void resumeNumberSearch(long now, ActiveSession active, Out out) {
-        if (!active.answered && !active.numberSearch.over()) {
-            timers.cancel(active.waitTimer);
+    private void resumeNumberSearch(long now, ActiveSession activeSession, Out out) {
+        if (!activeSession.answered && !activeSession.numberSearch.over()) {
+            timers.cancel(activeSession.waitTimer);
             applySearchStep(
-                    now, active, active.numberSearch.resume(now, numberAnalysis.porting), out);
+                    now,
+                    activeSession,
+                    activeSession.numberSearch.resume(now, numberAnalysis.porting),
+                    out);
         }
     }
 
@@ -465,9 +472,9 @@
             Out out) {
         for (long id :
                 numberAnalysis.porting.ended(now, number, outcome, routingNumber, lifetime)) {
-            ActiveSession active = activeSessions.get(id);
-            if (active != null) {
-                resumeNumberSearch(now, active, out);
+            ActiveSession activeSession = activeSessions.get(id);
+            if (activeSession != null) {
+                resumeNumberSearch(now, activeSession, out);
             }
         }
         performPendingActions(now, out);
@@ -491,17 +498,17 @@
                         + numberAnalysis.numberTables.count()
                         + " kept");
         if (!discardedVersions.isEmpty()) {
-            for (ActiveSession active : List.copyOf(activeSessions.values())) {
-                if (active.holdsNumberTable
-                        && !active.numberSearch.over()
-                        && discardedVersions.contains(active.numberSearch.version())) {
-                    timers.cancel(active.waitTimer);
-                    active.numberSearch.gone(numberAnalysis.porting);
-                    active.numberSearch.restart(numberAnalysis.numberTables.enter());
+            for (ActiveSession activeSession : List.copyOf(activeSessions.values())) {
+                if (activeSession.holdsNumberTable
+                        && !activeSession.numberSearch.over()
+                        && discardedVersions.contains(activeSession.numberSearch.version())) {
+                    timers.cancel(activeSession.waitTimer);
+                    activeSession.numberSearch.gone(numberAnalysis.porting);
+                    activeSession.numberSearch.restart(numberAnalysis.numberTables.enter());
                     applySearchStep(
                             now,
-                            active,
-                            active.numberSearch.next(now, numberAnalysis.porting),
+                            activeSession,
+                            activeSession.numberSearch.next(now, numberAnalysis.porting),
                             out);
                 }
             }
@@ -510,11 +517,11 @@
     }
 
     /** Releases a session's number table, which it no longer needs after its final response. */
-    private void releaseNumberTable(ActiveSession active) {
-        if (active.holdsNumberTable) {
-            active.holdsNumberTable = false;
-            active.numberSearch.gone(numberAnalysis.porting);
-            numberAnalysis.numberTables.leave(active.numberSearch.version());
+    private void releaseNumberTable(ActiveSession activeSession) {
+        if (activeSession.holdsNumberTable) {
+            activeSession.holdsNumberTable = false;
+            activeSession.numberSearch.gone(numberAnalysis.porting);
+            numberAnalysis.numberTables.leave(activeSession.numberSearch.version());
         }
     }
 
@@ -546,83 +553,87 @@
     }
 
     /** Sends a call for a local line to the local exchange; there is no route to choose. */
-    private void deliverToLocalLine(long now, ActiveSession active, long deadline, Out out) {
-        OutboundLeg leg = new OutboundLeg(active, settings.number(), 0, now);
-        active.outboundLeg = leg;
-        SipMessage invite = buildOutgoingInvite(active, deadline - now);
+    private void deliverToLocalLine(long now, ActiveSession activeSession, long deadline, Out out) {
+        OutboundLeg leg = new OutboundLeg(activeSession, settings.number(), 0, now);
+        activeSession.outboundLeg = leg;
+        SipMessage invite = buildOutgoingInvite(activeSession, deadline - now);
         leg.call = agent.invite(now, invite, settings.exchange(), leg, out);
         leg.timeoutTimer =
                 timers.set(
                         deadline,
                         (at, o) -> {
                             agent.cancel(at, leg.call, o);
-                            rejectSession(at, active, 408, "Request Timeout", o);
+                            rejectSession(at, activeSession, 408, "Request Timeout", o);
                         });
     }
 
-    private SipMessage buildOutgoingInvite(ActiveSession active, long remainingTime) {
+    private SipMessage buildOutgoingInvite(ActiveSession activeSession, long remainingTime) {
         SipMessage invite =
-                agent.request("INVITE", SipUri.text(active.headers.number(), settings.exchange()));
+                agent.request(
+                        "INVITE", SipUri.text(activeSession.headers.number(), settings.exchange()));
         invite.set(
                 "Max-Forwards",
-                Long.toString(active.inboundCall.invite().number("Max-Forwards", 70) - 1));
-        CallHeaders.pass(active.inboundCall.invite(), invite);
+                Long.toString(activeSession.inboundCall.invite().number("Max-Forwards", 70) - 1));
+        CallHeaders.pass(activeSession.inboundCall.invite(), invite);
         return CallHeaders.write(
                 invite,
-                active.headers,
-                active.headers.origin(),
+                activeSession.headers,
+                activeSession.headers.origin(),
                 remainingTime,
-                active.inboundCall.sessionId());
+                activeSession.inboundCall.sessionId());
     }
 
-    private void applyDecision(long now, ActiveSession active, Answer decision, Out out) {
+    private void applyDecision(long now, ActiveSession activeSession, Answer decision, Out out) {
         switch (decision.kind()) {
-            case SEND -> sendInvite(now, active, decision, out);
+            case SEND -> sendInvite(now, activeSession, decision, out);
             case LATER -> {
                 out.log(
                         "later",
-                        active.inboundCall.sessionId(),
+                        activeSession.inboundCall.sessionId(),
                         "in " + (decision.time() - now) / 1000 + " ms");
-                active.waitTimer =
+                activeSession.waitTimer =
                         timers.set(
                                 decision.time(),
                                 (at, o) -> {
-                                    if (!active.answered) {
+                                    if (!activeSession.answered) {
                                         applyDecision(
-                                                at, active, policy.route(at, active.session), o);
+                                                at,
+                                                activeSession,
+                                                policy.route(at, activeSession.session),
+                                                o);
                                     }
                                 });
             }
-            case REFUSE -> rejectByPolicy(now, active, decision.time(), out);
-            case FAIL -> rejectSession(now, active, 500, "Terminated", out);
+            case REFUSE -> rejectByPolicy(now, activeSession, decision.time(), out);
+            case FAIL -> rejectSession(now, activeSession, 500, "Terminated", out);
             case NOTHING -> {}
         }
     }
 
-    private void sendInvite(long now, ActiveSession active, Answer decision, Out out) {
+    private void sendInvite(long now, ActiveSession activeSession, Answer decision, Out out) {
         RosterManager.RouterLocation location = rosterManager.locationOf(decision.exchange());
         int exchangeNumber = location == null ? -1 : location.exchange().number();
-        OutboundLeg leg = new OutboundLeg(active, exchangeNumber, decision.exchange(), now);
-        active.outboundLeg = leg;
+        OutboundLeg leg = new OutboundLeg(activeSession, exchangeNumber, decision.exchange(), now);
+        activeSession.outboundLeg = leg;
         if (location == null) {
             finishInvite(now, leg, Ending.NOT_SENT, Cause.NONE, 0, out);
             return;
         }
-        if (trunkGroups.free(now, exchangeNumber) < active.headers.width()) {
+        if (trunkGroups.free(now, exchangeNumber) < activeSession.headers.width()) {
             finishInvite(now, leg, Ending.NOT_SENT, Cause.NO_CIRCUIT, 0, out);
             return;
         }
-        trunkGroups.seizeOutgoing(exchangeNumber, active.headers.width());
+        trunkGroups.seizeOutgoing(exchangeNumber, activeSession.headers.width());
         leg.holdsCircuits = true;
         reportCircuits(now, exchangeNumber);
-        SipMessage invite = buildOutgoingInvite(active, decision.time());
+        SipMessage invite = buildOutgoingInvite(activeSession, decision.time());
         invite.set("X-Origin", Integer.toString(settings.number()));
         invite.add(
                 "Route",
                 "<" + SipUri.text(Integer.toString(exchangeNumber), location.router()) + ";lr>");
         out.log(
                 "invite",
-                active.inboundCall.sessionId(),
+                activeSession.inboundCall.sessionId(),
                 "to " + decision.exchange() + " number " + exchangeNumber);
         leg.call = agent.invite(now, invite, settings.exchange(), leg, out);
         leg.timeoutTimer =
@@ -640,26 +651,26 @@
 
     private void finishInvite(
             long now, OutboundLeg leg, Ending outcome, Cause cause, long namedWait, Out out) {
-        ActiveSession active = leg.activeSession;
+        ActiveSession activeSession = leg.activeSession;
         timers.cancel(leg.timeoutTimer);
-        if (active.outboundLeg != leg) {
+        if (activeSession.outboundLeg != leg) {
             return;
         }
-        active.outboundLeg = null;
-        active.lastCause = cause;
-        out.log("ended-invite", active.inboundCall.sessionId(), outcome + " " + cause);
+        activeSession.outboundLeg = null;
+        activeSession.lastCause = cause;
+        out.log("ended-invite", activeSession.inboundCall.sessionId(), outcome + " " + cause);
         applyDecision(
                 now,
-                active,
+                activeSession,
                 policy.after(
                         now,
-                        active.id,
+                        activeSession.id,
                         outcome,
                         cause,
                         leg.exchangeId,
                         now - leg.sentAt,
                         namedWait,
-                        active.answered),
+                        activeSession.answered),
                 out);
     }
 
@@ -675,12 +686,12 @@
      * Rejects a session that the policy refused: with a crankback if it is in transit, otherwise
      * with the time after which the caller may retry, if there is one.
      */
-    private void rejectByPolicy(long now, ActiveSession active, long retryAfter, Out out) {
-        if (active.headers.origin() >= 0) {
-            boolean fullBeyond = active.lastCause == Cause.PROCESSOR_FULL;
+    private void rejectByPolicy(long now, ActiveSession activeSession, long retryAfter, Out out) {
+        if (activeSession.headers.origin() >= 0) {
+            boolean fullBeyond = activeSession.lastCause == Cause.PROCESSOR_FULL;
             rejectSession(
                     now,
-                    active,
+                    activeSession,
                     503,
                     "Turned Back",
                     out,
@@ -691,14 +702,14 @@
         } else if (retryAfter > 0) {
             rejectSession(
                     now,
-                    active,
+                    activeSession,
                     480,
                     TEMPORARILY_UNAVAILABLE,
                     out,
                     "Retry-After",
                     Outcomes.retryAfter(retryAfter));
         } else {
-            rejectSession(now, active, 480, TEMPORARILY_UNAVAILABLE, out);
+            rejectSession(now, activeSession, 480, TEMPORARILY_UNAVAILABLE, out);
         }
     }
 
@@ -707,33 +718,34 @@
      */
     private void rejectSession(
             long now,
-            ActiveSession active,
+            ActiveSession activeSession,
             int status,
             String reason,
             Out out,
             String... extraHeaders) {
-        if (active.answered) {
+        if (activeSession.answered) {
             return;
         }
-        out.log("answer", active.inboundCall.sessionId(), status + " " + reason);
-        agent.reject(now, active.inboundCall, status, reason, out, extraHeaders);
-        endSession(now, active);
+        out.log("answer", activeSession.inboundCall.sessionId(), status + " " + reason);
+        agent.reject(now, activeSession.inboundCall, status, reason, out, extraHeaders);
+        endSession(now, activeSession);
     }
 
-    private void endSession(long now, ActiveSession active) {
-        if (!active.answered) {
-            active.answered = true;
+    private void endSession(long now, ActiveSession activeSession) {
+        if (!activeSession.answered) {
+            activeSession.answered = true;
             unansweredCount--;
         }
-        timers.cancel(active.waitTimer);
-        releaseNumberTable(active);
-        if (active.holdsIncomingCircuits) {
-            active.holdsIncomingCircuits = false;
-            trunkGroups.releaseIncoming(active.headers.origin(), active.headers.width());
-            reportCircuits(now, active.headers.origin());
+        timers.cancel(activeSession.waitTimer);
+        releaseNumberTable(activeSession);
+        if (activeSession.holdsIncomingCircuits) {
+            activeSession.holdsIncomingCircuits = false;
+            trunkGroups.releaseIncoming(
+                    activeSession.headers.origin(), activeSession.headers.width());
+            reportCircuits(now, activeSession.headers.origin());
         }
-        activeSessions.remove(active.id);
-        bySessionId.remove(active.inboundCall.sessionId(), active);
+        activeSessions.remove(activeSession.id);
+        bySessionId.remove(activeSession.inboundCall.sessionId(), activeSession);
     }
 
     @Override
@@ -747,17 +759,17 @@
     @Override
     public void answered(long now, Call call, SipMessage response, Out out) {
         OutboundLeg leg = (OutboundLeg) call.owner();
-        ActiveSession active = leg.activeSession;
+        ActiveSession activeSession = leg.activeSession;
         timers.cancel(leg.timeoutTimer);
-        active.answered = true;
+        activeSession.answered = true;
         unansweredCount--;
-        releaseNumberTable(active);
-        out.log("stands", active.inboundCall.sessionId(), (now - leg.sentAt) / 1000 + " ms");
-        agent.answer(now, active.inboundCall, response, out);
-        if (active.session != null) {
+        releaseNumberTable(activeSession);
+        out.log("stands", activeSession.inboundCall.sessionId(), (now - leg.sentAt) / 1000 + " ms");
+        agent.answer(now, activeSession.inboundCall, response, out);
+        if (activeSession.session != null) {
             policy.after(
                     now,
-                    active.id,
+                    activeSession.id,
                     Ending.STANDS,
                     Cause.NONE,
                     leg.exchangeId,
@@ -770,7 +782,7 @@
     @Override
     public void rejected(long now, Call call, SipMessage response, Agent.Lost lost, Out out) {
         OutboundLeg leg = (OutboundLeg) call.owner();
-        ActiveSession active = leg.activeSession;
+        ActiveSession activeSession = leg.activeSession;
         timers.cancel(leg.timeoutTimer);
         releaseCircuits(now, leg);
         if (response != null && response.header("X-Circuits") != null) {
@@ -784,13 +796,14 @@
             }
             reportCircuits(now, leg.exchangeNumber);
         }
-        if (active.outboundLeg != leg || call.cancelled()) {
+        if (activeSession.outboundLeg != leg || call.cancelled()) {
             return;
         }
-        if (active.session == null) {
+        if (activeSession.session == null) {
             // The response of a local line is passed back to the caller unchanged.
             Refusal refusal = Refusal.of(response, lost, "Reason", "Retry-After");
-            rejectSession(now, active, refusal.status(), refusal.reason(), out, refusal.fields());
+            rejectSession(
+                    now, activeSession, refusal.status(), refusal.reason(), out, refusal.fields());
             return;
         }
         Outcomes.Outcome outcome = Outcomes.of(response, lost);
@@ -799,19 +812,19 @@
 
     @Override
     public void cancelled(long now, Call call, Out out) {
-        ActiveSession active = (ActiveSession) call.owner();
+        ActiveSession activeSession = (ActiveSession) call.owner();
         out.log("caller-gone", call.sessionId(), "");
-        OutboundLeg leg = active.outboundLeg;
-        endSession(now, active);
-        if (active.session != null) {
-            policy.ended(now, active.id);
+        OutboundLeg leg = activeSession.outboundLeg;
+        endSession(now, activeSession);
+        if (activeSession.session != null) {
+            policy.ended(now, activeSession.id);
         }
         if (leg != null) {
             agent.cancel(now, leg.call, out);
             timers.set(
                     now + settings.module().releaseWait(),
                     (releaseAt, unused) -> releaseCircuits(releaseAt, leg));
-            if (active.session != null) {
+            if (activeSession.session != null) {
                 finishInvite(now, leg, Ending.CANCELLED, Cause.NONE, 0, out);
             } else {
                 timers.cancel(leg.timeoutTimer);
@@ -821,21 +834,21 @@
 
     @Override
     public void hungUp(long now, Call call, SipMessage bye, Out out) {
-        ActiveSession active =
+        ActiveSession activeSession =
                 call.owner() instanceof OutboundLeg leg
                         ? leg.activeSession
                         : (ActiveSession) call.owner();
-        OutboundLeg leg = active.outboundLeg;
+        OutboundLeg leg = activeSession.outboundLeg;
         boolean wasCut = bye == null || Outcomes.cause(bye) == Outcomes.CUT;
-        Call otherCall = call == active.inboundCall ? leg.call : active.inboundCall;
-        out.log("over", active.inboundCall.sessionId(), wasCut ? "cut" : "");
+        Call otherCall = call == activeSession.inboundCall ? leg.call : activeSession.inboundCall;
+        out.log("over", activeSession.inboundCall.sessionId(), wasCut ? "cut" : "");
         agent.bye(now, otherCall, wasCut ? Outcomes.reason(Outcomes.CUT, "cut") : null, out);
         releaseCircuits(now, leg);
-        endSession(now, active);
-        if (active.session != null) {
+        endSession(now, activeSession);
+        if (activeSession.session != null) {
             policy.after(
                     now,
-                    active.id,
+                    activeSession.id,
                     wasCut ? Ending.RESET : Ending.OVER,
                     Cause.NONE,
                     leg.exchangeId,
@@ -884,8 +897,8 @@
         if (call.owner() instanceof OutboundLeg leg) {
             return leg.activeSession.inboundCall;
         }
-        ActiveSession active = (ActiveSession) call.owner();
-        return active.outboundLeg == null ? null : active.outboundLeg.call;
+        ActiveSession activeSession = (ActiveSession) call.owner();
+        return activeSession.outboundLeg == null ? null : activeSession.outboundLeg.call;
     }
 
     /**
--- a/src/main/java/coralcove/sources/Belief.java
+++ b/src/main/java/coralcove/sources/Belief.java
@@ -3,8 +3,11 @@
 import coralcove.Exchange;
 
 /**
- * One exchange in the roster: the state reported to the routing policy, the address of its router,
- * and the reason for that state.
+ * One entry of the roster.
+ *
+ * @param exchange the exchange and its state, as reported to the routing policy
+ * @param address address of its router
+ * @param why reason for the state
  */
 public record Belief(Exchange exchange, String address, Why why) {
     /** What the state of a roster entry rests on. The names appear in the log. */
--- a/src/main/java/coralcove/sources/Life.java
+++ b/src/main/java/coralcove/sources/Life.java
@@ -7,10 +7,15 @@
  * commutative, associative and idempotent, so neither the order nor the duplication of reports
  * matters.
  *
- * <p>Only a higher {@code start}, a number that the exchange assigns to each of its starts,
- * reverses a drain or a departure. {@code beat} is the highest heartbeat number of this start that
- * any source has received. {@code quiet} is the highest heartbeat number after which some source
- * reports that no further one arrived, or {@link #HEARD} if no source reports that.
+ * @param start number of the start, assigned by the exchange itself; only a higher one reverses a
+ *     drain or a departure
+ * @param beat highest heartbeat number of this start that any source has received
+ * @param drains whether the exchange has announced that it is draining
+ * @param quiet highest heartbeat number after which a source reports that no further one arrived,
+ *     or {@link #HEARD} if no source reports that
+ * @param left whether the exchange has announced that it has stopped
+ * @param number number that the exchange serves
+ * @param address address of its router
  */
 public record Life(
         long start,
@@ -20,12 +25,12 @@
         boolean left,
         int number,
         String address) {
-    /** Value of {@code quiet} when no source reports the exchange silent. */
+    /** Stands in place of a heartbeat number when no source reports the exchange silent. */
     public static final long HEARD = -1;
 
     /** The liveness of an exchange that is up and neither draining nor silent. */
-    public static Life runs(long start, long beat, int number, String address) {
-        return new Life(start, beat, false, HEARD, false, number, address);
+    public static Life runs(long startNumber, long heartbeat, int number, String address) {
+        return new Life(startNumber, heartbeat, false, HEARD, false, number, address);
     }
 
     /** Least upper bound of both: what is known from both reports together. */
--- a/src/main/java/coralcove/sources/Listing.java
+++ b/src/main/java/coralcove/sources/Listing.java
@@ -3,9 +3,13 @@
 import java.util.List;
 
 /**
- * One notification from a directory. {@code epoch} is chosen when the directory starts, {@code
- * version} counts its changes within the epoch. {@code after} is the version that a listing of kind
- * {@link Kind#CHANGES} builds on.
+ * One notification from a directory.
+ *
+ * @param epoch chosen when the directory starts
+ * @param version counts the directory's changes within its epoch
+ * @param kind how complete the listing is
+ * @param after version that a listing of kind {@link Kind#CHANGES} builds on
+ * @param lines the exchanges
  */
 public record Listing(String epoch, long version, Kind kind, long after, List<Line> lines) {
     /** How complete a listing is. The names appear in the log. */
@@ -17,13 +21,16 @@
          * means nothing.
          */
         LEARNING,
-        /** Names only what changed after version {@code after}. */
+        /** Names only what has changed since the version that it builds on. */
         CHANGES
     }
 
     /**
-     * One exchange instance; {@code age} is the time in µs from its start to the sending of the
-     * listing, or {@link #LONG_AGO}.
+     * One exchange instance.
+     *
+     * @param id id of the instance
+     * @param life its liveness as known to the directory
+     * @param age µs from its start to the sending of the listing, or {@link #LONG_AGO}
      */
     public record Line(long id, Life life, long age) {}
 
--- a/src/main/java/coralcove/sources/Roster.java
+++ b/src/main/java/coralcove/sources/Roster.java
@@ -41,8 +41,13 @@
 
     /**
      * What a source has reported about one exchange instance, for the store and the command line.
-     * {@code since} is the time of its start (0: long ago) and {@code renewed} the last renewal of
-     * the source's list, both in µs on the router's clock.
+     * Times are in µs on the router's clock.
+     *
+     * @param source name of the source
+     * @param id id of the exchange instance
+     * @param life its liveness
+     * @param since time of its start; 0 for long ago
+     * @param renewed time at which the source's list was last renewed
      */
     public record Said(String source, long id, Life life, long since, long renewed) {}
 
--- a/src/test/java/coralcove/edge/EdgeCoreHarness.java
+++ b/src/test/java/coralcove/edge/EdgeCoreHarness.java
@@ -153,6 +153,7 @@
         return this;
     }
 
+    /** A request from the local exchange, with the headers that every request has. */
     static SipMessage request(String method, String call, int sequence) {
         return SipMessage.request(method, "sip:77@r:1")
                 .add("Via", "SIP/2.0/UDP x:2;branch=z9hG4bK" + call + method)
@@ -214,6 +215,7 @@
         return this;
     }
 
+    /** Puts a number table in service. */
     EdgeCoreHarness replaceTable(NumberTable table) {
         note("table " + table.version());
         core.replace(now, table, this);
@@ -372,9 +374,9 @@
             Ending outcome,
             Cause cause,
             long exchange,
-            long took,
+            long elapsed,
             long namedWait,
-            boolean over) {
+            boolean finished) {
         return nextDecision(
                 "after "
                         + session
@@ -383,7 +385,7 @@
                         + " "
                         + cause
                         + (namedWait > 0 ? " wait " + namedWait : "")
-                        + (over ? " over" : ""));
+                        + (finished ? " over" : ""));
     }
 
     @Override
@@ -394,8 +396,8 @@
     }
 
     @Override
-    public void roster(long at, boolean whole, List<Exchange> exchanges) {
-        note("module: roster" + (whole ? " whole " : " ") + exchanges.size());
+    public void roster(long at, boolean complete, List<Exchange> exchanges) {
+        note("module: roster" + (complete ? " whole " : " ") + exchanges.size());
     }
 
     @Override
@@ -409,13 +411,14 @@
     }
 
     @Override
-    public void report(long at, long exchange, boolean passed, long took, float[] columns) {
+    public void report(
+            long at, long exchange, boolean succeeded, long elapsed, float[] loadColumns) {
         note("module: report " + exchange);
     }
 
     @Override
-    public void peer(long at, int rank, byte[] body) {
-        note("module: peer " + rank + " " + body.length);
+    public void peer(long at, int number, byte[] body) {
+        note("module: peer " + number + " " + body.length);
     }
 
     @Override
--- a/src/test/java/coralcove/edge/EdgeCoreTest.java
+++ b/src/test/java/coralcove/edge/EdgeCoreTest.java
@@ -7,6 +7,7 @@
 import coralcove.sip.SipMessage;
 import org.junit.jupiter.api.Test;
 
+/** One call router, with its routing policy, exchange and directory played by the test. */
 class EdgeCoreTest {
     private final EdgeCoreHarness harness = new EdgeCoreHarness();
 
--- a/src/test/java/coralcove/edge/EdgeNumbersTest.java
+++ b/src/test/java/coralcove/edge/EdgeNumbersTest.java
@@ -100,7 +100,7 @@
 
     /** No answer, an answer that arrives too late, and a caller who cancels meanwhile. */
     @Test
-    void anUnresponsivePortabilityServerDelaysNoFinalResponse() {
+    void sessionsProceedWhenThePortabilityServerIsUnresponsive() {
         harness.enableNumbers(2, table(1), PORTING_SETTINGS)
                 .policyDecides(send(101))
                 .dial("a", "+8195", 3_000_000)
--- a/src/test/java/coralcove/sources/RosterTest.java
+++ b/src/test/java/coralcove/sources/RosterTest.java
@@ -172,9 +172,8 @@
 
     @Test
     void theAgeOfAnExchangeDoesNotDependOnTheDirectorysClock() {
-        // The directory's clock is an hour ahead. The first start time derived is retained,
-        // whatever
-        // the delays of later messages.
+        // The directory's clock is an hour ahead. The first start time derived is retained, also
+        // when later messages are delayed differently.
         receiveListing(0, "epoch a version 1 whole\n101 1 ready 3600007000000 3 200000 udp:a:1\n")
                 .advance(4)
                 .receiveListing(
