--- a/src/main/java/coralcove/platform/Drain.java
+++ b/src/main/java/coralcove/platform/Drain.java
@@ -15,7 +15,7 @@
 
     /**
      * Maximum time to wait for acknowledgements of releases: a caller that is alive acknowledges
-     * within some ms.
+     * within some ms, one that is gone never does.
      */
     private static final long ACKNOWLEDGEMENT_WAIT_MICROS = 600_000;
 
