--- a/src/main/java/coralcove/platform/live/BoundedProcessor.java
+++ b/src/main/java/coralcove/platform/live/BoundedProcessor.java
@@ -9,55 +9,57 @@
 import org.apache.mina.transport.socket.nio.NioSession;
 
 /**
- * MINA's processor with a bound on the sessions it holds: at it the acceptor's thread waits, and
- * the kernel's queue holds who connects. Without one hundreds of connections at once took the last
- * descriptor, and the acceptor stood for a second.
+ * An I/O processor with a limit on the number of sessions. At the limit the acceptor's thread
+ * waits, and new connections stay in the kernel's backlog. Without a limit, hundreds of connections
+ * at once took the last file descriptor, and the acceptor paused for a second.
  */
 final class BoundedProcessor implements IoProcessor<NioSession> {
-    /** Looks after which room is asked for again. */
-    private static final int ASK_AGAIN = 10;
+    /** Number of checks at the limit between two requests for room. */
+    private static final int CHECKS_PER_REQUEST = 10;
 
-    /** Share of the bound from which room is asked for. */
-    private static final double NEAR = 0.85;
+    /** Share of the limit from which each new session requests room. */
+    private static final double NEAR_LIMIT_SHARE = 0.85;
 
-    /** Milliseconds between two looks at the bound. */
-    private static final int LOOK = 2;
+    /** Interval between two checks at the limit. */
+    private static final int CHECK_INTERVAL_MS = 2;
 
     private final IoProcessor<NioSession> pool = new SimpleIoProcessorPool<>(NioProcessor.class, 1);
-    private final AtomicInteger held = new AtomicInteger();
-    private final int most;
-    private final Runnable crowded;
+    private final AtomicInteger sessionCount = new AtomicInteger();
+    private final int maxSessions;
+    private final Runnable requestRoom;
 
     /**
-     * {@code crowded} is run on the acceptor's thread for each connection near the bound: it asks
-     * for room.
+     * Creates a processor for at most {@code maxSessions} sessions.
+     *
+     * @param requestRoom asks for sessions to be closed; run on the acceptor's thread for each new
+     *     session near the limit
      */
-    BoundedProcessor(int most, Runnable crowded) {
-        this.most = most;
-        this.crowded = crowded;
+    BoundedProcessor(int maxSessions, Runnable requestRoom) {
+        this.maxSessions = maxSessions;
+        this.requestRoom = requestRoom;
     }
 
-    /** A session that was added has been closed, and its descriptor is free. */
-    void freed() {
-        held.decrementAndGet();
+    /** Must be called once for each session that has closed and freed its descriptor. */
+    void sessionClosed() {
+        sessionCount.decrementAndGet();
     }
 
     @Override
     public void add(NioSession session) {
-        if (held.get() >= NEAR * most) {
-            crowded.run();
+        if (sessionCount.get() >= NEAR_LIMIT_SHARE * maxSessions) {
+            requestRoom.run();
         }
         try {
-            for (int look = 1; held.get() >= most && !pool.isDisposing(); look++) {
-                TimeUnit.MILLISECONDS.sleep(LOOK);
-                if (look % ASK_AGAIN == 0) {
-                    crowded.run();
+            for (int check = 1; sessionCount.get() >= maxSessions && !pool.isDisposing(); check++) {
+                TimeUnit.MILLISECONDS.sleep(CHECK_INTERVAL_MS);
+                if (check % CHECKS_PER_REQUEST == 0) {
+                    requestRoom.run();
                 }
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        held.incrementAndGet();
+        sessionCount.incrementAndGet();
         pool.add(session);
     }
 
--- a/src/main/java/coralcove/platform/live/Configuration.java
+++ b/src/main/java/coralcove/platform/live/Configuration.java
@@ -19,8 +19,18 @@
 import java.util.Set;
 
 /**
- * What the platform tells a router: its file, read whole; a mistake is told with file, key and
- * reason.
+ * The configuration file of a session router, read completely. An error message names the file, the
+ * key and the reason.
+ *
+ * @param name the router's name in the log
+ * @param listen address for callers
+ * @param seed seed of the random choices
+ * @param settings settings of the session router
+ * @param peerListen address for datagrams from peer routers, or null if there are none
+ * @param peers addresses of the peer routers, by their index
+ * @param peerBroadcast address for datagrams to all peer routers, or null
+ * @param discoveryService address of the service that publishes the exchange list
+ * @param knownExchanges the exchange list at the time the file was written
  */
 record Configuration(
         String name,
@@ -29,19 +39,29 @@
         ServiceSettings settings,
         InetSocketAddress peerListen,
         List<InetSocketAddress> peers,
-        InetSocketAddress peersAll,
-        InetSocketAddress bulletin,
-        Bulletin known) {
-    /** Descriptors under which no router can hold the list, a leg and its callers. */
-    private static final int LEAST_DESCRIPTORS = 64;
+        InetSocketAddress peerBroadcast,
+        InetSocketAddress discoveryService,
+        Bulletin knownExchanges) {
+    /**
+     * Smallest usable number of file descriptors: with fewer there is no room for the discovery
+     * service, an exchange connection and callers.
+     */
+    private static final int MIN_DESCRIPTORS = 64;
 
-    /** How the descriptors are shared out, by the exchanges that the list has at the start. */
-    Descriptors room() {
+    /** Returns the shares of the file descriptors, given the exchanges known at the start. */
+    Descriptors descriptorShares() {
         Set<String> exchanges = new HashSet<>();
-        known.events().forEach(event -> event.entries().forEach(each -> exchanges.add(each.id())));
+        knownExchanges
+                .events()
+                .forEach(event -> event.entries().forEach(entry -> exchanges.add(entry.id())));
         return new Descriptors(settings.descriptors(), exchanges.size());
     }
 
+    /**
+     * Reads a configuration file.
+     *
+     * @throws BadConfig if the file cannot be read or a value is missing or invalid
+     */
     static Configuration read(Path file) throws BadConfig {
         JsonNode root;
         try {
@@ -49,27 +69,29 @@
         } catch (IOException e) {
             throw new BadConfig(file + ": cannot be read: " + e.getMessage());
         }
-        Map<String, String> pairs = new HashMap<>();
-        flatten("", root.path("settings"), pairs);
+        Map<String, String> properties = new HashMap<>();
+        flatten("", root.path("settings"), properties);
         try {
             List<InetSocketAddress> peers = new ArrayList<>();
-            for (JsonNode each : root.path("peers")) {
-                peers.add(address(file, "peers", each.asText()));
+            for (JsonNode peer : root.path("peers")) {
+                peers.add(parseAddress(file, "peers", peer.asText()));
             }
             return new Configuration(
                     root.path("name").asText("router"),
-                    address(file, "listen", text(file, root, "listen")),
-                    seed(file, text(file, root, "seed")),
+                    parseAddress(file, "listen", requiredText(file, root, "listen")),
+                    parseSeed(file, requiredText(file, root, "seed")),
                     ServiceSettings.of(
-                            Boot.of(pairs), descriptors(file, root.path("limits").path("sockets"))),
+                            Boot.of(properties),
+                            descriptorLimit(file, root.path("limits").path("sockets"))),
                     root.hasNonNull("peer_listen")
-                            ? address(file, "peer_listen", text(file, root, "peer_listen"))
+                            ? parseAddress(
+                                    file, "peer_listen", requiredText(file, root, "peer_listen"))
                             : null,
                     List.copyOf(peers),
                     root.hasNonNull("peers_all")
-                            ? address(file, "peers_all", text(file, root, "peers_all"))
+                            ? parseAddress(file, "peers_all", requiredText(file, root, "peers_all"))
                             : null,
-                    address(file, "bulletin", text(file, root, "bulletin")),
+                    parseAddress(file, "bulletin", requiredText(file, root, "bulletin")),
                     Bulletin.of(root.get("known")));
         } catch (IOException e) {
             throw new BadConfig(file + ": known: " + e.getMessage());
@@ -77,53 +99,57 @@
     }
 
     /**
-     * Nested JSON as the paths of the simulator's first message: lists of objects by index with a
-     * count, others joined.
+     * Flattens nested JSON to the paths that the simulator sends in its first message. An array of
+     * plain values becomes one value joined by commas; the elements of any other array get their
+     * index in the path, and {@code count} their number.
      */
-    static void flatten(String path, JsonNode node, Map<String, String> pairs) {
+    static void flatten(String path, JsonNode node, Map<String, String> properties) {
         if (node.isObject()) {
             node.properties()
                     .forEach(
-                            each ->
+                            field ->
                                     flatten(
                                             path.isEmpty()
-                                                    ? each.getKey()
-                                                    : path + "." + each.getKey(),
-                                            each.getValue(),
-                                            pairs));
+                                                    ? field.getKey()
+                                                    : path + "." + field.getKey(),
+                                            field.getValue(),
+                                            properties));
         } else if (node.isArray()) {
-            boolean plain = true;
-            for (JsonNode each : node) {
-                plain &= each.isValueNode();
+            boolean allPlain = true;
+            for (JsonNode element : node) {
+                allPlain &= element.isValueNode();
             }
-            if (plain) {
+            if (allPlain) {
                 List<String> values = new ArrayList<>();
-                node.forEach(each -> values.add(each.asText()));
-                pairs.put(path, String.join(",", values));
+                node.forEach(element -> values.add(element.asText()));
+                properties.put(path, String.join(",", values));
                 return;
             }
-            pairs.put(path + ".count", Integer.toString(node.size()));
+            properties.put(path + ".count", Integer.toString(node.size()));
             for (int i = 0; i < node.size(); i++) {
-                flatten(path + "." + i, node.get(i), pairs);
+                flatten(path + "." + i, node.get(i), properties);
             }
         } else if (!node.isNull() && !node.isMissingNode()) {
-            pairs.put(path, node.asText());
+            properties.put(path, node.asText());
         }
     }
 
-    private static int descriptors(Path file, JsonNode sockets) throws BadConfig {
-        if (!sockets.canConvertToInt() || sockets.asInt() < LEAST_DESCRIPTORS) {
+    private static int descriptorLimit(Path file, JsonNode sockets) throws BadConfig {
+        if (!sockets.canConvertToInt() || sockets.asInt() < MIN_DESCRIPTORS) {
             throw new BadConfig(
                     file
                             + ": limits.sockets: "
                             + (sockets.isMissingNode()
                                     ? "is missing"
-                                    : "no number from " + LEAST_DESCRIPTORS + " up: " + sockets));
+                                    : "not a number of at least "
+                                            + MIN_DESCRIPTORS
+                                            + ": "
+                                            + sockets));
         }
         return sockets.asInt();
     }
 
-    private static String text(Path file, JsonNode root, String key) throws BadConfig {
+    private static String requiredText(Path file, JsonNode root, String key) throws BadConfig {
         String value = root.path(key).asText("");
         if (value.isEmpty()) {
             throw new BadConfig(file + ": " + key + " is missing");
@@ -131,22 +157,22 @@
         return value;
     }
 
-    private static long seed(Path file, String text) throws BadConfig {
+    private static long parseSeed(Path file, String text) throws BadConfig {
         try {
             return Long.parseUnsignedLong(text, 16);
         } catch (NumberFormatException e) {
-            throw new BadConfig(file + ": seed: no hex number: " + text);
+            throw new BadConfig(file + ": seed: not a hexadecimal number: " + text);
         }
     }
 
-    static InetSocketAddress address(Path file, String key, String text) throws BadConfig {
+    static InetSocketAddress parseAddress(Path file, String key, String text) throws BadConfig {
         int colon = text.lastIndexOf(':');
         try {
             return new InetSocketAddress(
                     text.substring(0, Math.max(0, colon)),
                     Integer.parseInt(text.substring(colon + 1)));
         } catch (IllegalArgumentException e) {
-            throw new BadConfig(file + ": " + key + ": no address: " + text);
+            throw new BadConfig(file + ": " + key + ": not an address: " + text);
         }
     }
 }
--- a/src/main/java/coralcove/platform/live/LogLines.java
+++ b/src/main/java/coralcove/platform/live/JsonLog.java
@@ -9,34 +9,37 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * A router's log: JSON lines, written on a thread of its own. A reader of standard error that
- * stalls holds up no session: past the bound lines are dropped, and the next line says how many.
- * Logback would be a third of a router's start.
+ * Writes the log as JSON lines on a separate thread, so that a stalled reader of standard error
+ * delays no session. When the queue is full, lines are dropped and the next line written holds
+ * their number. Logback is not used because it takes a third of the start-up time.
  */
-final class LogLines {
-    /** Lines waiting at most. */
-    private static final int MOST = 1_000;
+final class JsonLog {
+    /** Largest number of lines waiting to be written. */
+    private static final int MAX_QUEUED_LINES = 1_000;
 
-    private final BlockingQueue<Map<String, Object>> lines = new ArrayBlockingQueue<>(MOST);
+    private final BlockingQueue<Map<String, Object>> lines =
+            new ArrayBlockingQueue<>(MAX_QUEUED_LINES);
     private final AtomicLong dropped = new AtomicLong();
-    private final String name;
+    private final String routerName;
     private final PrintStream out;
 
-    LogLines(String name, PrintStream out) {
-        this.name = name;
+    JsonLog(String routerName, PrintStream out) {
+        this.routerName = routerName;
         this.out = out;
     }
 
+    /** Starts the writing thread. */
     void start() {
-        Thread thread = new Thread(this::write, "log");
+        Thread thread = new Thread(this::writeLines, "log");
         thread.setDaemon(true);
         thread.start();
     }
 
-    void line(long micros, String event, String session, String detail) {
+    /** Queues a line without waiting; {@code session} may be empty. */
+    void log(long timeUs, String event, String session, String detail) {
         Map<String, Object> line = new LinkedHashMap<>();
-        line.put("ms", micros / 1000);
-        line.put("router", name);
+        line.put("ms", timeUs / 1000);
+        line.put("router", routerName);
         line.put("event", event);
         if (!session.isEmpty()) {
             line.put("session", session);
@@ -47,7 +50,7 @@
         }
     }
 
-    private void write() {
+    private void writeLines() {
         ObjectMapper json = new ObjectMapper();
         try {
             while (true) {
--- a/src/main/java/coralcove/platform/live/Serve.java
+++ b/src/main/java/coralcove/platform/live/Serve.java
@@ -17,46 +17,47 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One session router of the platform: sockets, clock, configuration and signals round a {@link
- * RouterCore}.
+ * The session router process on the platform. Connects a {@link RouterCore} to sockets, the clock,
+ * the configuration file and signals, and runs its event loop.
  */
-public final class Serve implements Actions, Streams.Listener {
-    /** µs between two lines of counts in the log. */
-    private static final long COUNTS = 5_000_000;
+public final class Serve implements Actions, TcpConnections.Listener {
+    /** Interval between two {@code counts} lines in the log. */
+    private static final long COUNTERS_INTERVAL_US = 5_000_000;
 
-    /**
-     * µs for which inputs are taken between two looks at the timers, and set-ups decided while more
-     * inputs wait.
-     */
-    private static final long INTAKE = 20_000;
+    /** Longest time spent on queued events before the timers are checked. */
+    private static final long EVENT_SLICE_US = 20_000;
+
+    /** Longest time spent on routing decisions while further events wait. */
+    private static final long DECISION_SLICE_US = 10_000;
 
-    private static final long DECIDING = 10_000;
+    /** Time allowed at shutdown for pending writes to reach peers that still read. */
+    private static final int FINAL_FLUSH_MS = 1_000;
 
-    /** Milliseconds in which what was written last goes out, to peers that read. */
-    private static final int LAST_WRITES = 1_000;
+    /** Attempts to read a configuration file that may be in the middle of being written. */
+    private static final int MAX_CONFIGURATION_READS = 5;
 
-    /** Tries to read a configuration that is being written, and milliseconds between them. */
-    private static final int READS = 5;
+    /** Delay between two attempts to read the configuration file. */
+    private static final int CONFIGURATION_RETRY_MS = 100;
 
-    private static final int READ_AGAIN = 100;
-    private static final long STARTED =
+    /** Difference between the Unix time and the monotonic clock at the start. */
+    private static final long CLOCK_OFFSET_US =
             System.currentTimeMillis() * 1000 - System.nanoTime() / 1000;
 
-    private final Path file;
-    private final LogLines log;
-    private final Inputs inputs = new Inputs();
+    private final Path configurationFile;
+    private final JsonLog log;
+    private final EventQueue events = new EventQueue();
     private final RouterCore core;
-    private final Streams streams;
-    private final Peers peers;
-    private final BulletinPoll poll;
+    private final TcpConnections connections;
+    private final PeerChannel peerChannel;
+    private final BulletinPoll discoveryPoll;
     private final Configuration configuration;
-    private volatile boolean over;
-    private long lag;
+    private volatile boolean ended;
+    private long maxTimerLagUs;
 
     private Serve(Path file, Configuration configuration, PrintStream out) throws IOException {
-        this.file = file;
+        this.configurationFile = file;
         this.configuration = configuration;
-        log = new LogLines(configuration.name(), out);
+        log = new JsonLog(configuration.name(), out);
         core =
                 new RouterCore(
                         clock(),
@@ -65,132 +66,150 @@
                                 configuration.settings().module(),
                                 new SplittableRandom(configuration.seed())),
                         this);
-        streams =
-                new Streams(
+        connections =
+                new TcpConnections(
                         Math.max(1, configuration.settings().connectTimeout() / 1000),
-                        configuration.room().callers(),
+                        configuration.descriptorShares().callers(),
                         Serve::clock,
                         this);
-        peers =
+        peerChannel =
                 configuration.peerListen() == null
                         ? null
-                        : new Peers(
+                        : new PeerChannel(
                                 configuration.peerListen(),
                                 configuration.peers(),
-                                configuration.peersAll(),
-                                (rank, bytes) -> {
-                                    long stamp = clock();
-                                    inputs.first(bytes.length, () -> core.peer(stamp, rank, bytes));
+                                configuration.peerBroadcast(),
+                                (peerIndex, bytes) -> {
+                                    long time = clock();
+                                    events.addPriority(
+                                            bytes.length, () -> core.peer(time, peerIndex, bytes));
                                 });
-        poll =
+        discoveryPoll =
                 new BulletinPoll(
-                        configuration.bulletin(),
-                        configuration.known().last(),
+                        configuration.discoveryService(),
+                        configuration.knownExchanges().last(),
                         new BulletinPoll.Listener() {
                             @Override
                             public void told(Bulletin bulletin) {
-                                inputs.first(0, () -> core.bulletinAnswered(clock(), bulletin));
+                                events.addPriority(
+                                        0, () -> core.bulletinAnswered(clock(), bulletin));
                             }
 
                             @Override
                             public void failed(String reason) {
-                                inputs.first(0, () -> core.bulletinLost(clock()));
+                                events.addPriority(0, () -> core.bulletinLost(clock()));
                             }
                         });
     }
 
-    /** A router by this configuration, which serves once {@link #serve} is called. */
-    public static Serve of(Path file) throws BadConfig, IOException {
-        return of(file, System.err);
+    /**
+     * Creates a session router from its configuration file. It opens no listening socket for
+     * callers until {@link #serve} is called.
+     *
+     * @throws BadConfig if the file cannot be read or holds an invalid value
+     */
+    public static Serve fromFile(Path file) throws BadConfig, IOException {
+        return fromFile(file, System.err);
     }
 
-    static Serve of(Path file, PrintStream out) throws BadConfig, IOException {
+    static Serve fromFile(Path file, PrintStream out) throws BadConfig, IOException {
         return new Serve(file, Configuration.read(file), out);
     }
 
-    /** As a program: SIGTERM drains it, SIGHUP has the configuration read again. */
+    /**
+     * Runs a session router as the main program until it has drained. SIGTERM starts the drain,
+     * SIGHUP reloads the configuration.
+     */
     public static void run(Path file) throws BadConfig, IOException, InterruptedException {
-        // Before anything else: a signal during the start would end the program, or be lost.
-        EarlySignals early = new EarlySignals();
-        Signals.on("TERM", early::drain);
-        Signals.on("HUP", early::reload);
-        Serve serve = of(file);
-        early.to(serve::drain, serve::reload);
-        serve.serve();
+        // Installed first: without handlers a signal during the start would end the JVM.
+        PendingSignals signals = new PendingSignals();
+        SignalHandlers.register("TERM", signals::drain);
+        SignalHandlers.register("HUP", signals::reload);
+        Serve server = fromFile(file);
+        signals.attach(server::drain, server::reload);
+        server.serve();
     }
 
-    /** What is owed is answered, then {@link #serve} returns. */
+    /**
+     * Starts a graceful shutdown: pending sessions get their answers, then {@link #serve} returns.
+     * May be called from any thread.
+     */
     public void drain() {
-        inputs.first(0, () -> core.drain(clock()));
+        events.addPriority(0, () -> core.drain(clock()));
     }
 
-    /** µs since the epoch, by a clock that never goes back. */
+    /** Returns the current time in µs since the Unix epoch, by a clock that never goes back. */
     static long clock() {
-        return STARTED + System.nanoTime() / 1000;
+        return CLOCK_OFFSET_US + System.nanoTime() / 1000;
     }
 
-    /** Serves until it is drained and nothing is owed any more. */
+    /** Serves callers until a drain has completed. */
     public void serve() throws IOException, InterruptedException {
         log.start();
-        core.bulletin(clock(), configuration.known());
-        Thread thread = new Thread(poll, "bulletin");
-        thread.setDaemon(true);
-        thread.start();
-        streams.listen(configuration.listen());
+        core.bulletin(clock(), configuration.knownExchanges());
+        Thread pollThread = new Thread(discoveryPoll, "bulletin");
+        pollThread.setDaemon(true);
+        pollThread.start();
+        connections.listen(configuration.listen());
         log("serving", "", configuration.listen().toString());
-        loop();
-        poll.close();
-        streams.flush(LAST_WRITES);
-        streams.close();
-        if (peers != null) {
-            peers.close();
+        runEventLoop();
+        discoveryPoll.close();
+        connections.awaitCallersClosed(FINAL_FLUSH_MS);
+        connections.close();
+        if (peerChannel != null) {
+            peerChannel.close();
         }
         log("ended", "", core.counts());
     }
 
-    private void loop() throws InterruptedException {
-        long countsAt = clock() + COUNTS;
-        while (!over) {
-            // Whatever was read is looked at before a set-up is decided or an INVITE written: its
-            // caller may have left since.
-            Inputs.Input input =
-                    inputs.next(
+    private void runEventLoop() throws InterruptedException {
+        long nextCountersAt = clock() + COUNTERS_INTERVAL_US;
+        while (!ended) {
+            // All events that were read are processed before a set-up is decided or an INVITE is
+            // written, because its caller may have left in the meantime.
+            EventQueue.Event event =
+                    events.next(
                             core.undecided()
                                     ? 0
-                                    : Math.max(0, Math.min(COUNTS, core.due() - clock())));
-            long begun = clock();
-            while (input != null && clock() - begun < INTAKE) {
-                guarded(input.act());
-                input = inputs.next(0);
+                                    : Math.max(
+                                            0,
+                                            Math.min(COUNTERS_INTERVAL_US, core.due() - clock())));
+            long sliceStart = clock();
+            while (event != null && clock() - sliceStart < EVENT_SLICE_US) {
+                runGuarded(event.action());
+                event = events.next(0);
             }
-            boolean more = input != null;
-            if (more) {
-                guarded(input.act());
+            boolean moreEvents = event != null;
+            if (moreEvents) {
+                runGuarded(event.action());
             } else if (!core.undecided()) {
-                guarded(() -> core.caughtUp(clock()));
+                runGuarded(() -> core.caughtUp(clock()));
             }
             long now = clock();
             if (core.due() <= now) {
-                lag = Math.max(lag, core.due() == 0 ? 0 : now - core.due());
-                guarded(() -> core.tick(clock()));
+                maxTimerLagUs = Math.max(maxTimerLagUs, core.due() == 0 ? 0 : now - core.due());
+                runGuarded(() -> core.tick(clock()));
             }
-            long deciding = clock();
+            long decisionStart = clock();
             do {
-                guarded(() -> core.decide(clock()));
-            } while (more && core.undecided() && clock() - deciding < DECIDING);
-            guarded(core::rest);
-            if (now >= countsAt) {
-                countsAt = now + COUNTS;
-                log("counts", "", core.counts() + " lag-ms " + lag / 1000);
-                lag = 0;
+                runGuarded(() -> core.decide(clock()));
+            } while (moreEvents && core.undecided() && clock() - decisionStart < DECISION_SLICE_US);
+            runGuarded(core::rest);
+            if (now >= nextCountersAt) {
+                nextCountersAt = now + COUNTERS_INTERVAL_US;
+                log("counts", "", core.counts() + " lag-ms " + maxTimerLagUs / 1000);
+                maxTimerLagUs = 0;
             }
         }
     }
 
-    /** A fault in one input must not end the program with all its calls. */
-    private void guarded(Runnable act) {
+    /**
+     * Runs an action and logs an exception that it throws: a fault in one event must not end the
+     * process with all its calls.
+     */
+    private void runGuarded(Runnable action) {
         try {
-            act.run();
+            action.run();
         } catch (RuntimeException e) {
             log(
                     "fault",
@@ -200,137 +219,138 @@
     }
 
     /**
-     * SIGHUP: the bulletin may have moved; nothing else is taken from the file while the router
-     * runs, and what else it changes is logged. One at a time, each reading the file anew, so that
-     * of two the later file stays.
+     * Reads the configuration file again and applies a changed address of the discovery service.
+     * Other changes are logged and take effect at the next start. Reloads run one at a time and
+     * each reads the file itself, so that of two concurrent ones the later file wins.
      */
     public synchronized void reload() {
         try {
-            Configuration fresh = whole();
-            poll.address(fresh.bulletin());
-            inputs.first(0, () -> core.bulletin(clock(), fresh.known()));
-            log("reloaded", "", "bulletin " + fresh.bulletin());
-            if (!fresh.settings().equals(configuration.settings())
-                    || !fresh.listen().equals(configuration.listen())) {
+            Configuration reloaded = readConfiguration();
+            discoveryPoll.address(reloaded.discoveryService());
+            events.addPriority(0, () -> core.bulletin(clock(), reloaded.knownExchanges()));
+            log("reloaded", "", "bulletin " + reloaded.discoveryService());
+            if (!reloaded.settings().equals(configuration.settings())
+                    || !reloaded.listen().equals(configuration.listen())) {
                 log(
                         "reload-ignored",
                         "",
-                        "settings or listen have changed: they count from the next start");
+                        "settings or listen address changed: takes effect at the next start");
             }
         } catch (BadConfig | RuntimeException e) {
             log("not-reloaded", "", String.valueOf(e.getMessage()));
-        } catch (InterruptedException stop) {
+        } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** The file may be read while it is written. */
-    private Configuration whole() throws BadConfig, InterruptedException {
-        for (int reads = 1; ; reads++) {
+    /** Reads the configuration file, with retries in case it is just being written. */
+    private Configuration readConfiguration() throws BadConfig, InterruptedException {
+        for (int attempt = 1; ; attempt++) {
             try {
-                return Configuration.read(file);
+                return Configuration.read(configurationFile);
             } catch (BadConfig e) {
-                if (reads == READS) {
+                if (attempt == MAX_CONFIGURATION_READS) {
                     throw e;
                 }
-                TimeUnit.MILLISECONDS.sleep(READ_AGAIN);
+                TimeUnit.MILLISECONDS.sleep(CONFIGURATION_RETRY_MS);
             }
         }
     }
 
-    // ---- from the sockets
+    // ---- events from the sockets
 
     @Override
-    public void opened(long caller) {
-        long stamp = clock();
-        inputs.caller(0, () -> core.callerOpened(stamp, caller));
+    public void callerOpened(long callerId) {
+        long time = clock();
+        events.addFromCaller(0, () -> core.callerOpened(time, callerId));
     }
 
     @Override
-    public void read(long caller, long stamp, byte[] bytes) {
-        inputs.caller(bytes.length, () -> core.callerRead(stamp, caller, bytes));
+    public void callerRead(long callerId, long time, byte[] bytes) {
+        events.addFromCaller(bytes.length, () -> core.callerRead(time, callerId, bytes));
     }
 
     @Override
-    public void closed(long caller) {
-        long stamp = clock();
-        inputs.caller(0, () -> core.callerClosed(stamp, caller));
+    public void callerClosed(long callerId) {
+        long time = clock();
+        events.addFromCaller(0, () -> core.callerClosed(time, callerId));
     }
 
     @Override
-    public void crowded() {
-        // Behind all that was read before: no set-up among it goes down with its connection.
-        inputs.caller(0, () -> core.crowded(clock()));
+    public void callerLimitNear() {
+        // Queued behind everything that was read before, so that a set-up among it is not lost with
+        // its connection.
+        events.addFromCaller(0, () -> core.crowded(clock()));
     }
 
     @Override
-    public void legUp(long leg) {
-        long stamp = clock();
-        inputs.first(0, () -> core.legUp(stamp, leg));
+    public void exchangeConnected(long connectionId) {
+        long time = clock();
+        events.addPriority(0, () -> core.legUp(time, connectionId));
     }
 
     @Override
-    public void legRead(long leg, long stamp, byte[] bytes) {
-        inputs.first(bytes.length, () -> core.legRead(stamp, leg, bytes));
+    public void exchangeRead(long connectionId, long time, byte[] bytes) {
+        events.addPriority(bytes.length, () -> core.legRead(time, connectionId, bytes));
     }
 
     @Override
-    public void legDown(long leg, Down how) {
-        long stamp = clock();
-        inputs.first(0, () -> core.legDown(stamp, leg, how));
+    public void exchangeDisconnected(long connectionId, Down cause) {
+        long time = clock();
+        events.addPriority(0, () -> core.legDown(time, connectionId, cause));
     }
 
-    // ---- from the core
+    // ---- actions of the core
 
     @Override
-    public void toCaller(long caller, CallerMessage message) {
-        streams.toCaller(caller, message.bytes());
+    public void toCaller(long callerId, CallerMessage message) {
+        connections.sendToCaller(callerId, message.bytes());
     }
 
     @Override
-    public void closeCaller(long caller) {
-        streams.closeCaller(caller);
+    public void closeCaller(long callerId) {
+        connections.closeCaller(callerId);
     }
 
     @Override
-    public void connect(long leg, String address) {
+    public void connect(long connectionId, String address) {
         int colon = address.lastIndexOf(':');
-        streams.connect(
-                leg,
+        connections.connectToExchange(
+                connectionId,
                 new InetSocketAddress(
                         address.substring(0, colon),
                         Integer.parseInt(address.substring(colon + 1))));
     }
 
     @Override
-    public void toLeg(long leg, SipMessage message) {
-        streams.toLeg(leg, message.bytes());
+    public void toLeg(long connectionId, SipMessage message) {
+        connections.sendToExchange(connectionId, message.bytes());
     }
 
     @Override
-    public void closeLeg(long leg) {
-        streams.closeLeg(leg);
+    public void closeLeg(long connectionId) {
+        connections.closeExchange(connectionId);
     }
 
     @Override
     public void toPeers(byte[] body) {
-        if (peers != null) {
-            peers.send(body);
+        if (peerChannel != null) {
+            peerChannel.send(body);
         }
     }
 
     @Override
     public void log(String event, String session, String detail) {
-        log.line(clock(), event, session, detail);
+        log.log(clock(), event, session, detail);
     }
 
     @Override
     public void deaf() {
-        streams.deaf();
+        connections.stopAccepting();
     }
 
     @Override
     public void end() {
-        over = true;
+        ended = true;
     }
 }
--- a/src/main/java/coralcove/platform/trial/Trial.java
+++ b/src/main/java/coralcove/platform/trial/Trial.java
@@ -21,41 +21,51 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One session router on loopback against a stand-in exchange, a stand-in bulletin and a caller:
- * whether sessions get through on this machine. The build plays it once, so that the JVM keeps the
- * classes it loads and a router starts sooner.
+ * Runs one session router on loopback between a stub exchange, a stub discovery service and a
+ * caller, and counts the sessions that get through on this machine. The build runs it once to
+ * archive the classes that it loads, which shortens a router's start-up time.
  */
 public final class Trial {
-    /** Milliseconds for the whole of it, and for one message. */
-    private static final long LONGEST = 20_000;
+    /** Time allowed for the router's start and for its end. */
+    private static final long TIMEOUT_MS = 20_000;
+
+    /** Time allowed for one message to the caller, and the caller's wait for an answer. */
+    private static final int MESSAGE_TIMEOUT_MS = 3_000;
 
-    private static final int ONE_MESSAGE = 3_000;
     private static final String SDP =
             "0123456789abcdef\r\nc=IN IP4 127.0.0.1\r\nm=audio 31000 RTP/AVP 0\r\n";
 
-    /** What it came to. */
+    /**
+     * Counts of sessions: those attempted, those that were established, and those that the router
+     * released.
+     */
     public record Result(int asked, int stood, int released) {}
 
     private Trial() {}
 
+    /**
+     * Starts a router, sends the sessions one after another, and drains the router.
+     *
+     * @throws IOException if the router does not answer in time or sends a malformed message
+     */
     public static Result run(int sessions) throws IOException, BadConfig, InterruptedException {
-        InetAddress here = InetAddress.getLoopbackAddress();
+        InetAddress loopback = InetAddress.getLoopbackAddress();
         Path file = Files.createTempFile("trial", ".json");
-        try (ServerSocket exchange = new ServerSocket(0, 50, here);
-                ServerSocket bulletin = new ServerSocket(0, 50, here)) {
-            int port = freePort(here);
+        try (ServerSocket exchange = new ServerSocket(0, 50, loopback);
+                ServerSocket discovery = new ServerSocket(0, 50, loopback)) {
+            int port = freePort(loopback);
             Files.writeString(
-                    file, configuration(port, exchange.getLocalPort(), bulletin.getLocalPort()));
-            start("exchange", () -> accept(exchange, Trial::exchange));
-            start("list", () -> accept(bulletin, Trial::bulletin));
-            Serve serve = Serve.of(file);
-            Thread router = start("router", serve::serve);
+                    file, configuration(port, exchange.getLocalPort(), discovery.getLocalPort()));
+            start("exchange", () -> accept(exchange, Trial::serveExchange));
+            start("list", () -> accept(discovery, Trial::serveDiscovery));
+            Serve server = Serve.fromFile(file);
+            Thread serverThread = start("router", server::serve);
             Result result;
             try {
-                result = caller(port, sessions);
+                result = runCaller(port, sessions);
             } finally {
-                serve.drain();
-                router.join(LONGEST);
+                server.drain();
+                serverThread.join(TIMEOUT_MS);
             }
             return result;
         } finally {
@@ -63,22 +73,22 @@
         }
     }
 
-    private interface Act {
+    private interface ThrowingRunnable {
         void run() throws Exception;
     }
 
-    private interface Talk {
-        void with(Socket socket) throws Exception;
+    private interface ConnectionHandler {
+        void handle(Socket socket) throws Exception;
     }
 
-    private static Thread start(String name, Act act) {
+    private static Thread start(String name, ThrowingRunnable action) {
         Thread thread =
                 new Thread(
                         () -> {
                             try {
-                                act.run();
+                                action.run();
                             } catch (Exception e) {
-                                // A stand-in's socket was closed under it: that is its end.
+                                // The stub's socket has been closed: it ends.
                                 Thread.currentThread().interrupt();
                             }
                         },
@@ -88,23 +98,26 @@
         return thread;
     }
 
-    private static int freePort(InetAddress here) throws IOException {
-        try (ServerSocket free = new ServerSocket(0, 1, here)) {
-            return free.getLocalPort();
+    private static int freePort(InetAddress loopback) throws IOException {
+        try (ServerSocket probe = new ServerSocket(0, 1, loopback)) {
+            return probe.getLocalPort();
         }
     }
 
-    private static void accept(ServerSocket server, Talk talk) throws IOException {
+    private static void accept(ServerSocket server, ConnectionHandler handler) throws IOException {
         while (true) {
             Socket socket = server.accept();
-            start("talk", () -> talk.with(socket));
+            start("talk", () -> handler.handle(socket));
         }
     }
 
-    /** Answers each INVITE with its own description and releases the call a little later. */
-    private static void exchange(Socket socket) throws IOException, BadMessage {
+    /**
+     * Stub exchange: answers each INVITE with the session description that it carried, and releases
+     * the call at the ACK.
+     */
+    private static void serveExchange(Socket socket) throws IOException, BadMessage {
         OutputStream out = socket.getOutputStream();
-        send(out, state());
+        send(out, linkStateReport());
         StreamFramer framer = new StreamFramer();
         byte[] buffer = new byte[4096];
         for (int count = socket.getInputStream().read(buffer);
@@ -114,9 +127,9 @@
                     buffer,
                     0,
                     count,
-                    whole -> {
+                    messageBytes -> {
                         try {
-                            SipMessage message = SipParser.parseBare(whole);
+                            SipMessage message = SipParser.parseBare(messageBytes);
                             if (message.method().equals("INVITE")) {
                                 send(
                                         out,
@@ -124,7 +137,7 @@
                                                 .body("application/sdp", message.body()));
                             } else if (message.method().equals("ACK")) {
                                 send(out, LegMessages.bye(LegMessages.call(message), 16));
-                                send(out, state());
+                                send(out, linkStateReport());
                             }
                         } catch (BadMessage | IOException e) {
                             throw new IllegalStateException(e);
@@ -133,7 +146,7 @@
         }
     }
 
-    private static SipMessage state() {
+    private static SipMessage linkStateReport() {
         return SipMessage.request("NOTIFY", "sip:group@net")
                 .add("Call-ID", "0")
                 .add("CSeq", "1 NOTIFY")
@@ -145,7 +158,8 @@
         out.flush();
     }
 
-    private static void bulletin(Socket socket) throws IOException, InterruptedException {
+    /** Stub discovery service: answers each poll with no changes after 200 ms. */
+    private static void serveDiscovery(Socket socket) throws IOException, InterruptedException {
         while (true) {
             StringBuilder request = new StringBuilder();
             while (request.indexOf("\r\n\r\n") < 0) {
@@ -156,28 +170,30 @@
                 request.append((char) next);
             }
             TimeUnit.MILLISECONDS.sleep(200);
-            String text = "{\"no\":1,\"items\":[]}";
+            String body = "{\"no\":1,\"items\":[]}";
             socket.getOutputStream()
                     .write(
                             ("HTTP/1.1 200 OK\r\nContent-Length: "
-                                            + text.length()
+                                            + body.length()
                                             + "\r\n\r\n"
-                                            + text)
+                                            + body)
                                     .getBytes(StandardCharsets.US_ASCII));
         }
     }
 
-    private static Result caller(int port, int sessions) throws IOException, InterruptedException {
+    private static Result runCaller(int port, int sessions)
+            throws IOException, InterruptedException {
         try (Socket socket = connect(port)) {
-            socket.setSoTimeout(ONE_MESSAGE);
-            int[] seen = new int[2];
+            socket.setSoTimeout(MESSAGE_TIMEOUT_MS);
+            // Number of sessions established, number of sessions released.
+            int[] counts = new int[2];
             CallerFramer framer = new CallerFramer();
             for (int test = 1;
-                    await(
+                    sendAndAwaitEnd(
                                     socket,
                                     framer,
                                     CallerMessage.withCause(CallerMessage.TEST, test, 0),
-                                    seen)
+                                    counts)
                             != 1; ) {
                 TimeUnit.MILLISECONDS.sleep(20);
                 test++;
@@ -186,23 +202,23 @@
                 CallerMessage setUp =
                         CallerMessage.of(CallerMessage.SET_UP, call)
                                 .add(CallerMessage.SERVICE, "trial")
-                                .add(CallerMessage.WAIT, Integer.toString(ONE_MESSAGE))
+                                .add(CallerMessage.WAIT, Integer.toString(MESSAGE_TIMEOUT_MS))
                                 .add(CallerMessage.NUMBER, LegMessages.callId(call))
                                 .add(CallerMessage.FIGURES, "dest:1;width:1;via:-1")
                                 .add(CallerMessage.DESCRIPTION, SDP);
-                await(socket, framer, setUp, seen);
+                sendAndAwaitEnd(socket, framer, setUp, counts);
             }
-            return new Result(sessions, seen[0], seen[1]);
+            return new Result(sessions, counts[0], counts[1]);
         }
     }
 
     private static Socket connect(int port) throws IOException, InterruptedException {
-        long until = System.nanoTime() + LONGEST * 1_000_000;
+        long deadlineNanos = System.nanoTime() + TIMEOUT_MS * 1_000_000;
         while (true) {
             try {
                 return new Socket(InetAddress.getLoopbackAddress(), port);
             } catch (IOException e) {
-                if (System.nanoTime() > until) {
+                if (System.nanoTime() > deadlineNanos) {
                     throw e;
                 }
                 TimeUnit.MILLISECONDS.sleep(5);
@@ -210,13 +226,19 @@
         }
     }
 
-    /** Sends one message and reads until its call has come to its end; the cause, or 0. */
-    private static int await(Socket socket, CallerFramer framer, CallerMessage message, int[] seen)
+    /**
+     * Sends a message and reads until its call has been released or its test answered, counting the
+     * answers and releases.
+     *
+     * @return the cause in the last message, or 0 if it has none
+     */
+    private static int sendAndAwaitEnd(
+            Socket socket, CallerFramer framer, CallerMessage message, int[] counts)
             throws IOException {
         socket.getOutputStream().write(message.bytes());
-        int[] last = {-1};
+        int[] cause = {-1};
         byte[] buffer = new byte[4096];
-        while (last[0] < 0) {
+        while (cause[0] < 0) {
             int count = socket.getInputStream().read(buffer);
             if (count < 0) {
                 throw new IOException("the router closed the caller's connection");
@@ -224,32 +246,39 @@
             try {
                 framer.take(
                         java.util.Arrays.copyOf(buffer, count),
-                        read -> {
-                            seen[0] += read.type() == CallerMessage.ANSWER ? 1 : 0;
-                            seen[1] += read.type() == CallerMessage.RELEASE ? 1 : 0;
-                            last[0] = read.type() == CallerMessage.ANSWER ? last[0] : read.cause(0);
+                        received -> {
+                            counts[0] += received.type() == CallerMessage.ANSWER ? 1 : 0;
+                            counts[1] += received.type() == CallerMessage.RELEASE ? 1 : 0;
+                            cause[0] =
+                                    received.type() == CallerMessage.ANSWER
+                                            ? cause[0]
+                                            : received.cause(0);
                         });
             } catch (BadCallerMessage e) {
-                throw new IOException("the router sent what is no message: " + e.getMessage());
+                throw new IOException("the router sent a malformed message: " + e.getMessage());
             }
         }
-        return last[0];
+        return cause[0];
     }
 
-    private static String configuration(int listen, int exchange, int bulletin) {
+    private static String configuration(int listen, int exchange, int discovery) {
         return ("{'name':'trial','listen':'127.0.0.1:"
                         + listen
                         + "','seed':'1','limits':{'sockets':256},"
                         + "'bulletin':'127.0.0.1:"
-                        + bulletin
+                        + discovery
                         + "','known':{'no':1,'items':[{'no':1,'roster':{'version':1,'full':true,"
                         + "'servers':[{'id':'s-1','addr':'127.0.0.1:"
                         + exchange
                         + "','cell':1,'state':'in_service'}]}}]},"
-                        + "'settings':{'balancers':2,'classes':[{'name':'trial','aim':1000000000,'credit':1},"
-                        + "{'name':'other','aim':1000000000,'credit':2}],'contract':{'fall_multiple':3,"
-                        + "'overload_for':1000000000,'cold_from':0.3,'warm_up':1000000000},'family_info':{'call_length':[10000000000,"
-                        + "10000000000],'class_width':[1,1],'layout':'mesh','release_guard':100000000,'this_node':0},"
+                        + "'settings':{'balancers':2,"
+                        + "'classes':[{'name':'trial','aim':1000000000,'credit':1},"
+                        + "{'name':'other','aim':1000000000,'credit':2}],"
+                        + "'contract':{'fall_multiple':3,'overload_for':1000000000,"
+                        + "'cold_from':0.3,'warm_up':1000000000},"
+                        + "'family_info':{'call_length':[10000000000,10000000000],"
+                        + "'class_width':[1,1],'layout':'mesh',"
+                        + "'release_guard':100000000,'this_node':0},"
                         + "'limits':{'try_limit':4},'report':{'columns':['free','size']}}}")
                 .replace('\'', '"');
     }
