--- a/src/main/java/coralcove/config/BadConfig.java
+++ b/src/main/java/coralcove/config/BadConfig.java
@@ -1,6 +1,6 @@
 package coralcove.config;
 
-/** A settings file that cannot be used: the message names file, line, key and reason. */
+/** Thrown for an unusable settings file; the message names the file, line, key and reason. */
 public final class BadConfig extends Exception {
     private static final long serialVersionUID = 1;
 
--- a/src/main/java/coralcove/config/Hops.java
+++ b/src/main/java/coralcove/config/Hops.java
@@ -5,16 +5,16 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Addresses in settings files: "udp:127.0.0.1:5060" or "tcp:127.0.0.1:5060". */
+/** Reads addresses in settings files, such as "udp:127.0.0.1:5060" or "tcp:127.0.0.1:5060". */
 public final class Hops {
-    /** Addresses in one list at most. */
-    private static final int MOST = 8;
+    /** Largest number of addresses in one list. */
+    private static final int MAX_ADDRESSES = 8;
 
     private Hops() {}
 
     /**
-     * Reads an address that has been checked, as {@link Hop#toString} writes it; the colon of the
-     * port is the last.
+     * Parses an address without checks, in the format of {@link Hop#toString}. The last colon
+     * precedes the port, as an IPv6 host contains colons too.
      */
     public static Hop of(String text) {
         int colon = text.lastIndexOf(':');
@@ -24,26 +24,32 @@
                 Integer.parseInt(text.substring(colon + 1)));
     }
 
-    /** One address, or several in a list under the same key. */
+    /**
+     * Reads a key that holds one address or an array of addresses.
+     *
+     * @throws BadConfig if an address is invalid or repeated, or there are none or too many
+     */
     public static List<Hop> readAll(Toml.Table table, String key) throws BadConfig {
         if (table.node(key) == null || !table.node(key).isArray()) {
             return List.of(read(table, key));
         }
         List<Hop> hops = new ArrayList<>();
-        for (JsonNode each : table.node(key)) {
-            Hop hop = read(table, key, each.asText());
+        for (JsonNode element : table.node(key)) {
+            Hop hop = read(table, key, element.asText());
             if (hops.contains(hop)) {
                 throw table.bad(key, "has \"" + hop + "\" twice");
             }
             hops.add(hop);
         }
-        if (hops.isEmpty() || hops.size() > MOST) {
+        if (hops.isEmpty() || hops.size() > MAX_ADDRESSES) {
             throw table.bad(
-                    key, "has " + hops.size() + " addresses; 1 to " + MOST + " are possible");
+                    key,
+                    "has " + hops.size() + " addresses; 1 to " + MAX_ADDRESSES + " are possible");
         }
         return List.copyOf(hops);
     }
 
+    /** Reads a key that holds one address. */
     public static Hop read(Toml.Table table, String key) throws BadConfig {
         return read(table, key, table.text(key));
     }
@@ -64,7 +70,7 @@
                 return new Hop(tcp, text.substring(4, colon), port);
             }
         } catch (NumberFormatException e) {
-            // Told below.
+            // Reported below.
         }
         throw table.bad(
                 key, "\"" + text.substring(colon + 1) + "\" is no port between 1 and 65535");
--- a/src/main/java/coralcove/config/ServiceTable.java
+++ b/src/main/java/coralcove/config/ServiceTable.java
@@ -4,9 +4,17 @@
 import java.util.List;
 
 /**
- * The {@code [[service]]} tables of a day, a router and an exchange, read in one place, so that
- * what one program refuses no other takes. Times in µs; {@code share} is the part of all sessions,
- * 0 where a program has no use for it.
+ * One {@code [[service]]} table of a settings file. Scenarios, routers and exchanges all read it
+ * here, so that they accept the same values.
+ *
+ * @param name name of the service
+ * @param target post-dial target in µs
+ * @param limit timer limit in µs
+ * @param value value of a session that is established within the target
+ * @param lateValue factor of the value, from 0 to 1, for a session established after the target
+ * @param width number of circuits of a session
+ * @param hold mean hold time in µs
+ * @param share weight among all sessions, or 0 if the program does not use it
  */
 public record ServiceTable(
         String name,
@@ -18,26 +26,29 @@
         long hold,
         double share) {
     /**
-     * All services of a file, in its order; {@code shares} tells whether each must state its share.
+     * Reads all services of a file, in file order.
+     *
+     * @param shares whether each table must contain its share
+     * @throws BadConfig if there is no service or a value is invalid
      */
     public static List<ServiceTable> read(Toml toml, boolean shares) throws BadConfig {
         List<ServiceTable> services = new ArrayList<>();
-        for (Toml.Table each : toml.list("service")) {
-            long target = each.millis("target_ms", 1, 60_000);
-            long limit = each.millis("limit_ms", 1, 600_000);
+        for (Toml.Table table : toml.list("service")) {
+            long target = table.millis("target_ms", 1, 60_000);
+            long limit = table.millis("limit_ms", 1, 600_000);
             if (limit < target) {
-                throw each.bad("limit_ms", "is shorter than target_ms");
+                throw table.bad("limit_ms", "is shorter than target_ms");
             }
             services.add(
                     new ServiceTable(
-                            each.text("name"),
+                            table.text("name"),
                             target,
                             limit,
-                            each.number("value", 0, 1e6),
-                            each.number("late_value", 0, 1, 0),
-                            each.whole("width", 1, 64, 1),
-                            each.seconds("hold_s", 0.001, 3600),
-                            shares ? each.number("share", 0, 1e6) : 0));
+                            table.number("value", 0, 1e6),
+                            table.number("late_value", 0, 1, 0),
+                            table.whole("width", 1, 64, 1),
+                            table.seconds("hold_s", 0.001, 3600),
+                            shares ? table.number("share", 0, 1e6) : 0));
         }
         if (services.isEmpty()) {
             throw toml.table("service").bad("name", "at least one [[service]] is needed");
--- a/src/main/java/coralcove/config/Starts.java
+++ b/src/main/java/coralcove/config/Starts.java
@@ -3,18 +3,20 @@
 import java.security.SecureRandom;
 
 /**
- * What tells one start of a program from every other, and is guessed by nobody: ids of calls and
- * dialogs grow from it.
+ * Generates tags that identify one start of a program. They are unpredictable, because ids of calls
+ * and dialogs are derived from them.
  */
 public final class Starts {
     /**
-     * Bits: enough that a stranger's guesses come to nothing (RFC 3261 19.3 asks for 32 at least).
+     * Number of random bits: enough that an attacker cannot guess a tag (RFC 3261 19.3 requires at
+     * least 32).
      */
-    private static final int BITS = 80;
+    private static final int TAG_BITS = 80;
 
     private Starts() {}
 
+    /** Returns a new random tag of lower-case letters and digits. */
     public static String tag() {
-        return new java.math.BigInteger(BITS, new SecureRandom()).toString(36);
+        return new java.math.BigInteger(TAG_BITS, new SecureRandom()).toString(36);
     }
 }
--- a/src/main/java/coralcove/config/Toml.java
+++ b/src/main/java/coralcove/config/Toml.java
@@ -15,35 +15,37 @@
 import java.util.Set;
 
 /**
- * A TOML settings file, read with checks: each value is asked for with its bounds, a bad one is
- * told with file, line, key and reason, and so is a key that nobody asked for.
+ * A TOML settings file with checked access. Each value is requested with its bounds; an invalid one
+ * is reported with file, line, key and reason, and so is a key that no caller requested.
  */
 public final class Toml {
-    /** One table of the file. */
+    /** A table of the file. All bounds are inclusive. */
     public final class Table {
         private final String path;
         private final JsonNode node;
-        private final Set<String> asked;
+        private final Set<String> requestedKeys;
 
         private Table(String path, JsonNode node) {
             this.path = path;
             this.node = node;
-            asked = askedIn.computeIfAbsent(path, p -> new HashSet<>());
+            requestedKeys = requestedKeysByTable.computeIfAbsent(path, newPath -> new HashSet<>());
             tables.add(this);
         }
 
+        /** Returns an exception for a key of this table, with its line. */
         public BadConfig bad(String key, String reason) {
             return new BadConfig(
-                    file + ":" + line(path, key) + ": " + path + "." + key + ": " + reason);
+                    file + ":" + lineOf(path, key) + ": " + path + "." + key + ": " + reason);
         }
 
+        /** Returns whether the key is present, and counts it as requested. */
         public boolean has(String key) {
-            asked.add(key);
+            requestedKeys.add(key);
             return node.has(key);
         }
 
-        private JsonNode need(String key) throws BadConfig {
-            asked.add(key);
+        private JsonNode require(String key) throws BadConfig {
+            requestedKeys.add(key);
             JsonNode value = node.get(key);
             if (value == null) {
                 throw bad(key, "is missing");
@@ -51,91 +53,110 @@
             return value;
         }
 
-        public double number(String key, double least, double most) throws BadConfig {
-            JsonNode value = need(key);
+        /**
+         * Returns a required number.
+         *
+         * @throws BadConfig if it is missing, not a number or out of bounds
+         */
+        public double number(String key, double min, double max) throws BadConfig {
+            JsonNode value = require(key);
             if (!value.isNumber()) {
                 throw bad(key, "is no number: " + value);
             }
-            double found = value.doubleValue();
-            if (!(found >= least && found <= most)) {
-                throw bad(key, found + " is not between " + least + " and " + most);
+            double number = value.doubleValue();
+            if (!(number >= min && number <= max)) {
+                throw bad(key, number + " is not between " + min + " and " + max);
             }
-            return found;
+            return number;
         }
 
-        public double number(String key, double least, double most, double otherwise)
+        /** Returns a number, or the default if the key is missing. */
+        public double number(String key, double min, double max, double defaultValue)
                 throws BadConfig {
-            return has(key) ? number(key, least, most) : otherwise;
+            return has(key) ? number(key, min, max) : defaultValue;
         }
 
-        public int whole(String key, int least, int most) throws BadConfig {
-            double found = number(key, least, most);
-            if (found != Math.rint(found)) {
-                throw bad(key, found + " is no whole number");
+        /**
+         * Returns a required integer.
+         *
+         * @throws BadConfig if it is missing, not an integer or out of bounds
+         */
+        public int whole(String key, int min, int max) throws BadConfig {
+            double number = number(key, min, max);
+            if (number != Math.rint(number)) {
+                throw bad(key, number + " is no whole number");
             }
-            return (int) found;
+            return (int) number;
         }
 
-        public int whole(String key, int least, int most, int otherwise) throws BadConfig {
-            return has(key) ? whole(key, least, most) : otherwise;
+        /** Returns an integer, or the default if the key is missing. */
+        public int whole(String key, int min, int max, int defaultValue) throws BadConfig {
+            return has(key) ? whole(key, min, max) : defaultValue;
         }
 
-        /** Milliseconds in the file, µs here. */
-        public long millis(String key, double least, double most) throws BadConfig {
-            return Math.round(1000 * number(key, least, most));
+        /** Returns a required time in µs; the file and the bounds are in ms. */
+        public long millis(String key, double min, double max) throws BadConfig {
+            return Math.round(1000 * number(key, min, max));
         }
 
-        public long millis(String key, double least, double most, double otherwise)
+        /** Returns a time in µs; the file, the bounds and the default are in ms. */
+        public long millis(String key, double min, double max, double defaultValue)
                 throws BadConfig {
-            return Math.round(1000 * number(key, least, most, otherwise));
+            return Math.round(1000 * number(key, min, max, defaultValue));
         }
 
-        /** Seconds in the file, µs here. */
-        public long seconds(String key, double least, double most) throws BadConfig {
-            return Math.round(1e6 * number(key, least, most));
+        /** Returns a required time in µs; the file and the bounds are in seconds. */
+        public long seconds(String key, double min, double max) throws BadConfig {
+            return Math.round(1e6 * number(key, min, max));
         }
 
-        public long seconds(String key, double least, double most, double otherwise)
+        /** Returns a time in µs; the file, the bounds and the default are in seconds. */
+        public long seconds(String key, double min, double max, double defaultValue)
                 throws BadConfig {
-            return Math.round(1e6 * number(key, least, most, otherwise));
+            return Math.round(1e6 * number(key, min, max, defaultValue));
         }
 
+        /** Returns a required string. */
         public String text(String key) throws BadConfig {
-            JsonNode value = need(key);
+            JsonNode value = require(key);
             if (!value.isTextual()) {
                 throw bad(key, "is no text: " + value);
             }
             return value.textValue();
         }
 
-        public String text(String key, String otherwise) throws BadConfig {
-            return has(key) ? text(key) : otherwise;
+        /** Returns a string, or the default if the key is missing. */
+        public String text(String key, String defaultValue) throws BadConfig {
+            return has(key) ? text(key) : defaultValue;
         }
 
-        public String oneOf(String key, List<String> allowed, String otherwise) throws BadConfig {
-            String found = text(key, otherwise);
-            if (!allowed.contains(found)) {
-                throw bad(key, "\"" + found + "\" is none of " + String.join(", ", allowed));
+        /** Returns a string that must be one of the allowed ones. */
+        public String oneOf(String key, List<String> allowed, String defaultValue)
+                throws BadConfig {
+            String value = text(key, defaultValue);
+            if (!allowed.contains(value)) {
+                throw bad(key, "\"" + value + "\" is none of " + String.join(", ", allowed));
             }
-            return found;
+            return value;
         }
 
-        public boolean flag(String key, boolean otherwise) throws BadConfig {
+        /** Returns a boolean, or the default if the key is missing. */
+        public boolean flag(String key, boolean defaultValue) throws BadConfig {
             if (!has(key)) {
-                return otherwise;
+                return defaultValue;
             }
-            JsonNode value = need(key);
+            JsonNode value = require(key);
             if (!value.isBoolean()) {
                 throw bad(key, "is neither true nor false: " + value);
             }
             return value.booleanValue();
         }
 
-        /** A list's entries; none where it is absent. */
+        /** Returns the elements of an array, none if the key is missing. */
         private List<JsonNode> list(String key) throws BadConfig {
             List<JsonNode> entries = new ArrayList<>();
             if (has(key)) {
-                JsonNode value = need(key);
+                JsonNode value = require(key);
                 if (!value.isArray()) {
                     throw bad(key, "is no list: " + value);
                 }
@@ -144,47 +165,48 @@
             return entries;
         }
 
-        /** A list of numbers, each within the bounds; empty where it is absent. */
-        public double[] numbers(String key, double least, double most) throws BadConfig {
-            List<JsonNode> value = list(key);
-            double[] found = new double[value.size()];
-            for (int i = 0; i < found.length; i++) {
-                if (!value.get(i).isNumber()
-                        || value.get(i).doubleValue() < least
-                        || value.get(i).doubleValue() > most) {
+        /** Returns an array of numbers, each within the bounds; empty if the key is missing. */
+        public double[] numbers(String key, double min, double max) throws BadConfig {
+            List<JsonNode> elements = list(key);
+            double[] numbers = new double[elements.size()];
+            for (int i = 0; i < numbers.length; i++) {
+                if (!elements.get(i).isNumber()
+                        || elements.get(i).doubleValue() < min
+                        || elements.get(i).doubleValue() > max) {
                     throw bad(
-                            key, value.get(i) + " is no number between " + least + " and " + most);
+                            key, elements.get(i) + " is no number between " + min + " and " + max);
                 }
-                found[i] = value.get(i).doubleValue();
+                numbers[i] = elements.get(i).doubleValue();
             }
-            return found;
+            return numbers;
         }
 
-        /** The value as it stands, or null; whoever asks checks it. */
+        /** Returns the unchecked value, or null if the key is missing. */
         public JsonNode node(String key) {
             return has(key) ? node.get(key) : null;
         }
 
-        /** The names of all keys, in the order of the file. */
+        /** Returns the names of all keys, in file order. */
         public List<String> keys() {
             List<String> keys = new ArrayList<>();
             node.fieldNames().forEachRemaining(keys::add);
             return keys;
         }
 
-        public int[] wholes(String key, int least, int most) throws BadConfig {
-            List<JsonNode> value = list(key);
-            int[] found = new int[value.size()];
-            for (int i = 0; i < found.length; i++) {
-                JsonNode each = value.get(i);
-                if (!each.isIntegralNumber()
-                        || each.longValue() < least
-                        || each.longValue() > most) {
-                    throw bad(key, each + " is no whole number between " + least + " and " + most);
+        /** Returns an array of integers, each within the bounds; empty if the key is missing. */
+        public int[] wholes(String key, int min, int max) throws BadConfig {
+            List<JsonNode> elements = list(key);
+            int[] integers = new int[elements.size()];
+            for (int i = 0; i < integers.length; i++) {
+                JsonNode element = elements.get(i);
+                if (!element.isIntegralNumber()
+                        || element.longValue() < min
+                        || element.longValue() > max) {
+                    throw bad(key, element + " is no whole number between " + min + " and " + max);
                 }
-                found[i] = each.intValue();
+                integers[i] = element.intValue();
             }
-            return found;
+            return integers;
         }
     }
 
@@ -192,17 +214,18 @@
     private final JsonNode root;
     private final Map<String, Integer> lines = new HashMap<>();
     private final List<Table> tables = new ArrayList<>();
-    private final Set<String> askedTables = new HashSet<>();
+    private final Set<String> requestedTables = new HashSet<>();
 
-    /** By table: several readers may ask for the same one. */
-    private final Map<String, Set<String>> askedIn = new HashMap<>();
+    /** Requested keys by the path of the table, as several readers may request the same table. */
+    private final Map<String, Set<String>> requestedKeysByTable = new HashMap<>();
 
     private Toml(String file, String text, JsonNode root) {
         this.file = file;
         this.root = root;
-        index(text);
+        indexLines(text);
     }
 
+    /** Reads a file. */
     public static Toml read(Path path) throws BadConfig {
         try {
             return of(path.toString(), Files.readString(path));
@@ -211,6 +234,7 @@
         }
     }
 
+    /** Parses the text of a file; {@code file} is its name in error messages. */
     public static Toml of(String file, String text) throws BadConfig {
         try {
             JsonNode root = new TomlMapper().readTree(text.getBytes(StandardCharsets.UTF_8));
@@ -223,31 +247,32 @@
         }
     }
 
-    /** A file whose values were put together by a program: all mistakes are told with line 1. */
+    /** Wraps values that a program generated; errors in them are reported with line 1. */
     public static Toml of(String file, JsonNode root) {
         return new Toml(file, "", root);
     }
 
-    /** All values as they stand; not to be changed. */
+    /** Returns all values; must not be modified. */
     public JsonNode root() {
         return root;
     }
 
+    /** Returns the name of the file in error messages. */
     public String file() {
         return file;
     }
 
     /**
-     * Notes on which line each key of each table stands; a list's tables are told apart by their
-     * place.
+     * Records the line of each key of each table; the tables of an array are distinguished by their
+     * index.
      */
-    private void index(String text) {
+    private void indexLines(String text) {
         String table = "";
         Map<String, Integer> counts = new HashMap<>();
         int number = 0;
-        for (String raw : text.lines().toList()) {
+        for (String rawLine : text.lines().toList()) {
             number++;
-            String line = raw.strip();
+            String line = rawLine.strip();
             if (line.startsWith("[[")) {
                 String name = line.substring(2, Math.max(2, line.indexOf(']'))).strip();
                 table = name + "[" + (counts.merge(name, 1, Integer::sum) - 1) + "]";
@@ -262,17 +287,17 @@
         }
     }
 
-    private int line(String path, String key) {
-        Integer own = lines.get(path + "." + key);
-        return own != null ? own : lines.getOrDefault(path + ".", 1);
+    private int lineOf(String path, String key) {
+        Integer keyLine = lines.get(path + "." + key);
+        return keyLine != null ? keyLine : lines.getOrDefault(path + ".", 1);
     }
 
-    /** A table of the file; an absent one is empty, so that its missing keys are told. */
+    /** Returns a table; a missing one is empty, so that its missing keys are reported. */
     public Table table(String name) throws BadConfig {
-        askedTables.add(name);
+        requestedTables.add(name);
         JsonNode node = root.get(name);
         if (node != null && !node.isObject()) {
-            throw new BadConfig(file + ":" + line(name, "") + ": " + name + " is no table");
+            throw new BadConfig(file + ":" + lineOf(name, "") + ": " + name + " is no table");
         }
         return new Table(
                 name,
@@ -281,20 +306,22 @@
                         : node);
     }
 
+    /** Returns whether the table or array of tables is present, and counts it as requested. */
     public boolean has(String name) {
-        askedTables.add(name);
+        requestedTables.add(name);
         return root.has(name);
     }
 
+    /** Returns an array of tables, empty if it is missing. */
     public List<Table> list(String name) throws BadConfig {
-        askedTables.add(name);
+        requestedTables.add(name);
         JsonNode node = root.get(name);
-        List<Table> found = new ArrayList<>();
+        List<Table> elements = new ArrayList<>();
         if (node != null && !node.isArray()) {
             throw new BadConfig(
                     file
                             + ":"
-                            + line(name, "")
+                            + lineOf(name, "")
                             + ": "
                             + name
                             + " is no list of tables: write [["
@@ -302,28 +329,32 @@
                             + "]]");
         }
         for (int i = 0; node != null && i < node.size(); i++) {
-            found.add(new Table(name + "[" + i + "]", node.get(i)));
+            elements.add(new Table(name + "[" + i + "]", node.get(i)));
         }
-        return found;
+        return elements;
     }
 
-    /** Called when all has been asked: what is left over is a mistake in the file. */
+    /**
+     * Checks that all keys and tables of the file have been requested. To be called last.
+     *
+     * @throws BadConfig for one that has not been, as it is misspelt or unknown
+     */
     public void nothingElse() throws BadConfig {
-        for (Map.Entry<String, JsonNode> each : root.properties()) {
-            if (!askedTables.contains(each.getKey())) {
+        for (Map.Entry<String, JsonNode> entry : root.properties()) {
+            if (!requestedTables.contains(entry.getKey())) {
                 throw new BadConfig(
                         file
                                 + ":"
-                                + line(each.getKey(), "")
+                                + lineOf(entry.getKey(), "")
                                 + ": "
-                                + each.getKey()
+                                + entry.getKey()
                                 + ": is not known");
             }
         }
         for (Table table : tables) {
-            for (Map.Entry<String, JsonNode> each : table.node.properties()) {
-                if (!table.asked.contains(each.getKey())) {
-                    throw table.bad(each.getKey(), "is not known");
+            for (Map.Entry<String, JsonNode> entry : table.node.properties()) {
+                if (!table.requestedKeys.contains(entry.getKey())) {
+                    throw table.bad(entry.getKey(), "is not known");
                 }
             }
         }
--- a/src/main/java/coralcove/mina/Mina.java
+++ b/src/main/java/coralcove/mina/Mina.java
@@ -3,11 +3,11 @@
 import java.io.IOException;
 import org.apache.mina.core.buffer.IoBuffer;
 
-/** What all drivers on Apache MINA need. */
+/** Helper methods for transports on Apache MINA. */
 public final class Mina {
     private Mina() {}
 
-    /** The bytes that a handler was given as its message. */
+    /** Returns the bytes of a message that a handler received. */
     public static byte[] bytes(Object message) {
         IoBuffer buffer = (IoBuffer) message;
         byte[] bytes = new byte[buffer.remaining()];
@@ -15,7 +15,7 @@
         return bytes;
     }
 
-    /** A port in use, or another reason not to bind, told with the address. */
+    /** Returns an exception for a failed bind, which names the address and the reason. */
     public static IOException cannotListen(String host, int port, Exception cause) {
         return new IOException(
                 "cannot listen on " + host + ":" + port + ": " + cause.getMessage(), cause);
--- a/src/main/java/coralcove/overload/Gate.java
+++ b/src/main/java/coralcove/overload/Gate.java
@@ -1,15 +1,16 @@
 package coralcove.overload;
 
 /**
- * Decides what a router under load looks at first, and what it turns away: answers and releases
- * before news, news before set-ups; set-ups that waited too long, or while the queue has not
- * drained for a while, are turned away at once with a come-back time. Asked like a client library;
- * it has no clock, no queue and no wire of its own.
+ * Priority and admission control of a router under load. Answers and releases are processed before
+ * notifications, and notifications before set-ups. Set-ups that waited too long are rejected at
+ * once with a retry-after delay, and so is a growing share of them while the queueing delay stays
+ * above its target. The class has no clock, queue or wire format of its own; its caller passes in
+ * the times and queue lengths. Not thread-safe.
  */
 public final class Gate {
     /**
-     * What waits, by how much it helps to look at it: an answer or a release frees what a set-up
-     * takes.
+     * Kinds of input, in order of priority: an answer or a release frees what a set-up takes, and
+     * so helps most.
      */
     public enum Kind {
         ANSWER,
@@ -18,77 +19,86 @@
         SET_UP
     }
 
-    /** What becomes of an input that arrives, or whose turn has come. */
+    /** What to do with an input that has arrived or whose turn has come. */
     public enum Verdict {
         TAKE,
         TURN_AWAY,
         DROP
     }
 
-    /** What one kind of input may hold, and what is done past it. */
+    /** Largest number of queued inputs of each kind, and of queued bytes of all kinds. */
     public record Bounds(int answers, int releases, int news, int setUps, long bytes) {}
 
     /**
-     * µs: set-ups that waited this long have lost so much of their target that their caller is
-     * better told.
+     * Queueing delay beyond which a set-up is rejected: it has lost so much of its post-dial target
+     * that a prompt rejection serves its caller better.
      */
-    private static final long LONGEST_WAIT = 250_000;
+    private static final long MAX_WAIT_US = 250_000;
 
-    /** µs: a wait that an idle queue shows at times; below it nothing is held to be overloaded. */
-    private static final long GOOD_WAIT = 20_000;
+    /** Queueing delay that an idle queue shows at times; up to it there is no overload. */
+    private static final long TARGET_WAIT_US = 20_000;
 
     /**
-     * µs: for this long the shortest wait must stay above the good one before set-ups are thinned.
+     * Time for which all queueing delays must stay above the target before set-ups are rejected,
+     * and interval at which the rejected share is adjusted.
      */
-    private static final long PATIENCE = 100_000;
+    private static final long INTERVAL_US = 100_000;
 
-    /**
-     * Share by which the thinning grows or falls with each look that finds it wanting or needless.
-     */
-    private static final double STEP = 0.1;
+    /** Increase of the rejected share per interval of overload; it falls by half as much. */
+    private static final double SHARE_STEP = 0.1;
 
-    /** Share of set-ups turned away at most: some always come through, so that recovery is seen. */
-    private static final double MOST = 0.95;
+    /** Largest rejected share: some set-ups always get through, so that a recovery is noticed. */
+    private static final double MAX_REJECTED_SHARE = 0.95;
 
-    /** µs: the come-back time told at no thinning; it grows in step with the share turned away. */
-    private static final long COME_BACK = 500_000;
+    /** Retry-after delay while no share is rejected; it grows in proportion to the share. */
+    private static final long MIN_RETRY_AFTER_US = 500_000;
 
-    /** Looks at other kinds in a row after which the oldest set-up is looked at all the same. */
-    private static final int STARVED = 200;
+    /** Number of consecutive inputs of other kinds after which the oldest set-up is processed. */
+    private static final int MAX_PASSED_OVER = 200;
 
     private final Bounds bounds;
-    private long sinceBad = -1;
+    private long aboveTargetSince = -1;
     private long lastStep;
-    private double share;
-    private double debt;
+    private double rejectedShare;
+    private double rejectionDebt;
     private int passedOver;
 
+    /** Creates an overload control without load, for queues of these bounds. */
     public Gate(Bounds bounds) {
         this.bounds = bounds;
     }
 
-    /** An input arrives; {@code waiting} of its kind and {@code bytes} of all wait already. */
+    /**
+     * Decides whether an input that arrives is queued.
+     *
+     * @param waiting number of queued inputs of its kind
+     * @param bytes number of queued bytes of all kinds
+     * @return {@link Verdict#TAKE} or {@link Verdict#DROP}
+     */
     public Verdict offer(Kind kind, int waiting, long bytes) {
-        int most =
+        int limit =
                 switch (kind) {
                     case ANSWER -> bounds.answers;
                     case RELEASE -> bounds.releases;
                     case NEWS -> bounds.news;
                     case SET_UP -> bounds.setUps;
                 };
-        // Past the byte bound only what frees something is taken; a lost request is sent again by
-        // its sender.
-        boolean room =
-                waiting < most
+        // Over the byte limit only inputs that free resources are accepted; the sender of a lost
+        // request retransmits it.
+        boolean accepted =
+                waiting < limit
                         && (bytes < bounds.bytes || kind == Kind.ANSWER || kind == Kind.RELEASE);
-        return room ? Verdict.TAKE : Verdict.DROP;
+        return accepted ? Verdict.TAKE : Verdict.DROP;
     }
 
-    /** Which kind is looked at next, given how many of each wait; null where none does. */
+    /**
+     * Returns the kind of input to process next, given the number of queued inputs of each kind, or
+     * null if all queues are empty.
+     */
     public Kind next(int answers, int releases, int news, int setUps) {
-        boolean starved = setUps > 0 && passedOver >= STARVED;
+        boolean setUpsStarved = setUps > 0 && passedOver >= MAX_PASSED_OVER;
         Kind kind =
-                starved
+                setUpsStarved
                         ? Kind.SET_UP
                         : answers > 0
                                 ? Kind.ANSWER
@@ -100,42 +110,50 @@
     }
 
     /**
-     * The turn of a set-up that has waited {@code waited} µs has come; {@code repeat}s were decided
-     * on before.
+     * Decides whether a set-up whose turn has come is processed.
+     *
+     * @param now current time in µs
+     * @param waited queueing delay of the set-up in µs
+     * @param repeat whether the set-up is a retransmission of one that was decided on before; it is
+     *     always accepted
+     * @return {@link Verdict#TAKE} or {@link Verdict#TURN_AWAY}
      */
     public Verdict look(long now, long waited, boolean repeat) {
-        if (waited <= GOOD_WAIT) {
-            sinceBad = -1;
-        } else if (sinceBad < 0) {
-            sinceBad = now;
+        if (waited <= TARGET_WAIT_US) {
+            aboveTargetSince = -1;
+        } else if (aboveTargetSince < 0) {
+            aboveTargetSince = now;
         }
-        if (now - lastStep >= PATIENCE) {
+        if (now - lastStep >= INTERVAL_US) {
             lastStep = now;
-            boolean bad = sinceBad >= 0 && now - sinceBad >= PATIENCE;
-            share = bad ? Math.min(MOST, share + STEP) : Math.max(0, share - STEP / 2);
+            boolean overloaded = aboveTargetSince >= 0 && now - aboveTargetSince >= INTERVAL_US;
+            rejectedShare =
+                    overloaded
+                            ? Math.min(MAX_REJECTED_SHARE, rejectedShare + SHARE_STEP)
+                            : Math.max(0, rejectedShare - SHARE_STEP / 2);
         }
         if (repeat) {
             return Verdict.TAKE;
         }
-        if (waited > LONGEST_WAIT) {
+        if (waited > MAX_WAIT_US) {
             return Verdict.TURN_AWAY;
         }
-        // Evenly thinned: a share of a half turns every second away, without chance.
-        debt += share;
-        if (debt >= 1) {
-            debt -= 1;
+        // Rejects evenly and without randomness: a share of one half rejects every second set-up.
+        rejectionDebt += rejectedShare;
+        if (rejectionDebt >= 1) {
+            rejectionDebt -= 1;
             return Verdict.TURN_AWAY;
         }
         return Verdict.TAKE;
     }
 
-    /** The come-back time for what is turned away now. */
+    /** Returns the retry-after delay in µs for a set-up that is rejected now. */
     public long comeBack() {
-        return Math.round(COME_BACK * (1 + 3 * share));
+        return Math.round(MIN_RETRY_AFTER_US * (1 + 3 * rejectedShare));
     }
 
-    /** The share of set-ups turned away now. */
-    public double share() {
-        return share;
+    /** Returns the share of set-ups that is rejected now, from 0 to 1. */
+    public double rejectedShare() {
+        return rejectedShare;
     }
 }
--- a/src/main/java/coralcove/portability/Locators.java
+++ b/src/main/java/coralcove/portability/Locators.java
@@ -5,22 +5,31 @@
 import coralcove.edge.LocatorSettings;
 import coralcove.network.Network;
 
-/**
- * Joins a core and the resolver it finds routers by: what is answered comes back on the core's own
- * thread.
- */
+/** Connects the core of a router to the DNS resolver with which it locates other routers. */
 public final class Locators {
     private Locators() {}
 
+    /**
+     * Lets a core locate routers by DNS from now on. The results are passed to the core on its own
+     * thread.
+     */
     public static void join(
-            Network network, String node, Locating core, LocatorSettings of, Questions questions) {
+            Network network,
+            String node,
+            Locating core,
+            LocatorSettings settings,
+            Questions questions) {
         network.on(
                 node,
                 (now, out) ->
                         core.locate(
                                 now,
-                                of,
+                                settings,
                                 questions,
-                                result -> network.on(node, (at, o) -> core.found(at, result, o))));
+                                result ->
+                                        network.on(
+                                                node,
+                                                (foundAt, foundOut) ->
+                                                        core.found(foundAt, result, foundOut))));
     }
 }
--- a/src/main/java/coralcove/portability/Portability.java
+++ b/src/main/java/coralcove/portability/Portability.java
@@ -21,28 +21,41 @@
 import java.util.SplittableRandom;
 import java.util.function.Supplier;
 
-/** A portability server and each router's way to it: on sockets, or in a network's virtual time. */
+/**
+ * A number portability server with a client for each router, on sockets or in the virtual time of a
+ * simulated network.
+ */
 public interface Portability extends AutoCloseable {
-    /** Part of a name that says it is a number's (RFC 6116 section 3.2). */
+    /** Domain suffix of a number in ENUM (RFC 6116 section 3.2). */
     String SUFFIX = "e164.arpa";
 
-    /** µs that one try may take; twice that is within what a session waits. */
+    /** Time-out of one attempt in µs; two attempts fit into the time that a session waits. */
     long TRY_FOR = 120_000;
 
+    /** Number of attempts for a query. */
     int TRIES = 2;
+
+    /** Number of local ports of a resolver. */
     int SOCKETS = 16;
+
+    /** Largest number of outstanding queries of a resolver. */
     int MOST_OUT = 2000;
 
-    /** The way of the router that runs as {@code node}. */
+    /** Returns the portability client of the router that runs as {@code node}. */
     NumberDesk.Asker asker(String node, Supplier<EdgeCore> core);
 
-    void misbehave(DnsStandIn.Fault how, long by);
+    /**
+     * Makes the server show a fault from now on, or answer correctly again.
+     *
+     * @param delay delay of each answer in µs if the fault is SLOW
+     */
+    void misbehave(DnsStandIn.Fault fault, long delay);
 
     @Override
     void close();
 
-    /** Tells a router how its question ended. */
-    private static void tell(
+    /** Reports the result of a query to the router's core, on its own thread. */
+    private static void report(
             Network network,
             String node,
             Supplier<EdgeCore> core,
@@ -50,7 +63,7 @@
             Resolver.Result result) {
         Porting.Outcome outcome = Porting.Outcome.FAILED;
         long routing = 0;
-        long life = 0;
+        long lifetime = 0;
         if (result.answer() != null) {
             try {
                 Enum.Ported ported = Enum.ported(result.answer(), Digits.text(number));
@@ -59,18 +72,28 @@
                                 ? Porting.Outcome.NOT_MOVED
                                 : Porting.Outcome.MOVED;
                 routing = Digits.pack(ported.routing());
-                life = ported.life() * 1_000_000;
+                lifetime = ported.life() * 1_000_000;
             } catch (BadDns e) {
                 outcome = Porting.Outcome.FAILED;
             }
         }
-        Porting.Outcome ended = outcome;
-        long found = routing;
-        long lives = life;
-        network.on(node, (now, out) -> core.get().ported(now, number, ended, found, lives, out));
+        Porting.Outcome finalOutcome = outcome;
+        long finalRouting = routing;
+        long finalLifetime = lifetime;
+        network.on(
+                node,
+                (now, out) ->
+                        core.get()
+                                .ported(
+                                        now,
+                                        number,
+                                        finalOutcome,
+                                        finalRouting,
+                                        finalLifetime,
+                                        out));
     }
 
-    /** A router's way over this resolver, which its owner closes. */
+    /** Returns a portability client that uses this resolver; the caller closes the resolver. */
     static NumberDesk.Asker over(
             Questions client,
             String suffix,
@@ -81,13 +104,17 @@
                 client.ask(
                         Enum.name(Digits.text(number), suffix),
                         DnsMessage.NAPTR,
-                        result -> tell(network, node, core, number, result));
+                        result -> report(network, node, core, number, result));
     }
 
-    /** A stand-in server on loopback sockets, and a resolver for each router. */
+    /**
+     * Starts a stub server on sockets, with a resolver for each router.
+     *
+     * @throws IOException if the address cannot be bound
+     */
     static Portability live(Network network, DnsStandIn server, String host, int port)
             throws IOException {
-        DnsServer running = new DnsServer(host, port, server);
+        DnsServer dnsServer = new DnsServer(host, port, server);
         List<DnsClient> clients = new ArrayList<>();
         return new Portability() {
             @Override
@@ -106,24 +133,24 @@
             }
 
             @Override
-            public void misbehave(DnsStandIn.Fault how, long by) {
-                running.misbehave(how, by);
+            public void misbehave(DnsStandIn.Fault fault, long delay) {
+                dnsServer.misbehave(fault, delay);
             }
 
             @Override
             public void close() {
                 clients.forEach(DnsClient::close);
-                running.close();
+                dnsServer.close();
             }
         };
     }
 
-    /** In virtual time, over a network that loses nothing. */
+    /** Returns a portability server in virtual time, over a network without loss. */
     static Portability virtual(Network network, DnsStandIn server, long seed) {
         return new Portability() {
             @Override
             public NumberDesk.Asker asker(String node, Supplier<EdgeCore> core) {
-                VirtualDns way =
+                VirtualDns client =
                         new VirtualDns(
                                 network,
                                 server,
@@ -134,12 +161,12 @@
                                         SOCKETS,
                                         MOST_OUT),
                                 new SplittableRandom(seed + node.hashCode()));
-                return over(way, SUFFIX, network, node, core);
+                return over(client, SUFFIX, network, node, core);
             }
 
             @Override
-            public void misbehave(DnsStandIn.Fault how, long by) {
-                server.misbehave(how, by);
+            public void misbehave(DnsStandIn.Fault fault, long delay) {
+                server.misbehave(fault, delay);
             }
 
             @Override
--- a/src/main/java/coralcove/protocol/CallHeaders.java
+++ b/src/main/java/coralcove/protocol/CallHeaders.java
@@ -6,7 +6,21 @@
 import coralcove.sip.SipUri;
 import java.util.Set;
 
-/** The stated headers of a session's INVITE (docs/protocol.md), read and written in one place. */
+/**
+ * The headers that describe a session in its INVITE (docs/protocol.md). This class alone reads and
+ * writes them.
+ *
+ * @param service index of the service in the settings
+ * @param value value of the session
+ * @param width number of circuits that the session needs
+ * @param redial whether the session is a redial
+ * @param cut whether the session follows an established call that was cut
+ * @param farEnd number of the exchange where the session ends, or -1 where only a number was
+ *     dialled, which never happens on a trunk
+ * @param origin number of the exchange at the near end of the trunk group, or -1 off a trunk
+ * @param left time in µs that is left until the caller's timer limit
+ * @param number the dialled number
+ */
 public record CallHeaders(
         int service,
         double value,
@@ -18,22 +32,26 @@
         long left,
         String number) {
     /**
-     * Reads them; a missing or impossible one throws with the header's name. {@code origin} is -1
-     * off a trunk, and {@code farEnd} is -1 where only a number was dialled, which is never so on a
-     * trunk.
+     * Reads the headers of an INVITE.
+     *
+     * @param services number of services in the settings
+     * @throws IllegalArgumentException if a header is missing or invalid; the message names it
      */
     public static CallHeaders of(SipMessage invite, int services) {
-        Params service = Params.of(need(invite, "X-Service"));
-        int index = number("X-Service", service.value(), 0, services - 1);
-        int width = number("X-Service", service.get("width", "1"), 1, 64);
+        Params service = Params.of(require(invite, "X-Service"));
+        int index = parseNumber("X-Service", service.value(), 0, services - 1);
+        int width = parseNumber("X-Service", service.get("width", "1"), 1, 64);
         String origin = invite.header("X-Origin");
-        boolean dialled = origin == null && invite.header("X-Far-End") == null;
-        int farEnd = dialled ? -1 : number("X-Far-End", need(invite, "X-Far-End"), 0, 65_535);
-        String exact = invite.header("X-Time-Left");
+        boolean onlyNumberDialled = origin == null && invite.header("X-Far-End") == null;
+        int farEnd =
+                onlyNumberDialled
+                        ? -1
+                        : parseNumber("X-Far-End", require(invite, "X-Far-End"), 0, 65_535);
+        String timeLeft = invite.header("X-Time-Left");
         long left =
-                exact != null
-                        ? micros(exact)
-                        : 1_000_000L * number("Expires", need(invite, "Expires"), 0, 3600);
+                timeLeft != null
+                        ? parseTimeLeft(timeLeft)
+                        : 1_000_000L * parseNumber("Expires", require(invite, "Expires"), 0, 3600);
         SipUri uri = SipUri.of(invite.uri());
         if (uri == null) {
             throw new IllegalArgumentException("Request-URI " + invite.uri());
@@ -51,17 +69,17 @@
                 service.has("redial"),
                 service.has("cut"),
                 farEnd,
-                origin == null ? -1 : number("X-Origin", origin, 0, 65_535),
+                origin == null ? -1 : parseNumber("X-Origin", origin, 0, 65_535),
                 left,
                 uri.user());
     }
 
-    /** The same to this far end. */
-    public CallHeaders to(int known) {
-        return new CallHeaders(service, value, width, redial, cut, known, origin, left, number);
+    /** Returns a copy with this far end. */
+    public CallHeaders to(int newFarEnd) {
+        return new CallHeaders(service, value, width, redial, cut, newFarEnd, origin, left, number);
     }
 
-    private static String need(SipMessage message, String name) {
+    private static String require(SipMessage message, String name) {
         String value = message.header(name);
         if (value == null) {
             throw new IllegalArgumentException(name + " is missing");
@@ -69,36 +87,36 @@
         return value;
     }
 
-    private static int number(String name, String text, int least, int most) {
+    private static int parseNumber(String name, String text, int min, int max) {
         try {
             int value = Integer.parseInt(text.strip());
-            if (value >= least && value <= most) {
+            if (value >= min && value <= max) {
                 return value;
             }
         } catch (NumberFormatException e) {
-            // Told below, with the bounds.
+            // Reported below, with the bounds.
         }
         throw new IllegalArgumentException(
-                name + " " + text + " is not between " + least + " and " + most);
+                name + " " + text + " is not between " + min + " and " + max);
     }
 
-    private static long micros(String text) {
+    private static long parseTimeLeft(String text) {
         try {
             long value = Long.parseLong(text.strip());
             if (value >= 0 && value <= 3_600_000_000L) {
                 return value;
             }
         } catch (NumberFormatException e) {
-            // Told below.
+            // Reported below.
         }
         throw new IllegalArgumentException("X-Time-Left " + text);
     }
 
     /**
-     * Fields that belong to one leg, or that {@link #write} writes itself; all others cross
-     * unchanged.
+     * Header fields that belong to one call leg, or that {@link #write} adds itself. All other
+     * fields are passed on unchanged.
      */
-    private static final Set<String> OF_A_LEG =
+    private static final Set<String> CALL_LEG_FIELDS =
             Set.of(
                     "Via",
                     "From",
@@ -123,40 +141,45 @@
                     "Require",
                     "Proxy-Require");
 
-    /**
-     * Copies the body and what is not of one leg only from the INVITE that came to the one that
-     * goes on.
-     */
-    public static void pass(SipMessage from, SipMessage to) {
-        for (Field field : from.fields()) {
-            if (!OF_A_LEG.contains(field.name())) {
-                to.add(field.name(), field.value());
+    /** Copies the body and the end-to-end header fields of a received INVITE to a new one. */
+    public static void pass(SipMessage received, SipMessage forwarded) {
+        for (Field field : received.fields()) {
+            if (!CALL_LEG_FIELDS.contains(field.name())) {
+                forwarded.add(field.name(), field.value());
             }
         }
-        if (from.body().length > 0) {
-            to.body(from.header("Content-Type", "application/sdp"), from.body());
+        if (received.body().length > 0) {
+            forwarded.body(received.header("Content-Type", "application/sdp"), received.body());
         }
     }
 
-    /** Writes them into an INVITE; {@code origin} or far end below 0 is left out. */
+    /**
+     * Adds the headers to an INVITE.
+     *
+     * @param origin number of the exchange at the near end of the trunk group; a negative one is
+     *     left out, as is a negative far end
+     * @param left time in µs until the caller's timer limit
+     * @param sessionId value of the Session-ID header
+     * @return the INVITE
+     */
     public static SipMessage write(
-            SipMessage invite, CallHeaders it, int origin, long left, String sessionId) {
+            SipMessage invite, CallHeaders headers, int origin, long left, String sessionId) {
         invite.add(
                 "X-Service",
-                it.service
+                headers.service
                         + ";value="
-                        + it.value
+                        + headers.value
                         + ";width="
-                        + it.width
-                        + (it.redial ? ";redial" : "")
-                        + (it.cut ? ";cut" : ""));
-        if (it.farEnd >= 0) {
-            invite.add("X-Far-End", Integer.toString(it.farEnd));
+                        + headers.width
+                        + (headers.redial ? ";redial" : "")
+                        + (headers.cut ? ";cut" : ""));
+        if (headers.farEnd >= 0) {
+            invite.add("X-Far-End", Integer.toString(headers.farEnd));
         }
         if (origin >= 0) {
             invite.add("X-Origin", Integer.toString(origin));
         }
-        // Expires counts whole seconds: rounded up it never contradicts the exact figure beside it.
+        // Expires counts whole seconds: rounded up, it never contradicts the exact X-Time-Left.
         invite.add("Expires", Long.toString((left + 999_999) / 1_000_000));
         invite.add("X-Time-Left", Long.toString(left));
         return invite.add("Session-ID", sessionId);
--- a/src/main/java/coralcove/protocol/ListingText.java
+++ b/src/main/java/coralcove/protocol/ListingText.java
@@ -6,9 +6,10 @@
 import java.util.List;
 
 /**
- * What a directory says, as the body of a NOTIFY: a first line "epoch E version V
- * whole|learning|changes [after M]", then a line a machine, "id number ready|draining|silent|left
- * start beat age address", age in µs, "-" for long ago.
+ * Text format of a directory's exchange list, as sent in the body of a NOTIFY. The first line is
+ * "epoch E version V whole|learning|changes [after M]". Each further line describes one exchange as
+ * "id number ready|draining|silent|left start beat age address", with the age in µs, or "-" if it
+ * started long ago.
  */
 public final class ListingText {
     private static final int FIELDS = 7;
@@ -16,49 +17,56 @@
     private ListingText() {}
 
     /**
-     * Throws IllegalArgumentException where any of it cannot be read: nothing of it counts then.
+     * Reads a complete list.
+     *
+     * @throws IllegalArgumentException if any part is malformed; the rest is then not used either
      */
     public static Listing read(String text) {
-        List<String> all = text.lines().toList();
-        String[] first = all.isEmpty() ? new String[0] : all.get(0).split(" ");
-        if (first.length < 5
-                || !first[0].equals("epoch")
-                || !first[1].matches("[0-9a-z]{1,32}")
-                || !first[2].equals("version")) {
+        List<String> textLines = text.lines().toList();
+        String[] header = textLines.isEmpty() ? new String[0] : textLines.get(0).split(" ");
+        if (header.length < 5
+                || !header[0].equals("epoch")
+                || !header[1].matches("[0-9a-z]{1,32}")
+                || !header[2].equals("version")) {
             throw new IllegalArgumentException("the first line is not \"epoch E version V KIND\"");
         }
         Listing.Kind kind =
-                switch (first[4]) {
+                switch (header[4]) {
                     case "whole" -> Listing.Kind.WHOLE;
                     case "learning" -> Listing.Kind.LEARNING;
                     case "changes" -> Listing.Kind.CHANGES;
                     default ->
                             throw new IllegalArgumentException(
-                                    "\"" + first[4] + "\" is no kind of list");
+                                    "\"" + header[4] + "\" is not a kind of list");
                 };
-        if (kind == Listing.Kind.CHANGES && (first.length != 7 || !first[5].equals("after"))) {
-            throw new IllegalArgumentException("changes after what?");
+        if (kind == Listing.Kind.CHANGES && (header.length != 7 || !header[5].equals("after"))) {
+            throw new IllegalArgumentException("a list of changes needs \"after M\"");
         }
-        long after = kind == Listing.Kind.CHANGES ? count(first[6]) : 0;
+        long after = kind == Listing.Kind.CHANGES ? parseCount(header[6]) : 0;
         List<Listing.Line> lines = new ArrayList<>();
-        for (String each : all.subList(1, all.size())) {
-            lines.add(line(each));
+        for (String textLine : textLines.subList(1, textLines.size())) {
+            lines.add(line(textLine));
         }
-        return new Listing(first[1], count(first[3]), kind, after, lines);
+        return new Listing(header[1], parseCount(header[3]), kind, after, lines);
     }
 
+    /**
+     * Reads the line of one exchange.
+     *
+     * @throws IllegalArgumentException if it is malformed
+     */
     public static Listing.Line line(String text) {
         String[] parts = text.split(" ");
         if (parts.length != FIELDS
                 || !parts[1].matches("\\d{1,5}")
                 || !parts[2].matches("ready|draining|silent|left")
                 || !parts[6].matches("(udp|tcp):.+:\\d{1,5}")) {
-            throw new IllegalArgumentException("a line of a machine cannot be read");
+            throw new IllegalArgumentException("a line of an exchange is malformed");
         }
-        long beat = count(parts[4]);
+        long beat = parseCount(parts[4]);
         Life life =
                 new Life(
-                        count(parts[3]),
+                        parseCount(parts[3]),
                         beat,
                         parts[2].equals("draining"),
                         parts[2].equals("silent") ? beat : Life.HEARD,
@@ -66,16 +74,19 @@
                         Integer.parseInt(parts[1]),
                         parts[6]);
         return new Listing.Line(
-                count(parts[0]), life, parts[5].equals("-") ? Listing.LONG_AGO : count(parts[5]));
+                parseCount(parts[0]),
+                life,
+                parts[5].equals("-") ? Listing.LONG_AGO : parseCount(parts[5]));
     }
 
-    private static long count(String text) {
+    private static long parseCount(String text) {
         if (!text.matches("\\d{1,18}")) {
-            throw new IllegalArgumentException("no number of up to 18 digits where one must be");
+            throw new IllegalArgumentException("not a number of up to 18 digits");
         }
         return Long.parseLong(text);
     }
 
+    /** Returns the first line of a list; {@code after} counts only for changes. */
     public static String head(String epoch, long version, Listing.Kind kind, long after) {
         return "epoch "
                 + epoch
@@ -88,6 +99,7 @@
                 };
     }
 
+    /** Returns the line of one exchange; {@code age} is in µs or {@link Listing#LONG_AGO}. */
     public static String text(
             long id, int number, String phase, long start, long beat, long age, String address) {
         return id
--- a/src/main/java/coralcove/protocol/Outcomes.java
+++ b/src/main/java/coralcove/protocol/Outcomes.java
@@ -8,86 +8,111 @@
 import java.util.regex.Pattern;
 
 /**
- * The one table between what an INVITE can come to on the wire and the module's words
- * (docs/protocol.md). Causes are Q.850's, carried in a Reason header (RFC 3326).
+ * Maps SIP answers to the outcomes of INVITEs that the routing policy uses (docs/protocol.md).
+ * Causes are those of Q.850, carried in a Reason header (RFC 3326).
  */
 public final class Outcomes {
-    /** Q.850 causes that this network tells apart. */
+    /** Q.850 cause 17, user busy: all lines are busy. */
     public static final int LINES_BUSY = 17;
 
+    /** Q.850 cause 27, destination out of order: the far end accepts no connection. */
     public static final int UNREACHABLE = 27;
+
+    /** Q.850 cause 34, no circuit available. */
     public static final int NO_CIRCUIT = 34;
+
+    /** Q.850 cause 41, temporary failure: the local exchange rejected the INVITE. */
     public static final int OWN_EXCHANGE = 41;
+
+    /** Q.850 cause 42, switching equipment congestion: the far processor is full. */
     public static final int PROCESSOR_FULL = 42;
+
+    /** Q.850 cause 44, requested circuit not available: crankback from a tandem. */
     public static final int TURNED_BACK = 44;
+
+    /** Q.850 cause 47, resource unavailable: the processor beyond a tandem is full. */
     public static final int FULL_BEYOND = 47;
+
+    /** Q.850 cause 38, network out of order: an established call was cut. */
     public static final int CUT = 38;
-    private static final Pattern CAUSE =
+
+    private static final Pattern CAUSE_HEADER =
             Pattern.compile("(?i)^\\s*Q\\.850\\s*;.*?cause\\s*=\\s*(\\d{1,3})");
 
-    /** An ending with its cause and the wait that a full processor named, in µs. */
+    /**
+     * The outcome of an INVITE with its cause. Its text is part of the test traces.
+     *
+     * @param namedWait retry-after delay in µs that a full processor asked for, or 0
+     */
     public record Outcome(Ending ending, Cause cause, long namedWait) {}
 
     private Outcomes() {}
 
-    /** What an INVITE that did not stand came to; {@code response} is null where none came. */
+    /**
+     * Returns the outcome of an INVITE that established no call.
+     *
+     * @param response the final response, or null if there was none
+     * @param lost how the INVITE ended without a response; unused if there was one
+     */
     public static Outcome of(SipMessage response, Lost lost) {
         if (response == null) {
             return switch (lost) {
-                // The first hop is the own exchange: where it takes no stream, the INVITE never
-                // left.
-                case UNREACHABLE -> plain(Ending.NOT_SENT, Cause.PROCESSOR_FULL);
-                case RESET -> plain(Ending.RESET, Cause.NONE);
-                case TIMED_OUT, NO -> plain(Ending.TIMED_OUT, Cause.NONE);
+                // The first hop is the local exchange: if it accepts no connection, the INVITE was
+                // not sent.
+                case UNREACHABLE -> withoutWait(Ending.NOT_SENT, Cause.PROCESSOR_FULL);
+                case RESET -> withoutWait(Ending.RESET, Cause.NONE);
+                case TIMED_OUT, NO -> withoutWait(Ending.TIMED_OUT, Cause.NONE);
             };
         }
         return switch (cause(response)) {
-            case LINES_BUSY -> plain(Ending.ERROR, Cause.LINES_BUSY);
-            case UNREACHABLE -> plain(Ending.UNREACHABLE, Cause.NONE);
-            case NO_CIRCUIT -> plain(Ending.BUSY, Cause.NO_CIRCUIT);
-            case OWN_EXCHANGE -> plain(Ending.NOT_SENT, Cause.PROCESSOR_FULL);
+            case LINES_BUSY -> withoutWait(Ending.ERROR, Cause.LINES_BUSY);
+            case UNREACHABLE -> withoutWait(Ending.UNREACHABLE, Cause.NONE);
+            case NO_CIRCUIT -> withoutWait(Ending.BUSY, Cause.NO_CIRCUIT);
+            case OWN_EXCHANGE -> withoutWait(Ending.NOT_SENT, Cause.PROCESSOR_FULL);
             case PROCESSOR_FULL ->
                     new Outcome(Ending.BUSY, Cause.PROCESSOR_FULL, retryAfter(response));
-            case TURNED_BACK -> plain(Ending.BUSY, Cause.TURNED_BACK);
-            case FULL_BEYOND -> plain(Ending.BUSY, Cause.FULL_BEYOND);
-            case CUT -> plain(Ending.RESET, Cause.NONE);
+            case TURNED_BACK -> withoutWait(Ending.BUSY, Cause.TURNED_BACK);
+            case FULL_BEYOND -> withoutWait(Ending.BUSY, Cause.FULL_BEYOND);
+            case CUT -> withoutWait(Ending.RESET, Cause.NONE);
             default -> byStatus(response.status());
         };
     }
 
-    /** A response without a cause that this network knows. */
+    /** Returns the outcome for a response without a known cause. */
     private static Outcome byStatus(int status) {
         return switch (status) {
-            case 408, 504 -> plain(Ending.TIMED_OUT, Cause.NONE);
-            case 486, 600 -> plain(Ending.ERROR, Cause.LINES_BUSY);
-            case 487 -> plain(Ending.CANCELLED, Cause.NONE);
-            case 480, 503 -> plain(Ending.BUSY, Cause.NONE);
-            case 502 -> plain(Ending.UNREACHABLE, Cause.NONE);
-            default -> plain(Ending.ERROR, Cause.NONE);
+            case 408, 504 -> withoutWait(Ending.TIMED_OUT, Cause.NONE);
+            case 486, 600 -> withoutWait(Ending.ERROR, Cause.LINES_BUSY);
+            case 487 -> withoutWait(Ending.CANCELLED, Cause.NONE);
+            case 480, 503 -> withoutWait(Ending.BUSY, Cause.NONE);
+            case 502 -> withoutWait(Ending.UNREACHABLE, Cause.NONE);
+            default -> withoutWait(Ending.ERROR, Cause.NONE);
         };
     }
 
-    private static Outcome plain(Ending ending, Cause cause) {
+    private static Outcome withoutWait(Ending ending, Cause cause) {
         return new Outcome(ending, cause, 0);
     }
 
-    /** The Q.850 cause of a message, or 0. */
+    /** Returns the Q.850 cause of a message, or 0 if it has none. */
     public static int cause(SipMessage message) {
         for (String reason : message.headers("Reason")) {
-            Matcher found = CAUSE.matcher(reason);
-            if (found.find()) {
-                return Integer.parseInt(found.group(1));
+            Matcher matcher = CAUSE_HEADER.matcher(reason);
+            if (matcher.find()) {
+                return Integer.parseInt(matcher.group(1));
             }
         }
         return 0;
     }
 
+    /** Returns the value of a Reason header with a Q.850 cause. */
     public static String reason(int cause, String text) {
         return "Q.850;cause=" + cause + ";text=\"" + text + "\"";
     }
 
     /**
-     * µs of a Retry-After: its seconds, or its exact parameter "ms" (RFC 3261 20.33 allows
+     * Returns the delay of a Retry-After header in µs, or 0 if it is missing or malformed. The
+     * parameter "ms" holds the exact delay, and the value its whole seconds (RFC 3261 20.33 allows
      * parameters).
      */
     public static long retryAfter(SipMessage message) {
@@ -104,8 +129,9 @@
         }
     }
 
-    public static String retryAfter(long micros) {
-        long ms = (micros + 999) / 1000;
+    /** Returns the value of a Retry-After header for a delay in µs, rounded up to whole ms. */
+    public static String retryAfter(long delayUs) {
+        long ms = (delayUs + 999) / 1000;
         return (ms + 999) / 1000 + ";ms=" + ms;
     }
 }
--- a/src/main/java/coralcove/protocol/Refusal.java
+++ b/src/main/java/coralcove/protocol/Refusal.java
@@ -6,22 +6,32 @@
 import java.util.List;
 
 /**
- * How one leg's end without a call is told on the other leg; {@code fields} are names and values in
- * turn.
+ * The final response with which a failure on one call leg is passed on to the other.
+ *
+ * @param fields header fields as alternating names and values
  */
 public record Refusal(int status, String reason, String... fields) {
-    /** Q.850: a timer ran out. */
-    private static final int TIMER = 102;
+    /** Q.850 cause 102. */
+    private static final int RECOVERY_ON_TIMER_EXPIRY = 102;
 
-    /** What came as it came, with these of its headers; what never came as 502 or 408. */
+    /**
+     * Returns the response to pass on: the one received with the given headers of it, or 502 or 408
+     * if there was none.
+     *
+     * @param response the response received, or null
+     * @param lost how the call leg ended without a response
+     * @param names names of the headers to copy
+     */
     public static Refusal of(SipMessage response, Lost lost, String... names) {
         if (response == null) {
-            boolean down = lost == Lost.UNREACHABLE;
+            boolean unreachable = lost == Lost.UNREACHABLE;
             return new Refusal(
-                    down ? 502 : 408,
+                    unreachable ? 502 : 408,
                     "No Answer",
                     "Reason",
-                    Outcomes.reason(down ? Outcomes.UNREACHABLE : TIMER, "no answer"));
+                    Outcomes.reason(
+                            unreachable ? Outcomes.UNREACHABLE : RECOVERY_ON_TIMER_EXPIRY,
+                            "no answer"));
         }
         List<String> fields = new ArrayList<>();
         for (String name : names) {
--- a/src/main/java/coralcove/store/EntryStore.java
+++ b/src/main/java/coralcove/store/EntryStore.java
@@ -17,147 +17,165 @@
 import org.h2.mvstore.MVStoreException;
 
 /**
- * What must outlive a program, entry by entry, on disk in an H2 MVStore; each entry with a form and
- * a checksum of its own. A store that cannot be opened is put aside, an entry that is not sound is
- * left, a disk that is full ends the writing: its owner goes on in each case, and says what it
- * left. One thread owns it.
+ * Persistent entries on disk in an H2 MVStore; each entry has its own format version and checksum.
+ * Faults never stop the owner and are reported as text: a store that cannot be opened is moved
+ * aside, an invalid entry is skipped, and a full disk disables writing. To be used by one thread
+ * only.
+ *
+ * @param <K> type of the keys
+ * @param <T> type of the entries
  */
 public final class EntryStore<K, T> implements AutoCloseable {
-    /** How an entry is written and read; {@code in} gives null where an entry is not sound. */
+    /**
+     * Format of the entries.
+     *
+     * @param kind name of the map in the store
+     * @param key returns the key of an entry
+     * @param out encodes an entry
+     * @param in decodes an entry; returns null if it is invalid
+     */
     public record Form<K, T>(
             String kind, Function<T, K> key, Function<T, byte[]> out, Function<byte[], T> in) {}
 
-    /** Stores put aside at most; past it the oldest name is used again. */
-    private static final int MOST_ASIDE = 5;
+    /** Largest number of stores moved aside; after that the last name is used again. */
+    private static final int MAX_BAD_COPIES = 5;
 
     private final Path path;
-    private final Form<K, T> form;
-    private final Consumer<String> said;
+    private final Form<K, T> format;
+    private final Consumer<String> reporter;
     private MVStore store;
     private MVMap<K, byte[]> entries;
-    private int left;
+    private int skipped;
 
-    /** Opened or made; {@code said} hears what was left and why. */
-    public EntryStore(Path path, Form<K, T> form, Consumer<String> said) {
+    /**
+     * Opens or creates a store.
+     *
+     * @param reporter receives a text for each fault
+     */
+    public EntryStore(Path path, Form<K, T> format, Consumer<String> reporter) {
         this.path = path;
-        this.form = form;
-        this.said = said;
+        this.format = format;
+        this.reporter = reporter;
         try {
             open();
         } catch (MVStoreException e) {
-            aside(e.getMessage());
+            moveAside(e.getMessage());
         }
     }
 
     private void open() {
         store = Stores.open(path);
-        entries = store.openMap(form.kind());
+        entries = store.openMap(format.kind());
     }
 
     /**
-     * A store that cannot be read is kept for whoever wants to look at it, and an empty one begun.
+     * Keeps a store that cannot be read under another name for inspection, and creates a new one.
      */
-    private void aside(String why) {
-        closeNow();
+    private void moveAside(String reason) {
+        closeImmediately();
         try {
-            Path to = path;
-            for (int i = 1; i <= MOST_ASIDE; i++) {
-                to = path.resolveSibling(path.getFileName() + ".bad-" + i);
-                if (!Files.exists(to)) {
+            Path target = path;
+            for (int i = 1; i <= MAX_BAD_COPIES; i++) {
+                target = path.resolveSibling(path.getFileName() + ".bad-" + i);
+                if (!Files.exists(target)) {
                     break;
                 }
             }
-            Files.move(path, to, StandardCopyOption.REPLACE_EXISTING);
-            said.accept("store put aside as " + to.getFileName() + ": " + Stores.reason(why));
+            Files.move(path, target, StandardCopyOption.REPLACE_EXISTING);
+            reporter.accept(
+                    "store put aside as " + target.getFileName() + ": " + Stores.reason(reason));
             open();
         } catch (IOException | MVStoreException e) {
-            broken(e.getMessage());
+            disable(e.getMessage());
         }
     }
 
-    private void broken(String why) {
-        closeNow();
+    private void disable(String reason) {
+        closeImmediately();
         store = null;
         entries = null;
-        said.accept("store is not used: " + Stores.reason(why));
+        reporter.accept("store is not used: " + Stores.reason(reason));
     }
 
-    private void closeNow() {
+    private void closeImmediately() {
         if (store != null) {
             store.closeImmediately();
         }
     }
 
-    /** Whether anything is still written. */
+    /** Returns whether the store is usable, so that entries are written. */
     public boolean works() {
         return store != null;
     }
 
-    /** All sound entries, by key. */
+    /** Returns all valid entries, in the order of their keys. */
     public List<T> read() {
-        List<T> them = new ArrayList<>();
+        List<T> valid = new ArrayList<>();
         if (entries == null) {
-            return them;
+            return valid;
         }
         try {
-            for (Map.Entry<K, byte[]> each : entries.entrySet()) {
-                T sound = form.in().apply(each.getValue());
-                if (sound != null && form.key().apply(sound).equals(each.getKey())) {
-                    them.add(sound);
+            for (Map.Entry<K, byte[]> stored : entries.entrySet()) {
+                T entry = format.in().apply(stored.getValue());
+                if (entry != null && format.key().apply(entry).equals(stored.getKey())) {
+                    valid.add(entry);
                 } else {
-                    left++;
+                    skipped++;
                 }
             }
         } catch (MVStoreException e) {
-            aside(e.getMessage());
+            moveAside(e.getMessage());
         }
-        if (left > 0) {
-            said.accept(left + " entries left: another form or a wrong checksum");
+        if (skipped > 0) {
+            reporter.accept(skipped + " entries left: another form or a wrong checksum");
         }
-        return them;
+        return valid;
     }
 
-    /** Entries that were not sound when they were read. */
+    /** Returns the number of invalid entries that were skipped by reading. */
     public int left() {
-        return left;
+        return skipped;
     }
 
-    /** Writes what has changed, all or nothing: a kill between leaves the last whole commit. */
-    public void write(List<T> them) {
+    /**
+     * Writes, in one commit, those of the entries that differ from the stored ones. If the process
+     * is killed meanwhile, the previous commit remains.
+     */
+    public void write(List<T> candidates) {
         if (entries == null) {
             return;
         }
         try {
-            for (T each : them) {
-                byte[] entry = form.out().apply(each);
-                if (!Arrays.equals(entry, entries.get(form.key().apply(each)))) {
-                    entries.put(form.key().apply(each), entry);
+            for (T entry : candidates) {
+                byte[] bytes = format.out().apply(entry);
+                if (!Arrays.equals(bytes, entries.get(format.key().apply(entry)))) {
+                    entries.put(format.key().apply(entry), bytes);
                 }
             }
             store.commit();
         } catch (MVStoreException e) {
-            broken(e.getMessage());
+            disable(e.getMessage());
         }
     }
 
-    /** Writes these and takes all others away, all or nothing. */
-    public void replace(List<T> them) {
+    /** Replaces all entries by these in one commit. */
+    public void replace(List<T> replacements) {
         if (entries == null) {
             return;
         }
         try {
-            Set<K> kept = new HashSet<>();
-            them.forEach(each -> kept.add(form.key().apply(each)));
+            Set<K> keys = new HashSet<>();
+            replacements.forEach(entry -> keys.add(format.key().apply(entry)));
             for (K key : List.copyOf(entries.keySet())) {
-                if (!kept.contains(key)) {
+                if (!keys.contains(key)) {
                     entries.remove(key);
                 }
             }
         } catch (MVStoreException e) {
-            broken(e.getMessage());
+            disable(e.getMessage());
             return;
         }
-        write(them);
+        write(replacements);
     }
 
     @Override
@@ -166,7 +184,7 @@
             try {
                 store.close();
             } catch (MVStoreException e) {
-                said.accept("store was not closed: " + Stores.reason(e.getMessage()));
+                reporter.accept("store was not closed: " + Stores.reason(e.getMessage()));
             }
         }
     }
--- a/src/test/java/coralcove/config/TomlTest.java
+++ b/src/test/java/coralcove/config/TomlTest.java
@@ -11,27 +11,27 @@
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
 
-/** Each bad setting is told with file, line, key and reason. */
+/** Tests that each invalid setting is reported with file, line, key and reason. */
 class TomlTest {
-    private final StringBuilder told = new StringBuilder();
+    private final StringBuilder results = new StringBuilder();
 
-    private interface Reading {
-        Object of(Toml toml) throws BadConfig;
+    private interface SettingsReader {
+        Object read(Toml toml) throws BadConfig;
     }
 
-    private void bad(String name, String text, Reading reading) {
+    private void recordResult(String name, String text, SettingsReader reader) {
         try {
-            Object found = reading.of(Toml.of(name, text));
-            told.append("taken: ").append(found).append('\n');
+            Object settings = reader.read(Toml.of(name, text));
+            results.append("taken: ").append(settings).append('\n');
         } catch (BadConfig e) {
-            told.append(e.getMessage()).append('\n');
+            results.append(e.getMessage()).append('\n');
         }
     }
 
     @Test
     void namesFileLineKeyAndReason() throws IOException {
         String day = Files.readString(Path.of("days/bad-day.toml"));
-        String[][] changes = {
+        String[][] dayChanges = {
             {"length_s = 30", "length_s = 0"},
             {"length_s = 30", "length_s = \"x\""},
             {"exchanges = 7", "exchanges = 7.5"},
@@ -48,16 +48,16 @@
             {"[[service]]", "[service]"},
             {"redials = 2", "redials = true"}
         };
-        for (String[] change : changes) {
+        for (String[] change : dayChanges) {
             assertThat(day).contains(change[0]);
-            int at = day.indexOf(change[0]);
-            bad(
+            int start = day.indexOf(change[0]);
+            recordResult(
                     "day.toml",
-                    day.substring(0, at) + change[1] + day.substring(at + change[0].length()),
+                    day.substring(0, start) + change[1] + day.substring(start + change[0].length()),
                     toml -> DayFile.of(toml, 1).name());
         }
         String edge = Files.readString(Path.of("deploy/examples/edge-0.toml"));
-        String[][] more = {
+        String[][] edgeChanges = {
             {"udp:127.0.0.1:15060", "127.0.0.1:15060"},
             {"udp:127.0.0.1:15060", "udp:127.0.0.1:0"},
             {"release_ms = 300", "release_ms = 9000"},
@@ -65,25 +65,28 @@
             {"exchange = \"udp:127.0.0.1:15061\"", "exchange = \"udp:127.0.0.1:15060\""},
             {"routers = 2\n", ""}
         };
-        for (String[] change : more) {
+        for (String[] change : edgeChanges) {
             assertThat(edge).contains(change[0]);
-            bad(
+            recordResult(
                     "edge.toml",
                     edge.replace(change[0], change[1])
                             .replace("limit_ms = 9000", "limit_ms = 5000"),
                     toml -> EdgeFile.of(toml).policy());
         }
         String exchange = Files.readString(Path.of("deploy/examples/exchange-0.toml"));
-        bad(
+        recordResult(
                 "exchange.toml",
                 exchange.replace("limit_ms = 9000", "limit_ms = 900"),
                 toml -> ExchangeFile.of(toml).cold());
-        assertThat(told.toString()).isEqualTo(Kept.trace("bad-settings"));
+        assertThat(results.toString()).isEqualTo(Kept.trace("bad-settings"));
     }
 
-    /** A planner's store was read through a second table, and its key refused as not known. */
+    /**
+     * Guards against rejecting a planner's store key as unknown: it was requested through another
+     * instance of the same table.
+     */
     @Test
-    void takesAPlannerAndNumbersWithAllTheirKeys() throws Exception {
+    void acceptsAllKeysOfPlannerAndNumbers() throws Exception {
         String edge =
                 Files.readString(Path.of("deploy/examples/edge-0.toml"))
                         + """
