--- a/src/main/java/coralcove/cli/Commands.java
+++ b/src/main/java/coralcove/cli/Commands.java
@@ -67,32 +67,33 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** The command line. Exit 0 good, 1 bad input, 2 usage, 3 a rule broken. */
+/** The command line. Exit codes: 0 success, 1 invalid input, 2 usage error, 3 a rule was broken. */
 @Command(
         name = "coralcove",
         mixinStandardHelpOptions = true,
         version = "coralcove " + Program.VERSION,
-        description = "A call router for a private voice network, its stand-ins and rehearsals.",
+        description =
+                "A call router for a private voice network, with simulated peers and rehearsals.",
         subcommands = {
-            Commands.Edge.class,
+            Commands.EdgeCommand.class,
             Commands.PlannerCommand.class,
             PairCommand.class,
-            Commands.Exchange.class,
-            Commands.Directory.class,
+            Commands.ExchangeCommand.class,
+            Commands.DirectoryCommand.class,
             Commands.RehearseCommand.class,
-            Commands.Compare.class,
+            Commands.CompareCommand.class,
             Commands.JudgeCommand.class,
-            Commands.Check.class,
+            Commands.CheckCommand.class,
             NumbersCommand.class,
             SourcesCommand.class,
             ExperimentCommand.class,
-            StartedByMain.DrillHelp.class,
-            StartedByMain.ServeHelp.class,
-            StartedByMain.TrialHelp.class
+            StandaloneCommands.DrillHelp.class,
+            StandaloneCommands.ServeHelp.class,
+            StandaloneCommands.TrialHelp.class
         },
         footer = {
             "",
-            "Exit: 0 good, 1 bad input, 2 usage, 3 a rule broken.",
+            "Exit codes: 0 success, 1 invalid input, 2 usage error, 3 a rule was broken.",
             "",
             "Examples:",
             "  coralcove rehearse days/bad-day.toml --virtual",
@@ -103,17 +104,17 @@
     static final int BAD_INPUT = 1;
     static final int RULE_BROKEN = 3;
 
-    /** µs that a router told to end has for the answers it owes: longer than any caller waits. */
-    private static final long LAST_ANSWERS = 30_000_000;
+    /** Longest wait on shutdown for the pending final answers: longer than any caller waits. */
+    private static final long SHUTDOWN_TIMEOUT_MICROS = 30_000_000;
 
-    /** µs between two looks at the files of the table of numbers. */
-    private static final long LOOK_AT_TABLE = 1_000_000;
+    /** Interval at which the files of the number table are checked for changes. */
+    private static final long TABLE_POLL_INTERVAL_MICROS = 1_000_000;
 
     /**
-     * Milliseconds between two writes of plans: a kill loses one, and the planner's next comes as
-     * soon.
+     * Interval at which plans are stored. A kill loses at most one interval, and the planner sends
+     * its next plan as soon.
      */
-    private static final long KEEP_PLANS = 1000;
+    private static final long PLAN_WRITE_INTERVAL_MILLIS = 1000;
 
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
@@ -136,9 +137,9 @@
         throw new CommandLine.ParameterException(spec.commandLine(), "a command is missing");
     }
 
-    /** A command that runs one node from its settings until it is ended. */
-    abstract static class Serving implements Callable<Integer> {
-        @Parameters(paramLabel = "CONFIG", description = "settings, TOML")
+    /** A command that runs one node from its settings file until the process is stopped. */
+    abstract static class NodeCommand implements Callable<Integer> {
+        @Parameters(paramLabel = "CONFIG", description = "settings file, TOML")
         private Path config;
 
         @Option(
@@ -146,7 +147,7 @@
                 paramLabel = "LEVEL",
                 defaultValue = "INFO",
                 description =
-                        "what is logged as JSON lines on standard error: ERROR, WARN, INFO"
+                        "log level of the JSON lines on standard error: ERROR, WARN, INFO"
                                 + " (default) or OFF")
         private String level;
 
@@ -179,9 +180,8 @@
                             numbers.table(),
                             numbers.changes(),
                             edge::mayReach,
-                            trouble ->
-                                    LoggerFactory.getLogger(name)
-                                            .warn("table-refused: {}", trouble));
+                            error ->
+                                    LoggerFactory.getLogger(name).warn("table-refused: {}", error));
             try {
                 DnsClient client = new DnsClient(numbers.resolver(), new SecureRandom());
                 edge.numbers(
@@ -216,7 +216,7 @@
                                 file.planner().host(),
                                 file.planner().port(),
                                 link,
-                                act -> network.on(name, (now, out) -> act.accept(now)));
+                                action -> network.on(name, (now, out) -> action.accept(now)));
                 network.on(name, (now, out) -> edge.planner(now, link, port));
             } catch (IOException e) {
                 throw toml.table("planner").bad("listen", e.getMessage());
@@ -228,7 +228,7 @@
                                 () -> {
                                     stop.set(true);
                                     try {
-                                        ended.await(LAST_ANSWERS, TimeUnit.MICROSECONDS);
+                                        ended.await(SHUTDOWN_TIMEOUT_MICROS, TimeUnit.MICROSECONDS);
                                     } catch (InterruptedException e) {
                                         Thread.currentThread().interrupt();
                                     }
@@ -243,20 +243,20 @@
                         + ":"
                         + self.port()
                         + " (UDP and TCP)");
-        boolean told = false;
-        long lookAt = network.now() + LOOK_AT_TABLE;
+        boolean stopLogged = false;
+        long nextPollAt = network.now() + TABLE_POLL_INTERVAL_MICROS;
         while (true) {
             network.run(network.now() + 50_000);
-            if (watch != null && network.now() >= lookAt) {
-                lookAt = network.now() + LOOK_AT_TABLE;
+            if (watch != null && network.now() >= nextPollAt) {
+                nextPollAt = network.now() + TABLE_POLL_INTERVAL_MICROS;
                 NumberTable next = watch.next();
                 if (next != null) {
                     network.on(name, (now, out) -> ((EdgeCore) core).replace(now, next, out));
                 }
             }
             if (stop.get() && core instanceof EdgeCore edge) {
-                boolean first = !told;
-                told = true;
+                boolean first = !stopLogged;
+                stopLogged = true;
                 network.on(
                         name,
                         (now, out) -> {
@@ -279,11 +279,11 @@
             description = "Runs one call router.",
             footer = {
                 "",
-                "Ends on SIGTERM once all sessions in hand have their answer.",
+                "Stops on SIGTERM once all pending sessions have their final answer.",
                 "Example:",
                 "  coralcove edge deploy/examples/edge-0.toml"
             })
-    static final class Edge extends Serving {
+    static final class EdgeCommand extends NodeCommand {
         @Override
         void serve(Toml toml) throws BadConfig {
             EdgeFile file = EdgeFile.of(toml);
@@ -303,7 +303,7 @@
                 RosterStore.keep(
                         file.roster(),
                         "edge-" + file.settings().number(),
-                        (kept, to) -> core.resume(LiveNetwork.clock(), kept, to));
+                        (entries, store) -> core.resume(LiveNetwork.clock(), entries, store));
             }
             EdgeLink link =
                     file.planner() == null
@@ -313,7 +313,7 @@
                                     keeper,
                                     facts,
                                     System.currentTimeMillis(),
-                                    keep(file, keeper));
+                                    restoreAndStorePlans(file, keeper));
             Commands.run(
                     toml,
                     "edge",
@@ -326,17 +326,18 @@
     }
 
     /**
-     * Puts the plans in force that the last start left; what hears of new ones, which are written
-     * once a second off the router's thread, or of no use where none are kept.
+     * Restores the plans that the previous run stored, and starts a thread that stores new ones.
+     *
+     * @return receives each new plan; ignores it where the settings name no plan store
      */
-    private static Consumer<Plan> keep(EdgeFile file, PlanKeeper keeper) {
+    private static Consumer<Plan> restoreAndStorePlans(EdgeFile file, PlanKeeper keeper) {
         if (file.plans() == null) {
             return plan -> {};
         }
-        PlanShelf shelf = new PlanShelf();
+        PlanShelf pendingPlans = new PlanShelf();
         var log = LoggerFactory.getLogger("edge-" + file.settings().number());
         EntryStore<Integer, Plan> store =
-                GroupStore.plans(file.plans(), said -> log.warn("plans: {}", said));
+                GroupStore.plans(file.plans(), message -> log.warn("plans: {}", message));
         List<Plan> stored = store.read();
         int groups =
                 PlanShelf.resume(LiveNetwork.clock(), file.settings().module(), keeper, stored);
@@ -350,17 +351,17 @@
                         () -> {
                             while (true) {
                                 try {
-                                    Thread.sleep(KEEP_PLANS);
+                                    Thread.sleep(PLAN_WRITE_INTERVAL_MILLIS);
                                 } catch (InterruptedException e) {
                                     return;
                                 }
-                                store.write(shelf.drain());
+                                store.write(pendingPlans.drain());
                             }
                         },
                         "plans");
         writer.setDaemon(true);
         writer.start();
-        return shelf::taken;
+        return pendingPlans::taken;
     }
 
     @Command(
@@ -369,11 +370,11 @@
             description = "Runs the planner of one call router, from the router's own settings.",
             footer = {
                 "",
-                "The edge serves without it too: its plans lose their say within a minute.",
+                "The edge serves without its planner too: plans expire within a minute.",
                 "Example:",
                 "  coralcove planner deploy/examples/edge-0.toml"
             })
-    static final class PlannerCommand extends Serving {
+    static final class PlannerCommand extends NodeCommand {
         @Override
         void serve(Toml toml) throws BadConfig, InterruptedException {
             EdgeFile file = EdgeFile.of(toml);
@@ -393,7 +394,9 @@
                             ? null
                             : GroupStore.facts(
                                     file.store(),
-                                    said -> LoggerFactory.getLogger(name).warn("store: {}", said));
+                                    message ->
+                                            LoggerFactory.getLogger(name)
+                                                    .warn("store: {}", message));
             PlannerPort port =
                     new PlannerPort(
                             name, file.planner().host(), file.planner().port(), core, store);
@@ -412,16 +415,17 @@
     @Command(
             name = "exchange",
             mixinStandardHelpOptions = true,
-            description = "Runs a stand-in exchange.",
+            description = "Runs a simulated exchange.",
             footer = {"", "Example:", "  coralcove exchange deploy/examples/exchange-0.toml"})
-    static final class Exchange extends Serving {
+    static final class ExchangeCommand extends NodeCommand {
         @Override
         void serve(Toml toml) throws BadConfig {
             ExchangeFile file = ExchangeFile.of(toml);
             long now = LiveNetwork.clock();
             ExchangeSettings settings =
                     file.cold() ? file.settings().startedAt(now) : file.settings();
-            List<Arrival> arrivals = file.arrivals().stream().map(a -> a.after(now)).toList();
+            List<Arrival> arrivals =
+                    file.arrivals().stream().map(arrival -> arrival.after(now)).toList();
             Commands.run(
                     toml,
                     "exchange",
@@ -434,9 +438,9 @@
     @Command(
             name = "directory",
             mixinStandardHelpOptions = true,
-            description = "Runs the stand-in directory.",
+            description = "Runs the simulated directory.",
             footer = {"", "Example:", "  coralcove directory deploy/examples/directory.toml"})
-    static final class Directory extends Serving {
+    static final class DirectoryCommand extends NodeCommand {
         @Override
         void serve(Toml toml) throws BadConfig {
             DirectoryFile file = DirectoryFile.of(toml);
@@ -449,22 +453,22 @@
         }
     }
 
-    /** Which day is meant, and with which seed. */
-    static final class DayChoice {
-        @Parameters(paramLabel = "DAY", arity = "0..1", description = "the day, TOML")
+    /** Options that select a day and its seed. */
+    static final class DayOptions {
+        @Parameters(paramLabel = "DAY", arity = "0..1", description = "the day's file, TOML")
         private Path day;
 
         @Option(
                 names = "--from",
                 paramLabel = "DAY.json",
-                description = "a day as the operators' bench draws it")
+                description = "a day in the format of the operators' bench")
         private Path from;
 
         @Option(
                 names = "--seed",
                 paramLabel = "N",
                 defaultValue = "1",
-                description = "seed of all chance (default 1)")
+                description = "seed of all random numbers (default 1)")
         long seed;
 
         Day read() throws BadConfig, IOException {
@@ -479,8 +483,8 @@
             name = "rehearse",
             mixinStandardHelpOptions = true,
             description =
-                    "Starts routers and stand-ins, plays a day, and judges the five rules from the"
-                            + " traffic.",
+                    "Starts routers and simulated peers, plays a day, and checks the five rules in"
+                            + " the captured traffic.",
             footer = {
                 "",
                 "Examples:",
@@ -490,11 +494,11 @@
                 "  coralcove rehearse --from day.json --virtual"
             })
     static final class RehearseCommand implements Callable<Integer> {
-        @CommandLine.Mixin private DayChoice day;
+        @CommandLine.Mixin private DayOptions day;
 
         @Option(
                 names = "--virtual",
-                description = "in virtual time on a seeded network, not on sockets")
+                description = "run in virtual time on a simulated network instead of sockets")
         private boolean virtual;
 
         @Option(
@@ -509,7 +513,7 @@
         @Option(
                 names = "--summary",
                 paramLabel = "FILE",
-                description = "write one JSON object there")
+                description = "write the summary there, one JSON object")
         private Path summary;
 
         @Option(
@@ -522,7 +526,7 @@
                 names = "--log",
                 paramLabel = "LEVEL",
                 defaultValue = "WARN",
-                description = "what is logged live as JSON lines on standard error (default WARN)")
+                description = "log level of live runs, JSON lines on standard error (default WARN)")
         private String level;
 
         @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
@@ -535,12 +539,12 @@
                         spec.commandLine(),
                         "--policy: " + policy + " is none of " + String.join(", ", Policies.NAMES));
             }
-            Day it = day.read();
-            it.unmapped().forEach(line -> System.out.println("not mapped: " + line));
+            Day selected = day.read();
+            selected.unmapped().forEach(line -> System.out.println("not mapped: " + line));
             Result result =
                     virtual
-                            ? Rehearse.virtual(it, day.seed, policy, capture, null)
-                            : Rehearse.live(it, day.seed, policy, capture);
+                            ? Rehearse.virtual(selected, day.seed, policy, capture, null)
+                            : Rehearse.live(selected, day.seed, policy, capture);
             print(result);
             if (summary != null) {
                 Files.writeString(summary, result.json().toPrettyString() + "\n");
@@ -598,15 +602,15 @@
             name = "compare",
             mixinStandardHelpOptions = true,
             description =
-                    "Plays a day in virtual time under several policies on the same seeds, and"
-                            + " tabulates them.",
+                    "Plays a day in virtual time under several policies with the same seeds, and"
+                            + " prints a table of the results.",
             footer = {"", "Example:", "  coralcove compare days/bad-day.toml --seeds 50"})
-    static final class Compare implements Callable<Integer> {
+    static final class CompareCommand implements Callable<Integer> {
         @Parameters(
                 paramLabel = "DAY",
                 description =
-                        "the day, TOML; several may be given, or days as the bench "
-                                + "draws them (.json)",
+                        "the day's file, TOML, or in the format of the bench (.json); several may"
+                                + " be given",
                 arity = "1..*")
         private List<Path> days;
 
@@ -623,29 +627,29 @@
                 paramLabel = "NAME",
                 defaultValue = "choice,direct,first-tandem",
                 description =
-                        "which (default choice,direct,first-tandem; also reserved, least-busy)")
+                        "policies (default choice,direct,first-tandem; also reserved, least-busy)")
         private List<String> policies;
 
         @Option(
                 names = "--jobs",
                 paramLabel = "N",
                 defaultValue = "4",
-                description = "runs at once (default 4)")
+                description = "number of parallel runs (default 4)")
         private int jobs;
 
         @Override
         public Integer call() throws Exception {
             System.setProperty("coralcove.log", "WARN");
-            boolean kept = true;
+            boolean rulesKept = true;
             for (Path day : days) {
                 for (String policy : policies) {
-                    kept &= table(day, policy) || !policy.equals("choice");
+                    rulesKept &= printTable(day, policy) || !policy.equals("choice");
                 }
             }
-            return kept ? 0 : RULE_BROKEN;
+            return rulesKept ? 0 : RULE_BROKEN;
         }
 
-        private boolean table(Path path, String policy) throws Exception {
+        private boolean printTable(Path path, String policy) throws Exception {
             java.util.concurrent.ExecutorService pool =
                     java.util.concurrent.Executors.newFixedThreadPool(jobs);
             try {
@@ -677,7 +681,7 @@
                                         sum[1] += verdict.broken();
                                     });
                     result.rules().values().stream()
-                            .flatMap(v -> v.breaches().stream())
+                            .flatMap(verdict -> verdict.breaches().stream())
                             .limit(3)
                             .forEach(
                                     line ->
@@ -720,21 +724,21 @@
             name = "judge",
             mixinStandardHelpOptions = true,
             description =
-                    "Judges a capture by the figures of its day; knows no kills and no cold starts"
-                            + " but what the capture shows.",
+                    "Checks the rules in a capture, with the parameters of its day; knows of kills"
+                            + " and cold starts only what the capture shows.",
             footer = {
                 "",
                 "Example:",
                 "  coralcove judge days/bad-day.toml --capture capture.jsonl"
             })
     static final class JudgeCommand implements Callable<Integer> {
-        @CommandLine.Mixin private DayChoice day;
+        @CommandLine.Mixin private DayOptions day;
 
         @Option(
                 names = "--capture",
                 paramLabel = "FILE",
                 required = true,
-                description = "a capture, JSON lines")
+                description = "the capture, JSON lines")
         private Path capture;
 
         @Override
@@ -742,7 +746,7 @@
             Judge judge = new Judge(day.read().rules());
             judge.end(CaptureLine.read(capture, judge));
             judge.verdicts().values().forEach(Commands::print);
-            return judge.verdicts().values().stream().allMatch(v -> v.broken() == 0)
+            return judge.verdicts().values().stream().allMatch(verdict -> verdict.broken() == 0)
                     ? 0
                     : RULE_BROKEN;
         }
@@ -752,11 +756,12 @@
             name = "check",
             mixinStandardHelpOptions = true,
             description =
-                    "Checks a settings file or a day: a mistake is told with file, line, key and"
-                            + " reason.",
+                    "Checks a settings file or a day; an error names file, line, key and reason.",
             footer = {"", "Example:", "  coralcove check days/bad-day.toml"})
-    static final class Check implements Callable<Integer> {
-        @Parameters(paramLabel = "CONFIG", description = "settings of any kind, TOML")
+    static final class CheckCommand implements Callable<Integer> {
+        @Parameters(
+                paramLabel = "CONFIG",
+                description = "settings file of any kind, or a day, TOML")
         private Path config;
 
         @Override
@@ -778,9 +783,11 @@
                                     + " prefixes";
                     HoursCheck.of(table, System.currentTimeMillis() * 1000)
                             .forEach(
-                                    each ->
+                                    warning ->
                                             System.out.println(
-                                                    file.numbers().table() + ": warning: " + each));
+                                                    file.numbers().table()
+                                                            + ": warning: "
+                                                            + warning));
                 }
             } else if (toml.has("exchange")) {
                 kind = "stand-in exchange " + ExchangeFile.of(toml).settings().number();
--- a/src/main/java/coralcove/cli/ExperimentCommand.java
+++ b/src/main/java/coralcove/cli/ExperimentCommand.java
@@ -24,19 +24,19 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Experiments on the emulated network. */
+/** The {@code experiment} command: experiments on the emulated network. */
 @Command(
         name = "experiment",
         mixinStandardHelpOptions = true,
         description =
-                "Plays a day over levels of its factors and many seeds in virtual time, and"
-                        + " reports.",
+                "Plays a day in virtual time for all levels of the plan's factors and many seeds,"
+                        + " and reports the results.",
         subcommands = {
-            ExperimentCommand.Run.class,
+            ExperimentCommand.RunCommand.class,
             ExperimentCommand.ReportCommand.class,
-            ExperimentCommand.Export.class,
+            ExperimentCommand.ExportCommand.class,
             ExperimentCommand.SearchCommand.class,
-            ExperimentCommand.Calibrate.class
+            ExperimentCommand.CalibrateCommand.class
         },
         footer = {
             "",
@@ -56,8 +56,8 @@
         throw new CommandLine.ParameterException(spec.commandLine(), "a command is missing");
     }
 
-    /** A plan and where its results are. */
-    abstract static class WithPlan implements Callable<Integer> {
+    /** A command with a plan and a folder for its results. */
+    abstract static class PlanCommand implements Callable<Integer> {
         @Parameters(paramLabel = "PLAN", description = "the experiment's plan, TOML")
         private Path file;
 
@@ -65,12 +65,10 @@
                 names = "--out",
                 paramLabel = "FOLDER",
                 required = true,
-                description = "where results are kept")
+                description = "folder of the results")
         Path out;
 
-        @Option(
-                names = "--mix",
-                description = "take results of other versions of the program as well")
+        @Option(names = "--mix", description = "use results of other program versions too")
         boolean mix;
 
         Plan plan() throws BadConfig {
@@ -81,8 +79,8 @@
             return new ResultStore(out.resolve("results.mv"));
         }
 
-        /** Results of another version are told apart, not mixed. */
-        void sameVersion(ResultStore store, String version) throws IOException {
+        /** Rejects results of other program versions unless {@code --mix} is given. */
+        void requireSameVersion(ResultStore store, String version) throws IOException {
             List<String> others =
                     store.versions().stream().filter(v -> !v.equals(version)).toList();
             if (!mix && !others.isEmpty()) {
@@ -96,7 +94,7 @@
             }
         }
 
-        /** The plan's runs that have a result. */
+        /** Results of the plan's runs, without runs that have none. */
         static List<Outcome> outcomes(Plan plan, ResultStore store) {
             List<Outcome> found = new ArrayList<>();
             for (Plan.Run run : plan.runs(plan.firstSeed(), plan.seeds())) {
@@ -108,22 +106,22 @@
         }
     }
 
-    /** A plan that is run. */
-    abstract static class WithWorkers extends WithPlan {
+    /** A command that runs a plan in worker processes. */
+    abstract static class WorkerCommand extends PlanCommand {
         @Option(
                 names = "--workers",
                 paramLabel = "N",
-                description = "runs at once, each in a process of its own (default: cores)")
+                description = "number of worker processes (default: number of cores)")
         private int workers = Runtime.getRuntime().availableProcessors();
 
         @Option(
                 names = "--heap-mb",
                 paramLabel = "MB",
                 defaultValue = "1024",
-                description = "heap of each worker (default 1024)")
+                description = "heap of each worker process, in MB (default 1024)")
         private int heap;
 
-        @Option(names = "--quiet", description = "tell no run by itself")
+        @Option(names = "--quiet", description = "do not print each run")
         private boolean quiet;
 
         Runner runner(Plan plan, ResultStore store, String version) {
@@ -163,10 +161,9 @@
     @Command(
             name = "run",
             mixinStandardHelpOptions = true,
-            description =
-                    "Runs what has no result yet; may be ended and begun again at any moment.")
-    static final class Run extends WithWorkers {
-        @Option(names = "--retry-failed", description = "run again what failed")
+            description = "Runs what has no result yet; may be stopped and resumed at any time.")
+    static final class RunCommand extends WorkerCommand {
+        @Option(names = "--retry-failed", description = "repeat failed runs")
         private boolean retry;
 
         @Override
@@ -174,7 +171,7 @@
             Plan plan = plan();
             String version = Program.version();
             try (ResultStore store = store()) {
-                sameVersion(store, version);
+                requireSameVersion(store, version);
                 int seeds = runner(plan, store, version).run(retry);
                 List<Outcome> outcomes = outcomes(plan, store);
                 long failed = outcomes.stream().filter(Outcome::failed).count();
@@ -197,9 +194,9 @@
             name = "report",
             mixinStandardHelpOptions = true,
             description =
-                    "Writes tables and pictures: report.html by itself, PNGs, and the tables on"
-                            + " standard output.")
-    static final class ReportCommand extends WithPlan {
+                    "Writes report.html with all charts included, the charts as PNG files, and the"
+                            + " tables on standard output.")
+    static final class ReportCommand extends PlanCommand {
         @Override
         public Integer call() throws Exception {
             Plan plan = plan();
@@ -222,8 +219,10 @@
     @Command(
             name = "export",
             mixinStandardHelpOptions = true,
-            description = "Writes all results as JSON lines, by name: equal results, equal bytes.")
-    static final class Export extends WithPlan {
+            description =
+                    "Writes all results as JSON lines, sorted by name; equal results give equal"
+                            + " bytes.")
+    static final class ExportCommand extends PlanCommand {
         @Option(
                 names = "--to",
                 paramLabel = "FILE",
@@ -245,40 +244,40 @@
             name = "search",
             mixinStandardHelpOptions = true,
             description =
-                    "Looks for the smallest value of a key, or with --troubles the smallest set of"
-                            + " the day's troubles, at which the plan's [goal] breaks.")
-    static final class SearchCommand extends WithWorkers {
+                    "Searches the value of a key, or with --troubles the smallest set of the day's"
+                            + " troubles, at which the plan's [goal] is missed.")
+    static final class SearchCommand extends WorkerCommand {
         @Option(
                 names = "--key",
                 paramLabel = "KEY",
                 defaultValue = "traffic.load",
-                description = "key of the day (default " + "traffic.load)")
+                description = "key of the day (default traffic.load)")
         private String key;
 
         @Option(
                 names = "--from",
                 paramLabel = "VALUE",
                 defaultValue = "0.5",
-                description = "where the goal holds (default 0.5)")
+                description = "value at which the goal holds (default 0.5)")
         private double from;
 
         @Option(
                 names = "--to",
                 paramLabel = "VALUE",
                 defaultValue = "2",
-                description = "where it breaks (default 2)")
+                description = "value at which the goal is missed (default 2)")
         private double to;
 
         @Option(
                 names = "--tolerance",
                 paramLabel = "VALUE",
                 defaultValue = "0.01",
-                description = "how well the edge is to be " + "known (default 0.01)")
+                description = "precision of the search (default 0.01)")
         private double tolerance;
 
         @Option(
                 names = "--troubles",
-                description = "search the day's troubles, and write the smallest day")
+                description = "search the smallest set of troubles, and write it as a day")
         private boolean troubles;
 
         @Override
@@ -289,7 +288,7 @@
             }
             String version = Program.version();
             try (ResultStore store = new ResultStore(out.resolve("search.mv"))) {
-                sameVersion(store, version);
+                requireSameVersion(store, version);
                 Runner runner = runner(plan, store, version);
                 List<Plan.Run> bases = plan.runs(plan.firstSeed(), plan.seeds());
                 if (troubles) {
@@ -301,7 +300,7 @@
                                     to,
                                     tolerance,
                                     value ->
-                                            missed(
+                                            reasonGoalIsMissed(
                                                     plan,
                                                     runner,
                                                     store,
@@ -326,8 +325,8 @@
             return 0;
         }
 
-        /** Why the goal is missed by these runs, or "". */
-        private static String missed(
+        /** The reason why these runs miss the goal, or an empty string if they meet it. */
+        private static String reasonGoalIsMissed(
                 Plan plan, Runner runner, ResultStore store, List<Plan.Run> runs) {
             try {
                 runner.play(runs);
@@ -344,8 +343,8 @@
                     Search.smallest(
                             IntStream.range(0, count).boxed().toList(),
                             kept -> {
-                                String why =
-                                        missed(
+                                String reason =
+                                        reasonGoalIsMissed(
                                                 plan,
                                                 runner,
                                                 store,
@@ -356,8 +355,8 @@
                                         "troubles "
                                                 + kept
                                                 + ": "
-                                                + (why.isEmpty() ? "the goal holds" : why));
-                                return !why.isEmpty();
+                                                + (reason.isEmpty() ? "the goal holds" : reason));
+                                return !reason.isEmpty();
                             });
             Path file = out.resolve("smallest-day.toml");
             Files.writeString(
@@ -378,15 +377,15 @@
             name = "calibrate",
             mixinStandardHelpOptions = true,
             description =
-                    "Holds the emulated network against theory: Erlang B, Kaufman-Roberts, one"
-                            + " alternative by chance.",
+                    "Compares the emulated network with theory: Erlang B, Kaufman-Roberts, and"
+                            + " random alternative routing.",
             footer = {
                 "",
-                "Exit 1 where a law is missed.",
+                "Exit code 1 if a comparison fails.",
                 "Example:",
                 "  coralcove experiment calibrate --seconds 600 --seeds 8"
             })
-    static final class Calibrate implements Callable<Integer> {
+    static final class CalibrateCommand implements Callable<Integer> {
         @Option(
                 names = "--seconds",
                 paramLabel = "S",
@@ -398,16 +397,16 @@
                 names = "--seeds",
                 paramLabel = "N",
                 defaultValue = "8",
-                description = "days of each law (default 8)")
+                description = "number of days per comparison (default 8)")
         private int seeds;
 
         @Override
         public Integer call() {
             System.setProperty("coralcove.log", "WARN");
-            List<Calibration.Comparison> rows = new Calibration(seconds, seeds).all();
+            List<Calibration.Comparison> comparisons = new Calibration(seconds, seeds).all();
             System.out.println("share lost: law, theory, emulated");
-            rows.forEach(System.out::println);
-            return rows.stream().allMatch(Calibration.Comparison::agrees) ? 0 : 1;
+            comparisons.forEach(System.out::println);
+            return comparisons.stream().allMatch(Calibration.Comparison::agrees) ? 0 : 1;
         }
     }
 }
--- a/src/main/java/coralcove/cli/Main.java
+++ b/src/main/java/coralcove/cli/Main.java
@@ -9,15 +9,15 @@
 import java.nio.file.Path;
 
 /**
- * The program's entry. {@code drill}, {@code serve} and {@code trial} are started here, without
- * what the other commands need.
+ * Entry point of the program. Starts {@code drill}, {@code serve} and {@code trial} directly,
+ * without loading the classes that only the other commands need.
  */
 public final class Main {
-    /** The variable that names a session router's configuration. */
-    private static final String CONFIG = "BALANCER_CONFIG";
+    /** Environment variable with the path of the session router's configuration. */
+    private static final String CONFIG_VARIABLE = "BALANCER_CONFIG";
 
-    /** Sessions of a trial: enough to load what a session needs. */
-    private static final int SESSIONS = 100;
+    /** Sessions of a trial: enough to load every class that a session needs. */
+    private static final int TRIAL_SESSIONS = 100;
 
     private Main() {}
 
@@ -27,15 +27,16 @@
             switch (command) {
                 case "drill" -> Drill.run(System.in, System.out);
                 case "serve" -> {
-                    String file = System.getenv(CONFIG);
+                    String file = System.getenv(CONFIG_VARIABLE);
                     if (file == null || file.isEmpty()) {
-                        throw new BadConfig(CONFIG + " names no configuration");
+                        throw new BadConfig(
+                                CONFIG_VARIABLE + " does not name a configuration file");
                     }
                     Serve.run(Path.of(file));
                     System.exit(0);
                 }
                 case "trial" -> {
-                    Trial.Result result = Trial.run(SESSIONS);
+                    Trial.Result result = Trial.run(TRIAL_SESSIONS);
                     System.out.println(
                             result.asked()
                                     + " sessions, "
@@ -44,7 +45,9 @@
                                     + result.released()
                                     + " were released");
                     System.exit(
-                            result.stood() == SESSIONS && result.released() == SESSIONS ? 0 : 1);
+                            result.stood() == TRIAL_SESSIONS && result.released() == TRIAL_SESSIONS
+                                    ? 0
+                                    : 1);
                 }
                 default -> System.exit(Commands.run(args));
             }
--- a/src/main/java/coralcove/cli/NumbersCommand.java
+++ b/src/main/java/coralcove/cli/NumbersCommand.java
@@ -20,16 +20,16 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Tables of numbers on the command line. */
+/** The {@code numbers} command: checks, explains and compares number tables. */
 @Command(
         name = "numbers",
         mixinStandardHelpOptions = true,
-        description = "Checks, explains and compares tables of numbers.",
+        description = "Checks, explains and compares number tables.",
         subcommands = {
-            NumbersCommand.Build.class,
-            NumbersCommand.Look.class,
-            NumbersCommand.Diff.class,
-            NumbersCommand.Stats.class
+            NumbersCommand.BuildCommand.class,
+            NumbersCommand.LookCommand.class,
+            NumbersCommand.DiffCommand.class,
+            NumbersCommand.StatsCommand.class
         },
         footer = {
             "",
@@ -46,12 +46,12 @@
         throw new CommandLine.ParameterException(spec.commandLine(), "a command is missing");
     }
 
-    /** Which far ends there are, for the check. */
-    static final class FarEnds {
+    /** Option with the range of existing far ends, for checks. */
+    static final class FarEndOptions {
         @Option(
                 names = "--far-ends",
                 paramLabel = "A-B",
-                description = "the far ends there are; else all are taken")
+                description = "range of existing far ends; all are accepted without it")
         private String range;
 
         IntPredicate known() {
@@ -66,7 +66,7 @@
         }
     }
 
-    /** A bad file ends the command with its line. */
+    /** Reads a table; an error in it ends the command and names the line. */
     static NumberTable read(Path path, IntPredicate known) throws IOException {
         try {
             return TableReader.table(path, known);
@@ -83,16 +83,16 @@
             name = "build",
             mixinStandardHelpOptions = true,
             description =
-                    "Reads a table, with changes if given, and tells what is wrong: exit 1 if it"
-                            + " cannot serve.")
-    static final class Build implements Callable<Integer> {
+                    "Reads a table, applies changes if given, and prints errors and warnings; exit"
+                            + " 1 if the table is invalid.")
+    static final class BuildCommand implements Callable<Integer> {
         @Parameters(paramLabel = "TABLE", description = "the table's file")
         private Path path;
 
-        @Option(names = "--changes", paramLabel = "FILE", description = "changes to be made to it")
+        @Option(names = "--changes", paramLabel = "FILE", description = "file of changes to apply")
         private Path changes;
 
-        @CommandLine.Mixin private FarEnds farEnds;
+        @CommandLine.Mixin private FarEndOptions farEnds;
 
         @Override
         public Integer call() throws IOException {
@@ -106,7 +106,7 @@
                     table.calendars().size(),
                     (System.nanoTime() - start) / 1e6);
             if (changes != null) {
-                long edit = System.nanoTime();
+                long editStart = System.nanoTime();
                 try {
                     TableReader.Changes read = TableReader.changes(changes, table, farEnds.known());
                     if (read.after() != table.version()) {
@@ -115,12 +115,15 @@
                     table = table.edited(read.version(), read.list());
                     System.out.printf(
                             "table %d: %d changes, %.1f ms%n",
-                            table.version(), read.list().size(), (System.nanoTime() - edit) / 1e6);
+                            table.version(),
+                            read.list().size(),
+                            (System.nanoTime() - editStart) / 1e6);
                 } catch (TableReader.Bad e) {
                     throw new IOException(e.getMessage(), e);
                 }
             }
-            HoursCheck.of(table, now()).forEach(each -> System.out.println("warning: " + each));
+            HoursCheck.of(table, now())
+                    .forEach(warning -> System.out.println("warning: " + warning));
             return 0;
         }
     }
@@ -128,18 +131,18 @@
     @Command(
             name = "look",
             mixinStandardHelpOptions = true,
-            description = "Tells step by step where a number goes and why.")
-    static final class Look implements Callable<Integer> {
+            description = "Explains step by step how a number is routed.")
+    static final class LookCommand implements Callable<Integer> {
         @Parameters(index = "0", paramLabel = "TABLE", description = "the table's file")
         private Path path;
 
-        @Parameters(index = "1", paramLabel = "NUMBER", description = "what is dialled")
+        @Parameters(index = "1", paramLabel = "NUMBER", description = "the dialled number")
         private String dialled;
 
         @Option(
                 names = "--at",
                 paramLabel = "TIME",
-                description = "a moment, as 2026-11-30T03:00:00Z; else now")
+                description = "time of the call, as 2026-11-30T03:00:00Z (default now)")
         private String at;
 
         @Option(
@@ -153,8 +156,8 @@
                 names = "--routing",
                 paramLabel = "DIGITS",
                 description =
-                        "what the portability server would say; else the number counts as not"
-                                + " moved")
+                        "answer of the portability server; without it the number counts as not"
+                                + " ported")
         private String routing;
 
         @Override
@@ -164,25 +167,25 @@
             try {
                 now = at == null ? now() : Instant.parse(at).getEpochSecond() * 1_000_000;
             } catch (DateTimeException e) {
-                throw new IOException("--at " + at + " is no moment as 2026-11-30T03:00:00Z");
+                throw new IOException("--at " + at + " is not a time such as 2026-11-30T03:00:00Z");
             }
             Porting porting = new Porting(new Porting.Settings(1_000_000, 1, 0, 10, 10, 10));
             Search search = new Search(table, 1, dialled, service, now + 60_000_000);
             Search.Step step = search.next(now, porting);
             boolean first = true;
             while (step instanceof Search.Wait wait) {
-                boolean moved = first && routing != null;
+                boolean ported = first && routing != null;
                 porting.ended(
                         now,
                         wait.number(),
-                        moved ? Porting.Outcome.MOVED : Porting.Outcome.NOT_MOVED,
-                        moved ? Digits.pack(routing) : 0,
+                        ported ? Porting.Outcome.MOVED : Porting.Outcome.NOT_MOVED,
+                        ported ? Digits.pack(routing) : 0,
                         60_000_000);
                 first = false;
                 step = search.resume(now, porting);
             }
             System.out.println("table " + table.version());
-            search.steps().forEach(each -> System.out.println("  " + each));
+            search.steps().forEach(line -> System.out.println("  " + line));
             if (step instanceof Search.Route route) {
                 System.out.println(
                         "goes to far end "
@@ -192,13 +195,13 @@
                                         : " until "
                                                 + Instant.ofEpochSecond(
                                                         route.until() / 1_000_000)));
-            } else if (step instanceof Search.Refused no) {
+            } else if (step instanceof Search.Refused refused) {
                 System.out.println(
                         "is refused: "
-                                + no.status()
+                                + refused.status()
                                 + " "
-                                + no.reason()
-                                + (no.number().isEmpty() ? "" : ", now " + no.number()));
+                                + refused.reason()
+                                + (refused.number().isEmpty() ? "" : ", now " + refused.number()));
             }
             return 0;
         }
@@ -208,8 +211,9 @@
             name = "diff",
             mixinStandardHelpOptions = true,
             description =
-                    "Writes the changes that make one table of another, as a file of changes.")
-    static final class Diff implements Callable<Integer> {
+                    "Writes the changes from one table to another, in the format of a changes"
+                            + " file.")
+    static final class DiffCommand implements Callable<Integer> {
         @Parameters(index = "0", paramLabel = "FROM", description = "the older table's file")
         private Path from;
 
@@ -231,7 +235,7 @@
                     .each(
                             (key, value) -> {
                                 if (now.trie().get(key) == 0) {
-                                    System.out.println("drop " + name(key));
+                                    System.out.println("drop " + prefixText(key));
                                     count[0]++;
                                 }
                             });
@@ -239,13 +243,13 @@
                     .each(
                             (key, value) -> {
                                 int before = old.trie().get(key);
-                                Destination goes = now.destination(value);
-                                if (before == 0 || !old.destination(before).equals(goes)) {
+                                Destination destination = now.destination(value);
+                                if (before == 0 || !old.destination(before).equals(destination)) {
                                     System.out.println(
                                             "put "
-                                                    + name(key)
+                                                    + prefixText(key)
                                                     + " "
-                                                    + goes.text()
+                                                    + destination.text()
                                                     + (before == 0
                                                             ? ""
                                                             : "  # was "
@@ -259,15 +263,16 @@
         }
     }
 
-    private static String name(long key) {
+    private static String prefixText(long key) {
         return key == 0 ? "*" : Digits.text(key);
     }
 
     @Command(
             name = "stats",
             mixinStandardHelpOptions = true,
-            description = "Counts a table's prefixes and what it takes.")
-    static final class Stats implements Callable<Integer> {
+            description =
+                    "Prints the number of prefixes of a table by kind and length, and its size.")
+    static final class StatsCommand implements Callable<Integer> {
         @Parameters(paramLabel = "TABLE", description = "the table's file")
         private Path path;
 
--- a/src/main/java/coralcove/cli/PairCommand.java
+++ b/src/main/java/coralcove/cli/PairCommand.java
@@ -16,40 +16,41 @@
 import picocli.CommandLine.Parameters;
 
 /**
- * Starts an edge and its planner as processes of their own; the planner is started again, the edge
- * never because of it.
+ * Starts an edge and its planner as two child processes, and restarts the planner whenever it ends.
+ * The edge is never restarted.
  */
 @Command(
         name = "pair",
         mixinStandardHelpOptions = true,
         description =
-                "Runs a call router and its planner as two processes, and starts the planner again"
-                        + " when it ends.",
+                "Runs a call router and its planner as two processes, and restarts the planner when"
+                        + " it ends.",
         footer = {
             "",
-            "Ends when the router ends, with its exit code; SIGTERM goes to the router first.",
+            "Ends with the router, with its exit code; SIGTERM is sent to the router first.",
             "Example:",
             "  coralcove pair deploy/examples/edge-0.toml"
         })
 final class PairCommand implements Callable<Integer> {
-    /** Milliseconds between two looks at the two processes. */
-    private static final int LOOK = 50;
+    /** Interval at which both processes are polled. */
+    private static final int POLL_INTERVAL_MILLIS = 50;
 
     /**
-     * Seconds that the planner has to close its store; the edge takes as long as its sessions need.
+     * Time allowed for the planner to close its store. The edge may take as long as its sessions
+     * need.
      */
-    private static final int PLANNER_ENDS = 5;
+    private static final int PLANNER_STOP_TIMEOUT_SECONDS = 5;
 
     @Parameters(
             paramLabel = "CONFIG",
-            description = "the router's settings, TOML, with a [planner] table")
+            description = "the router's settings file, TOML, with a [planner] table")
     private Path config;
 
     @Option(
             names = "--log",
             paramLabel = "LEVEL",
             defaultValue = "INFO",
-            description = "as for edge")
+            description = "log level, as for edge")
     private String level;
 
     @Override
@@ -60,35 +61,37 @@
             throw toml.table("planner").bad("listen", "is missing: this router has no planner");
         }
         Process edge = start("edge");
-        Restarts restarts = new Restarts(new SplittableRandom());
+        Restarts backoff = new Restarts(new SplittableRandom());
         Process[] planner = {null};
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> end(edge, planner)));
+        Runtime.getRuntime().addShutdownHook(new Thread(() -> stop(edge, planner)));
         long startAt = 0;
         while (edge.isAlive()) {
             long now = System.nanoTime() / 1000;
             if (planner[0] != null && !planner[0].isAlive()) {
-                startAt = restarts.ended(now);
+                startAt = backoff.ended(now);
                 System.err.println(
                         "coralcove: planner ended with "
                                 + planner[0].exitValue()
-                                + ", starts again in "
+                                + ", restarts in "
                                 + (startAt - now) / 1000
                                 + " ms");
                 planner[0] = null;
             }
             if (planner[0] == null && now >= startAt) {
                 planner[0] = start("planner");
-                restarts.started(now);
+                backoff.started(now);
             }
-            edge.waitFor(LOOK, TimeUnit.MILLISECONDS);
+            edge.waitFor(POLL_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         }
-        end(edge, planner);
+        stop(edge, planner);
         return edge.exitValue();
     }
 
-    /** The same program again, with the same settings of the machine. */
+    /**
+     * Starts another process of this program with the same Java runtime, classpath and settings.
+     */
     private Process start(String command) throws IOException {
-        List<String> line =
+        List<String> commandLine =
                 new ArrayList<>(
                         List.of(
                                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -102,16 +105,16 @@
                                 config.toString(),
                                 "--log",
                                 level));
-        return new ProcessBuilder(line).inheritIO().start();
+        return new ProcessBuilder(commandLine).inheritIO().start();
     }
 
-    private static void end(Process edge, Process[] planner) {
+    private static void stop(Process edge, Process[] planner) {
         edge.destroy();
         try {
             edge.waitFor();
             if (planner[0] != null) {
                 planner[0].destroy();
-                if (!planner[0].waitFor(PLANNER_ENDS, TimeUnit.SECONDS)) {
+                if (!planner[0].waitFor(PLANNER_STOP_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
                     planner[0].destroyForcibly();
                 }
             }
--- a/src/main/java/coralcove/cli/SourcesCommand.java
+++ b/src/main/java/coralcove/cli/SourcesCommand.java
@@ -28,34 +28,35 @@
 import picocli.CommandLine.Parameters;
 
 /**
- * Asks a router's sources from beside it, and tells what each says, what is believed of it, and
- * why.
+ * Queries the directories and name servers of a router, and prints what each reports, the roster
+ * that results, and the reason of each entry.
  */
 @Command(
         name = "sources",
         mixinStandardHelpOptions = true,
         description =
-                "Asks a router's directories and name servers, and tells what each says and what is"
-                        + " believed, and why.",
+                "Queries a router's directories and name servers, and prints their reports and the"
+                        + " roster that results, with reasons.",
         footer = {
             "",
-            "It asks from a port of its own and changes nothing; the router may be running or not.",
+            "Uses a port of its own and changes nothing; the router need not be running.",
             "Example:",
             "  coralcove sources deploy/examples/edge-0.toml"
         })
 final class SourcesCommand implements Callable<Integer> {
-    @Parameters(paramLabel = "CONFIG", description = "a router's settings, TOML")
+    @Parameters(paramLabel = "CONFIG", description = "the router's settings file, TOML")
     private Path config;
 
     @Option(
             names = "--wait",
             paramLabel = "MS",
             defaultValue = "1500",
-            description = "for answers, in ms (default 1500)")
+            description = "time to wait for answers, in ms (default 1500)")
     private int wait;
 
-    /** What is read from the core, on its thread. */
-    private record Seen(List<Roster.Said> said, List<Belief> beliefs, List<Roster.Say> says) {}
+    /** State of the core, copied on its thread. */
+    private record Snapshot(
+            List<Roster.Said> reports, List<Belief> roster, List<Roster.Say> authorities) {}
 
     @Override
     public Integer call() throws Exception {
@@ -89,21 +90,21 @@
                         new DnsClient(file.dns().servers(), new SecureRandom()));
             }
             network.run(network.now() + wait * 1000L);
-            CompletableFuture<Seen> seen = new CompletableFuture<>();
+            CompletableFuture<Snapshot> result = new CompletableFuture<>();
             network.on(
                     "sources",
                     (now, out) -> {
-                        List<Roster.Say> says = new ArrayList<>();
+                        List<Roster.Say> authorities = new ArrayList<>();
                         for (int i = 0; i < settings.directories().size(); i++) {
-                            says.add(core.roster().say(now, i));
+                            authorities.add(core.roster().say(now, i));
                         }
-                        seen.complete(
-                                new Seen(
+                        result.complete(
+                                new Snapshot(
                                         core.roster().said(),
                                         List.copyOf(core.roster().beliefs()),
-                                        says));
+                                        authorities));
                     });
-            print(settings, seen.get(wait + 5000L, TimeUnit.MILLISECONDS));
+            print(settings, result.get(wait + 5000L, TimeUnit.MILLISECONDS));
             return 0;
         }
     }
@@ -114,12 +115,15 @@
         }
     }
 
-    private static void print(EdgeSettings settings, Seen seen) {
+    private static void print(EdgeSettings settings, Snapshot snapshot) {
         for (int i = 0; i < settings.directories().size(); i++) {
             String name = settings.directories().get(i).toString();
             System.out.println(
-                    name + (seen.says.get(i) == Roster.Say.NONE ? " says nothing" : " says"));
-            for (Roster.Said each : seen.said) {
+                    name
+                            + (snapshot.authorities.get(i) == Roster.Say.NONE
+                                    ? " says nothing"
+                                    : " says"));
+            for (Roster.Said each : snapshot.reports) {
                 if (each.source().equals(name)) {
                     Life life = each.life();
                     System.out.println(
@@ -140,7 +144,7 @@
             }
         }
         System.out.println("believed");
-        seen.beliefs.stream()
+        snapshot.roster.stream()
                 .sorted(
                         Comparator.comparingInt((Belief b) -> b.exchange().number())
                                 .thenComparingLong(b -> b.exchange().id()))
--- a/src/test/java/coralcove/cli/NumbersCommandTest.java
+++ b/src/test/java/coralcove/cli/NumbersCommandTest.java
@@ -12,9 +12,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class NumbersCommandTest {
-    private final StringBuilder told = new StringBuilder();
+    private final StringBuilder output = new StringBuilder();
 
-    private void runs(Path folder, String... args) {
+    private void run(Path folder, String... args) {
         PrintStream out = System.out;
         PrintStream err = System.err;
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
@@ -22,7 +22,7 @@
             System.setOut(both);
             System.setErr(both);
             int code = Commands.run(args);
-            told.append("$ numbers ")
+            output.append("$ numbers ")
                     .append(String.join(" ", java.util.Arrays.asList(args).subList(1, args.length)))
                     .append("  # exit ")
                     .append(code)
@@ -33,13 +33,13 @@
             System.setErr(err);
         }
         int at;
-        while ((at = told.indexOf(folder + "/")) >= 0) {
-            told.delete(at, at + folder.toString().length() + 1);
+        while ((at = output.indexOf(folder + "/")) >= 0) {
+            output.delete(at, at + folder.toString().length() + 1);
         }
     }
 
     @Test
-    void buildsLooksComparesAndCounts(@TempDir Path folder) throws Exception {
+    void printsTablesLookUpsDifferencesAndStatistics(@TempDir Path folder) throws Exception {
         Path first = folder.resolve("a.table");
         Path second = folder.resolve("b.table");
         Path changes = folder.resolve("ab.changes");
@@ -61,17 +61,17 @@
                 text.replace("table 1", "table 2")
                         .replace("811 to 0", "811 to 1 services 0,2")
                         .replace("819 ported 1", "8191 ported 0"));
-        runs(folder, "numbers", "build", first.toString(), "--far-ends", "0-0");
-        runs(folder, "numbers", "look", first.toString(), "02-555", "--at", "2026-11-30T10:00:00Z");
-        runs(folder, "numbers", "look", first.toString(), "095", "--routing", "8115");
-        runs(folder, "numbers", "look", first.toString(), "035");
-        runs(folder, "numbers", "diff", first.toString(), second.toString());
-        String diff = told.substring(told.lastIndexOf("exit 0\n") + 7);
+        run(folder, "numbers", "build", first.toString(), "--far-ends", "0-0");
+        run(folder, "numbers", "look", first.toString(), "02-555", "--at", "2026-11-30T10:00:00Z");
+        run(folder, "numbers", "look", first.toString(), "095", "--routing", "8115");
+        run(folder, "numbers", "look", first.toString(), "035");
+        run(folder, "numbers", "diff", first.toString(), second.toString());
+        String diff = output.substring(output.lastIndexOf("exit 0\n") + 7);
         Files.writeString(changes, diff);
-        runs(folder, "numbers", "stats", second.toString());
-        assertThat(told.toString()).isEqualTo(Kept.trace("numbers-command"));
-        runs(folder, "numbers", "build", first.toString(), "--changes", changes.toString());
-        assertThat(told.toString())
+        run(folder, "numbers", "stats", second.toString());
+        assertThat(output.toString()).isEqualTo(Kept.trace("numbers-command"));
+        run(folder, "numbers", "build", first.toString(), "--changes", changes.toString());
+        assertThat(output.toString())
                 .contains("table 2: 3 changes,")
                 .contains("overlap of day and late, the first counts")
                 .contains("gap: no calendar is open");
--- a/src/test/java/coralcove/cli/SourcesCommandTest.java
+++ b/src/test/java/coralcove/cli/SourcesCommandTest.java
@@ -23,19 +23,19 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A directory with one exchange and a name server with another, asked over loopback sockets. */
+/** Queries a directory with one exchange and a name server with another over loopback sockets. */
 class SourcesCommandTest {
-    private static int free() throws Exception {
+    private static int freePort() throws Exception {
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             return socket.getLocalPort();
         }
     }
 
     @Test
-    void tellsWhatEachSaysAndWhatIsBelievedAndWhy(@TempDir Path folder) throws Exception {
-        int directory = free();
-        int names = free();
-        int dead = free();
+    void printsReportsOfEachSourceAndTheResultingRoster(@TempDir Path folder) throws Exception {
+        int directory = freePort();
+        int nameServer = freePort();
+        int silentDirectory = freePort();
         ServiceZone zone =
                 new ServiceZone("example.org", 60)
                         .srv("_sip._udp.ex1.example.org", 1, 1, "h.example.org", 5099)
@@ -50,12 +50,12 @@
                                 "directory = [\"udp:127.0.0.1:"
                                         + directory
                                         + "\", \"udp:127.0.0.1:"
-                                        + dead
+                                        + silentDirectory
                                         + "\"]")
                         .replace(
                                 "[limits]",
                                 "[dns]\nservers = \"127.0.0.1:"
-                                        + names
+                                        + nameServer
                                         + "\"\nname = \"ex%d.example.org\"\n"
                                         + "numbers = [0, 1, 2]\n\n[limits]"));
         PrintStream out = System.out;
@@ -64,7 +64,7 @@
                 DnsServer server =
                         new DnsServer(
                                 "127.0.0.1",
-                                names,
+                                nameServer,
                                 new DnsStandIn(zone, 1000, new SplittableRandom(1)))) {
             assertThat(server).isNotNull();
             Hop at = new Hop(false, "127.0.0.1", directory);
@@ -83,9 +83,9 @@
         assertThat(
                         bytes.toString(StandardCharsets.UTF_8)
                                 .replace(Integer.toString(directory), "DIRECTORY")
-                                .replace(Integer.toString(dead), "DEAD")
-                                // The directory's list may come before or after DNS's word on
-                                // number 1, which takes an id of its own.
+                                .replace(Integer.toString(silentDirectory), "DEAD")
+                                // The directory's list may arrive before or after the DNS answer
+                                // for number 1, which is given an id of its own.
                                 .replaceAll("is -[12] READY", "is -N READY"))
                 .isEqualTo(
                         """
@@ -98,7 +98,7 @@
                         """);
     }
 
-    /** Sent until it is answered: the directory's thread may not read yet. */
+    /** Registers an exchange; repeats the request, as the directory may not be reading yet. */
     private static void register(int directory) throws Exception {
         try (DatagramSocket socket = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"))) {
             socket.setSoTimeout(200);
@@ -128,10 +128,10 @@
                             .isEqualTo(200);
                     return;
                 } catch (java.net.SocketTimeoutException e) {
-                    // Once more.
+                    // Sent again.
                 }
             }
-            throw new AssertionError("the directory never answered");
+            throw new AssertionError("the directory did not answer");
         }
     }
 }
