--- a/src/main/java/coralcove/planner/EdgeLink.java
+++ b/src/main/java/coralcove/planner/EdgeLink.java
@@ -8,101 +8,112 @@
 import java.util.function.Consumer;
 
 /**
- * The edge's end of the link, without sockets and clock: it listens, takes one planner, tells it
- * facts and takes its plans. What a planner does or fails to do never reaches the sessions but
- * through {@link PlanKeeper}.
+ * The edge's end of the link to its planner, without sockets and clock: it accepts one planner,
+ * sends it group loads and receives its plans. A planner affects sessions only through {@link
+ * PlanKeeper}, however it behaves or fails.
  */
 public final class EdgeLink {
-    /** What it does. */
+    /** Actions of the link on its connections and its log. */
     public interface Out {
+        /** Sends bytes on a connection. */
         void send(long connection, byte[] bytes);
 
+        /** Closes a connection. */
         void close(long connection);
 
-        /** Bytes that this connection has not taken yet. */
+        /** Bytes sent on a connection that it has not accepted yet. */
         long backlog(long connection);
 
+        /** Logs an event. */
         void log(String event, String detail);
     }
 
     /**
-     * µs between two batches of facts: a refresh comes each 5 s a group, and a plan a second later
-     * is as good.
+     * µs between two batches of group loads, and between two ticks. Each group's load is updated
+     * every 5 s, so a plan that comes a second later is as useful.
      */
-    private static final long EVERY = 250_000;
+    private static final long SEND_INTERVAL_MICROS = 250_000;
 
-    /** µs of silence after which the other end is taken for dead: three of its signs of life. */
-    private static final long SILENT = 3_000_000;
+    /** µs of silence after which a connection is closed: three heartbeat intervals. */
+    private static final long SILENCE_TIMEOUT_MICROS = 3_000_000;
 
-    /** µs between two signs of life. */
-    private static final long ALIVE = 1_000_000;
+    /** µs without anything sent after which a heartbeat is sent. */
+    private static final long HEARTBEAT_INTERVAL_MICROS = 1_000_000;
 
-    /** Groups in one batch; more wait for the next, the newest of each group only. */
-    private static final int BATCH = 256;
+    /** Greatest number of groups in one batch; the others wait for the next batch. */
+    private static final int MAX_BATCH = 256;
 
     /**
-     * Bytes waiting from which no more facts are sent: a planner that reads no faster gets newer
-     * ones later.
+     * Bytes of backlog from which no more loads are sent, so that a slow planner gets newer ones.
      */
-    private static final long BACKLOG = 256 << 10;
+    private static final long MAX_BACKLOG_BYTES = 256 << 10;
 
-    /** Connections that have not said who they are, at most: past it a new one is closed. */
-    private static final int UNKNOWN = 8;
+    /** Greatest number of connections without an accepted hello; further ones are closed. */
+    private static final int MAX_UNIDENTIFIED = 8;
 
+    /** An open connection. */
     private static final class Peer {
-        final Frame.Framer framer = new Frame.Framer();
-        long heard;
+        final Frame.FrameDecoder decoder = new Frame.FrameDecoder();
+        long lastReceivedAt;
 
-        Peer(long heard) {
-            this.heard = heard;
+        Peer(long lastReceivedAt) {
+            this.lastReceivedAt = lastReceivedAt;
         }
     }
 
+    private static final long NO_CONNECTION = -1;
+
     private final Settings settings;
-    private final PlanKeeper keeper;
-    private final FactsOut facts;
-    private final long start;
-    private final Consumer<Plan> taken;
+    private final PlanKeeper plannedTargets;
+    private final FactsOut loadQueue;
+    private final long startTag;
+    private final Consumer<Plan> planAccepted;
     private final Map<Long, Peer> peers = new TreeMap<>();
-    private final Map<String, Long> counts = new TreeMap<>();
-    private long planner = -1;
-    private long factsAt;
-    private long aliveAt;
+    private final Map<String, Long> counters = new TreeMap<>();
+
+    /** Connection of the planner, or {@link #NO_CONNECTION}. */
+    private long plannerConnection = NO_CONNECTION;
+
+    private long nextLoadsAt;
+    private long nextHeartbeatAt;
 
-    /** {@code start} tells this start from others. */
-    public EdgeLink(Settings settings, PlanKeeper keeper, FactsOut facts, long start) {
-        this(settings, keeper, facts, start, plan -> {});
+    /** Creates a link; {@code startTag} distinguishes this start of the edge from others. */
+    public EdgeLink(
+            Settings settings, PlanKeeper plannedTargets, FactsOut loadQueue, long startTag) {
+        this(settings, plannedTargets, loadQueue, startTag, plan -> {});
     }
 
-    /** {@code taken} hears of each plan that is in force from now on. */
+    /** Creates a link that passes each plan that comes into force to {@code planAccepted}. */
     public EdgeLink(
             Settings settings,
-            PlanKeeper keeper,
-            FactsOut facts,
-            long start,
-            Consumer<Plan> taken) {
-        this.taken = taken;
+            PlanKeeper plannedTargets,
+            FactsOut loadQueue,
+            long startTag,
+            Consumer<Plan> planAccepted) {
+        this.planAccepted = planAccepted;
         this.settings = settings;
-        this.keeper = keeper;
-        this.facts = facts;
-        this.start = start;
+        this.plannedTargets = plannedTargets;
+        this.loadQueue = loadQueue;
+        this.startTag = startTag;
     }
 
-    public boolean planned() {
-        return planner >= 0;
+    /** Whether a planner is connected and has been accepted. */
+    public boolean hasPlanner() {
+        return plannerConnection >= 0;
     }
 
     /**
-     * What happened how often: plans taken and refused by reason, planners turned away, bad frames,
-     * silences.
+     * Counters by event: plans accepted, plans rejected by reason, planners rejected, malformed
+     * frames, silent connections.
      */
-    public Map<String, Long> counts() {
-        return counts;
+    public Map<String, Long> counters() {
+        return counters;
     }
 
+    /** A connection has been opened to the edge. */
     public void opened(long now, long connection, Out out) {
-        long unknown = peers.size() - (planner >= 0 ? 1 : 0);
-        if (unknown >= UNKNOWN) {
+        long unidentified = peers.size() - (plannerConnection >= 0 ? 1 : 0);
+        if (unidentified >= MAX_UNIDENTIFIED) {
             count("too-many");
             out.close(connection);
             return;
@@ -110,136 +121,149 @@
         peers.put(connection, new Peer(now));
     }
 
+    /** A connection has been closed by the other end or has failed. */
     public void closed(long now, long connection, Out out) {
         peers.remove(connection);
-        if (connection == planner) {
-            planner = -1;
+        if (connection == plannerConnection) {
+            plannerConnection = NO_CONNECTION;
             out.log("planner-gone", "connection closed");
         }
     }
 
+    /** Bytes have been received on a connection. */
     public void read(long now, long connection, byte[] bytes, Out out) {
         Peer peer = peers.get(connection);
         if (peer == null) {
             return;
         }
-        peer.heard = now;
+        peer.lastReceivedAt = now;
         try {
-            for (byte[] each : peer.framer.take(bytes)) {
+            for (byte[] frame : peer.decoder.feed(bytes)) {
                 if (!peers.containsKey(connection)) {
                     return;
                 }
-                take(now, connection, Frame.read(each), out);
+                handle(now, connection, Frame.decode(frame), out);
             }
-        } catch (Frame.Bad e) {
+        } catch (Frame.MalformedFrameException e) {
             count("bad-frame");
-            drop(connection, "bad frame: " + e.getMessage(), out);
+            drop(connection, "malformed frame: " + e.getMessage(), out);
         }
     }
 
-    private void take(long now, long connection, Frame frame, Out out) {
+    private void handle(long now, long connection, Frame frame, Out out) {
         if (frame instanceof Frame.Hello hello) {
-            hello(now, connection, hello, out);
-        } else if (connection != planner) {
+            handleHello(now, connection, hello, out);
+        } else if (connection != plannerConnection) {
             count("unknown-peer");
-            drop(connection, "spoke before it said who it is", out);
-        } else if (frame instanceof Frame.Planned planned) {
-            PlanKeeper.Refusal refusal = keeper.offer(now, planned.plan());
+            drop(connection, "message received before a hello", out);
+        } else if (frame instanceof Frame.PlanOffer offer) {
+            PlanKeeper.Refusal result = plannedTargets.offer(now, offer.plan());
             count(
-                    refusal == PlanKeeper.Refusal.NONE
+                    result == PlanKeeper.Refusal.NONE
                             ? "taken"
-                            : refusal.name().toLowerCase(java.util.Locale.ROOT));
-            if (refusal == PlanKeeper.Refusal.NONE) {
-                taken.accept(planned.plan());
-                planned.plan().groups().forEach(group -> facts.planned(group.number(), group.at()));
+                            : result.name().toLowerCase(java.util.Locale.ROOT));
+            if (result == PlanKeeper.Refusal.NONE) {
+                planAccepted.accept(offer.plan());
+                offer.plan()
+                        .groups()
+                        .forEach(group -> loadQueue.planAccepted(group.number(), group.at()));
             } else {
-                out.log("plan-refused", "version " + planned.plan().version() + " " + refusal);
+                out.log("plan-refused", "version " + offer.plan().version() + " " + result);
             }
-            send(connection, new Frame.Taken(planned.plan().version(), refusal.name()), out);
+            send(connection, new Frame.PlanReply(offer.plan().version(), result.name()), out);
         }
     }
 
-    private void hello(long now, long connection, Frame.Hello hello, Out out) {
-        String reason =
-                !hello.planner()
+    private void handleHello(long now, long connection, Frame.Hello hello, Out out) {
+        String rejection =
+                !hello.fromPlanner()
                         ? "not a planner"
                         : hello.router() != settings.ownNumber()
                                 ? "a planner for router " + hello.router()
-                                : hello.classes() != 2 * settings.services().size()
-                                        ? "a planner of " + hello.classes() + " classes"
-                                        : planner >= 0 && planner != connection
+                                : hello.classCount() != 2 * settings.services().size()
+                                        ? "a planner of " + hello.classCount() + " classes"
+                                        : plannerConnection >= 0 && plannerConnection != connection
                                                 ? "another planner is there"
                                                 : "";
-        if (!reason.isEmpty()) {
+        if (!rejection.isEmpty()) {
             count("turned-away");
-            send(connection, new Frame.Refused(reason), out);
-            drop(connection, reason, out);
+            send(connection, new Frame.HelloRejected(rejection), out);
+            drop(connection, rejection, out);
             return;
         }
-        planner = connection;
-        factsAt = now;
-        aliveAt = now + ALIVE;
-        // What the last planner heard and did not plan would be missing until the next refresh, or
-        // the one after.
-        facts.again();
+        plannerConnection = connection;
+        nextLoadsAt = now;
+        nextHeartbeatAt = now + HEARTBEAT_INTERVAL_MICROS;
+        // Groups whose loads the last planner received and did not plan would have no plan until
+        // the next load update, or the one after.
+        loadQueue.requeueUnplanned();
         out.log(
                 "planner-here",
-                "start " + hello.start() + ", plan " + keeper.version() + " in force");
+                "start " + hello.startTag() + ", plan " + plannedTargets.version() + " in force");
         send(
                 connection,
                 new Frame.Hello(
-                        false, settings.ownNumber(), hello.classes(), start, keeper.version()),
+                        false,
+                        settings.ownNumber(),
+                        hello.classCount(),
+                        startTag,
+                        plannedTargets.version()),
                 out);
     }
 
+    /**
+     * Closes silent connections, sends queued loads and heartbeats; called at each tick interval.
+     */
     public void tick(long now, Out out) {
         for (long connection : java.util.List.copyOf(peers.keySet())) {
-            // A link that stalls without closing is as good as none, and holds the place of a
-            // planner that is well.
-            if (now - peers.get(connection).heard >= SILENT) {
+            // A connection that stalls without closing is useless, and would block a planner that
+            // works from being accepted.
+            if (now - peers.get(connection).lastReceivedAt >= SILENCE_TIMEOUT_MICROS) {
                 count("silent");
-                drop(connection, "silent for " + SILENT / 1000 + " ms", out);
+                drop(connection, "silent for " + SILENCE_TIMEOUT_MICROS / 1000 + " ms", out);
             }
         }
-        if (planner < 0) {
+        if (plannerConnection < 0) {
             return;
         }
-        if (now >= factsAt && facts.waiting() > 0 && out.backlog(planner) < BACKLOG) {
-            factsAt = now + EVERY;
-            send(planner, new Frame.Facts(facts.take(BATCH)), out);
-            aliveAt = now + ALIVE;
+        if (now >= nextLoadsAt
+                && loadQueue.queuedCount() > 0
+                && out.backlog(plannerConnection) < MAX_BACKLOG_BYTES) {
+            nextLoadsAt = now + SEND_INTERVAL_MICROS;
+            send(plannerConnection, new Frame.GroupLoads(loadQueue.drain(MAX_BATCH)), out);
+            nextHeartbeatAt = now + HEARTBEAT_INTERVAL_MICROS;
         }
-        if (now >= aliveAt) {
-            aliveAt = now + ALIVE;
-            send(planner, new Frame.Alive(), out);
+        if (now >= nextHeartbeatAt) {
+            nextHeartbeatAt = now + HEARTBEAT_INTERVAL_MICROS;
+            send(plannerConnection, new Frame.Heartbeat(), out);
         }
     }
 
-    /** µs between two looks of {@link #tick}. */
+    /** µs between two calls of {@link #tick}. */
     public static long every() {
-        return EVERY;
+        return SEND_INTERVAL_MICROS;
     }
 
     private void drop(long connection, String reason, Out out) {
         peers.remove(connection);
         out.close(connection);
-        out.log(connection == planner ? "planner-gone" : "peer-dropped", reason);
-        planner = connection == planner ? -1 : planner;
+        out.log(connection == plannerConnection ? "planner-gone" : "peer-dropped", reason);
+        plannerConnection = connection == plannerConnection ? NO_CONNECTION : plannerConnection;
     }
 
     private static void send(long connection, Frame frame, Out out) {
-        out.send(connection, frame.bytes());
+        out.send(connection, frame.encode());
     }
 
-    private void count(String what) {
-        counts.merge(what, 1L, Long::sum);
+    private void count(String event) {
+        counters.merge(event, 1L, Long::sum);
     }
 
-    /** Counters for a report. */
-    public Map<String, Long> report() {
-        Map<String, Long> all = new TreeMap<>(counts);
-        all.put("facts-dropped", facts.counts()[0]);
-        all.put("facts-thinned", facts.counts()[1]);
+    /** The counters of the link and of its queue of loads. */
+    public Map<String, Long> allCounters() {
+        Map<String, Long> all = new TreeMap<>(counters);
+        all.put("facts-dropped", loadQueue.counters()[0]);
+        all.put("facts-thinned", loadQueue.counters()[1]);
         return all;
     }
 }
--- a/src/main/java/coralcove/planner/FactsOut.java
+++ b/src/main/java/coralcove/planner/FactsOut.java
@@ -8,58 +8,62 @@
 import java.util.Map;
 
 /**
- * Facts on their way to the planner: one a group, the newest wins, so that a planner that does not
- * read costs no memory and reads the newest first thing when it is back. Bounded by groups; past it
- * the one told longest ago goes.
+ * Queue of group loads to be sent to the planner. It holds one entry per trunk group, and a newer
+ * one replaces an older one, so that a planner that does not read costs no memory and first
+ * receives the newest loads when it reads again. The number of groups is bounded; beyond the bound
+ * the entry that was updated least recently is dropped.
  */
 public final class FactsOut {
-    private final int most;
-    private final Map<Integer, GroupFacts> waiting = new LinkedHashMap<>();
+    private final int maxGroups;
+    private final Map<Integer, GroupFacts> queued = new LinkedHashMap<>();
 
     /**
-     * Sent, and no plan that rests on them has come: a planner that starts anew gets them again.
+     * Loads that were sent while no plan based on them has been accepted yet; a planner that
+     * connects later receives them again.
      */
     private final Map<Integer, GroupFacts> unplanned = new LinkedHashMap<>();
 
     private long dropped;
     private long replaced;
 
-    public FactsOut(int most) {
-        this.most = most;
+    /** Creates a queue for at most {@code maxGroups} groups. */
+    public FactsOut(int maxGroups) {
+        this.maxGroups = maxGroups;
     }
 
-    public void add(GroupFacts facts) {
-        if (waiting.remove(facts.number()) != null) {
+    /** Queues the load of a group in place of any older one of the same group. */
+    public void add(GroupFacts load) {
+        if (queued.remove(load.number()) != null) {
             replaced++;
         }
-        unplanned.remove(facts.number());
-        waiting.put(facts.number(), facts);
-        if (waiting.size() > most) {
-            Iterator<Integer> oldest = waiting.keySet().iterator();
+        unplanned.remove(load.number());
+        queued.put(load.number(), load);
+        if (queued.size() > maxGroups) {
+            Iterator<Integer> oldest = queued.keySet().iterator();
             oldest.next();
             oldest.remove();
             dropped++;
         }
     }
 
-    /** The ones told longest ago first, {@code count} at most. */
-    public List<GroupFacts> take(int count) {
-        List<GroupFacts> out = new ArrayList<>();
-        Iterator<GroupFacts> oldest = waiting.values().iterator();
-        while (out.size() < count && oldest.hasNext()) {
+    /** Removes and returns at most {@code count} loads, the least recently updated ones first. */
+    public List<GroupFacts> drain(int count) {
+        List<GroupFacts> drained = new ArrayList<>();
+        Iterator<GroupFacts> oldest = queued.values().iterator();
+        while (drained.size() < count && oldest.hasNext()) {
             GroupFacts next = oldest.next();
-            out.add(next);
+            drained.add(next);
             unplanned.put(next.number(), next);
             oldest.remove();
         }
-        while (unplanned.size() > most) {
+        while (unplanned.size() > maxGroups) {
             unplanned.remove(unplanned.keySet().iterator().next());
         }
-        return out;
+        return drained;
     }
 
-    /** A plan rests on this group's facts of that moment. */
-    public void planned(int number, long at) {
+    /** Notes that the plan in force for a group is based on its load measured at {@code at}, µs. */
+    public void planAccepted(int number, long at) {
         GroupFacts sent = unplanned.get(number);
         if (sent != null && sent.at() <= at) {
             unplanned.remove(number);
@@ -67,26 +71,27 @@
     }
 
     /**
-     * Another planner: what the last one was told and did not plan waits again, before what is
-     * newer.
+     * Queues again, before newer loads, what the last planner was sent and did not plan. Called
+     * when another planner connects.
      */
-    public void again() {
-        Map<Integer, GroupFacts> later = new LinkedHashMap<>(waiting);
-        waiting.clear();
-        waiting.putAll(unplanned);
+    public void requeueUnplanned() {
+        Map<Integer, GroupFacts> newer = new LinkedHashMap<>(queued);
+        queued.clear();
+        queued.putAll(unplanned);
         unplanned.clear();
-        later.values().forEach(this::add);
+        newer.values().forEach(this::add);
     }
 
-    public int waiting() {
-        return waiting.size();
+    /** Number of loads that wait to be sent. */
+    public int queuedCount() {
+        return queued.size();
     }
 
     /**
-     * Dropped for room, and thinned out because a newer one of the same group came before they were
-     * sent.
+     * Returns the number of loads dropped because the queue was full, and the number replaced by a
+     * newer one of the same group before they were sent.
      */
-    public long[] counts() {
+    public long[] counters() {
         return new long[] {dropped, replaced};
     }
 }
--- a/src/main/java/coralcove/planner/Frame.java
+++ b/src/main/java/coralcove/planner/Frame.java
@@ -11,222 +11,253 @@
 import java.util.zip.CRC32C;
 
 /**
- * One message between a router's edge and its planner: four bytes of length, the link's version, a
- * type, four bytes of CRC-32C over what follows, the body. Numbers are big-endian.
+ * A message on the link between a router's edge and its planner. A frame holds four bytes of
+ * length, the version of the link, a type, four bytes of CRC-32C over the type and the body, and
+ * the body. The length counts the bytes that follow it. Numbers are big-endian.
  */
 public sealed interface Frame {
     /**
-     * Who speaks, for which router, with how many classes, since which start, and the plan in force
-     * (0: none).
+     * First message of either end.
+     *
+     * @param fromPlanner whether the sender is a planner; false for an edge
+     * @param router number of the router that the sender serves
+     * @param classCount number of classes that loads and plans hold
+     * @param startTag distinguishes this start of the sender from its other starts
+     * @param planVersion version of the plan in force, 0 for none
      */
-    record Hello(boolean planner, int router, int classes, long start, long version)
+    record Hello(boolean fromPlanner, int router, int classCount, long startTag, long planVersion)
             implements Frame {}
 
-    /** The one who is turned away learns why, and tries again much later. */
-    record Refused(String reason) implements Frame {}
+    /** Rejects the hello of a planner, which then waits for its longest reconnect delay. */
+    record HelloRejected(String reason) implements Frame {}
 
-    record Facts(List<GroupFacts> groups) implements Frame {}
+    /** Loads of some groups, from the edge. */
+    record GroupLoads(List<GroupFacts> groups) implements Frame {}
 
-    record Planned(Plan plan) implements Frame {}
+    /** A plan for some groups, from the planner. */
+    record PlanOffer(Plan plan) implements Frame {}
 
-    /** What the edge made of a plan. */
-    record Taken(long version, String refusal) implements Frame {}
+    /** The edge's reply to a plan: {@code result} is NONE if accepted, else why it was rejected. */
+    record PlanReply(long version, String result) implements Frame {}
 
-    /** Nothing to say, and alive. */
-    record Alive() implements Frame {}
+    /** Sent by either end when it has had nothing else to send for a while. */
+    record Heartbeat() implements Frame {}
 
-    /** Version of this link; another is refused. */
+    /** Version of the link; frames of another version are rejected. */
     int VERSION = 1;
 
-    /** Bytes of a frame at most: a plan of 1,000 groups with 40 classes fits. */
-    int LONGEST = 2 << 20;
+    /** Bytes of the length field. */
+    int LENGTH_BYTES = 4;
 
-    int HEAD = 10;
-    int MOST_CLASSES = 256;
-    int MOST_GROUPS = 65_536;
-    int MOST_TEXT = 1000;
+    /** Greatest value of the length field: a plan of 1,000 groups with 40 classes fits. */
+    int MAX_LENGTH = 2 << 20;
 
-    /** Bytes that are no frame of this link; the link is closed. */
-    final class Bad extends Exception {
+    /** Bytes before the body, including the length field. */
+    int HEADER_BYTES = 10;
+
+    int MAX_CLASSES = 256;
+    int MAX_GROUPS = 65_536;
+    int MAX_TEXT_CHARS = 1000;
+
+    /** Loads of a class are below this, in calls in progress at the same time. */
+    double MAX_LOAD = 1e12;
+
+    int TYPE_HELLO = 1;
+    int TYPE_HELLO_REJECTED = 2;
+    int TYPE_GROUP_LOADS = 3;
+    int TYPE_PLAN_OFFER = 4;
+    int TYPE_PLAN_REPLY = 5;
+    int TYPE_HEARTBEAT = 6;
+
+    /** Thrown for bytes that are not a valid frame; the receiver closes the connection. */
+    final class MalformedFrameException extends Exception {
         private static final long serialVersionUID = 1;
 
-        Bad(String reason) {
+        MalformedFrameException(String reason) {
             super(reason);
         }
     }
 
-    // ---- written
+    // ---- encoding
 
-    default byte[] bytes() {
-        ByteBuffer body = ByteBuffer.allocate(size());
-        int type = write(body);
+    /** Returns the complete frame, with its length. */
+    default byte[] encode() {
+        ByteBuffer body = ByteBuffer.allocate(maxBodyBytes());
+        int type = writeBody(body);
         body.flip();
-        CRC32C sum = new CRC32C();
-        sum.update(type);
-        sum.update(body.duplicate());
-        ByteBuffer all = ByteBuffer.allocate(HEAD + body.remaining());
-        all.putInt(HEAD - 4 + body.remaining())
+        CRC32C checksum = new CRC32C();
+        checksum.update(type);
+        checksum.update(body.duplicate());
+        ByteBuffer frame = ByteBuffer.allocate(HEADER_BYTES + body.remaining());
+        frame.putInt(HEADER_BYTES - LENGTH_BYTES + body.remaining())
                 .put((byte) VERSION)
                 .put((byte) type)
-                .putInt((int) sum.getValue());
-        return all.put(body).array();
+                .putInt((int) checksum.getValue());
+        return frame.put(body).array();
     }
 
-    private int size() {
-        if (this instanceof Facts facts) {
-            return 4 + facts.groups.stream().mapToInt(g -> 18 + 8 * g.calls().length).sum();
+    /** Bytes that the body takes at most: exact for loads and plans, an upper bound for others. */
+    private int maxBodyBytes() {
+        if (this instanceof GroupLoads loads) {
+            return 4 + loads.groups.stream().mapToInt(group -> 18 + 8 * group.calls().length).sum();
         }
-        if (this instanceof Planned planned) {
-            return 16 + planned.plan.groups().stream().mapToInt(g -> 22 + 25 * g.c0().length).sum();
+        if (this instanceof PlanOffer offer) {
+            return 16
+                    + offer.plan.groups().stream()
+                            .mapToInt(group -> 22 + 25 * group.c0().length)
+                            .sum();
         }
-        return 64 + 4 * MOST_TEXT;
+        return 64 + 4 * MAX_TEXT_CHARS;
     }
 
-    private int write(ByteBuffer out) {
+    /** Writes the body and returns the type of the frame. */
+    private int writeBody(ByteBuffer out) {
         if (this instanceof Hello hello) {
-            out.put((byte) (hello.planner ? 1 : 0))
+            out.put((byte) (hello.fromPlanner ? 1 : 0))
                     .putInt(hello.router)
-                    .putShort((short) hello.classes)
-                    .putLong(hello.start)
-                    .putLong(hello.version);
-            return 1;
+                    .putShort((short) hello.classCount)
+                    .putLong(hello.startTag)
+                    .putLong(hello.planVersion);
+            return TYPE_HELLO;
         }
-        if (this instanceof Refused refused) {
-            text(out, refused.reason);
-            return 2;
+        if (this instanceof HelloRejected rejected) {
+            writeText(out, rejected.reason);
+            return TYPE_HELLO_REJECTED;
         }
-        if (this instanceof Facts facts) {
-            out.putInt(facts.groups.size());
-            for (GroupFacts each : facts.groups) {
-                out.putLong(each.at())
-                        .putInt(each.number())
-                        .putInt(each.size())
-                        .putShort((short) each.calls().length);
-                for (double calls : each.calls()) {
+        if (this instanceof GroupLoads loads) {
+            out.putInt(loads.groups.size());
+            for (GroupFacts load : loads.groups) {
+                out.putLong(load.at())
+                        .putInt(load.number())
+                        .putInt(load.size())
+                        .putShort((short) load.calls().length);
+                for (double calls : load.calls()) {
                     out.putDouble(calls);
                 }
             }
-            return 3;
+            return TYPE_GROUP_LOADS;
         }
-        if (this instanceof Planned planned) {
-            out.putInt(planned.plan.router())
-                    .putLong(planned.plan.version())
-                    .putInt(planned.plan.groups().size());
-            for (GroupPlan each : planned.plan.groups()) {
-                out.putLong(each.at())
-                        .putInt(each.number())
-                        .putDouble(each.beta())
-                        .putShort((short) each.c0().length);
-                for (int i = 0; i < each.c0().length; i++) {
-                    out.putDouble(each.c0()[i])
-                            .putDouble(each.c1()[i])
-                            .putDouble(each.phantoms()[i])
-                            .put((byte) (each.seen()[i] ? 1 : 0));
+        if (this instanceof PlanOffer offer) {
+            out.putInt(offer.plan.router())
+                    .putLong(offer.plan.version())
+                    .putInt(offer.plan.groups().size());
+            for (GroupPlan group : offer.plan.groups()) {
+                out.putLong(group.at())
+                        .putInt(group.number())
+                        .putDouble(group.beta())
+                        .putShort((short) group.c0().length);
+                for (int i = 0; i < group.c0().length; i++) {
+                    out.putDouble(group.c0()[i])
+                            .putDouble(group.c1()[i])
+                            .putDouble(group.phantoms()[i])
+                            .put((byte) (group.seen()[i] ? 1 : 0));
                 }
             }
-            return 4;
+            return TYPE_PLAN_OFFER;
         }
-        if (this instanceof Taken taken) {
-            out.putLong(taken.version);
-            text(out, taken.refusal);
-            return 5;
+        if (this instanceof PlanReply reply) {
+            out.putLong(reply.version);
+            writeText(out, reply.result);
+            return TYPE_PLAN_REPLY;
         }
-        return 6;
+        return TYPE_HEARTBEAT;
     }
 
-    private static void text(ByteBuffer out, String text) {
+    private static void writeText(ByteBuffer out, String text) {
         byte[] bytes =
-                text.substring(0, Math.min(MOST_TEXT, text.length()))
+                text.substring(0, Math.min(MAX_TEXT_CHARS, text.length()))
                         .getBytes(java.nio.charset.StandardCharsets.UTF_8);
         out.putShort((short) bytes.length).put(bytes);
     }
 
-    // ---- read
+    // ---- decoding
 
-    /** Reads what stands behind the length. */
-    static Frame read(byte[] bytes) throws Bad {
+    /** Decodes a frame without its length field. */
+    static Frame decode(byte[] bytes) throws MalformedFrameException {
         ByteBuffer in = ByteBuffer.wrap(bytes);
         try {
             int version = in.get();
             if (version != VERSION) {
-                throw new Bad("link version " + version);
+                throw new MalformedFrameException("unsupported link version " + version);
             }
             int type = in.get();
-            int sum = in.getInt();
-            CRC32C found = new CRC32C();
-            found.update(type);
-            found.update(in.duplicate());
-            if ((int) found.getValue() != sum) {
-                throw new Bad("checksum of a frame of type " + type);
+            int expected = in.getInt();
+            CRC32C checksum = new CRC32C();
+            checksum.update(type);
+            checksum.update(in.duplicate());
+            if ((int) checksum.getValue() != expected) {
+                throw new MalformedFrameException("wrong checksum in a frame of type " + type);
             }
-            Frame frame = body(type, in);
+            Frame frame = readBody(type, in);
             if (in.hasRemaining()) {
-                throw new Bad(in.remaining() + " bytes behind a frame of type " + type);
+                throw new MalformedFrameException(
+                        in.remaining() + " bytes after the body of a frame of type " + type);
             }
             return frame;
         } catch (BufferUnderflowException e) {
-            throw new Bad("a frame that ends early");
+            throw new MalformedFrameException("truncated frame");
         }
     }
 
-    private static Frame body(int type, ByteBuffer in) throws Bad {
+    private static Frame readBody(int type, ByteBuffer in) throws MalformedFrameException {
         return switch (type) {
-            case 1 ->
+            case TYPE_HELLO ->
                     new Hello(
                             in.get() != 0, in.getInt(), in.getShort(), in.getLong(), in.getLong());
-            case 2 -> new Refused(text(in));
-            case 3 -> {
-                int count = count(in, MOST_GROUPS);
+            case TYPE_HELLO_REJECTED -> new HelloRejected(readText(in));
+            case TYPE_GROUP_LOADS -> {
+                int count = readGroupCount(in, MAX_GROUPS);
                 List<GroupFacts> groups = new ArrayList<>();
                 for (int i = 0; i < count; i++) {
                     long at = in.getLong();
                     int number = in.getInt();
                     int size = in.getInt();
-                    double[] calls = new double[classes(in)];
+                    double[] calls = new double[readClassCount(in)];
                     for (int c = 0; c < calls.length; c++) {
                         calls[c] = in.getDouble();
-                        if (!(calls[c] >= 0 && calls[c] < 1e12)) {
-                            throw new Bad("a load of " + calls[c]);
+                        if (!(calls[c] >= 0 && calls[c] < MAX_LOAD)) {
+                            throw new MalformedFrameException("invalid load " + calls[c]);
                         }
                     }
                     if (number < 0 || size < 0) {
-                        throw new Bad("group " + number + " of " + size);
+                        throw new MalformedFrameException(
+                                "invalid group " + number + " of size " + size);
                     }
                     groups.add(new GroupFacts(at, number, size, calls));
                 }
-                yield new Facts(groups);
+                yield new GroupLoads(groups);
             }
-            case 4 -> {
+            case TYPE_PLAN_OFFER -> {
                 int router = in.getInt();
                 long version = in.getLong();
-                int count = count(in, MOST_GROUPS);
+                int count = readGroupCount(in, MAX_GROUPS);
                 List<GroupPlan> groups = new ArrayList<>();
                 for (int i = 0; i < count; i++) {
-                    groups.add(group(in));
+                    groups.add(readGroupPlan(in));
                 }
-                yield new Planned(new Plan(router, version, groups));
+                yield new PlanOffer(new Plan(router, version, groups));
             }
-            case 5 -> new Taken(in.getLong(), text(in));
-            case 6 -> new Alive();
-            default -> throw new Bad("a frame of type " + type);
+            case TYPE_PLAN_REPLY -> new PlanReply(in.getLong(), readText(in));
+            case TYPE_HEARTBEAT -> new Heartbeat();
+            default -> throw new MalformedFrameException("unknown frame type " + type);
         };
     }
 
-    private static GroupPlan group(ByteBuffer in) throws Bad {
+    private static GroupPlan readGroupPlan(ByteBuffer in) throws MalformedFrameException {
         long at = in.getLong();
         int number = in.getInt();
         double beta = in.getDouble();
-        int n = classes(in);
+        int classes = readClassCount(in);
         GroupPlan plan =
                 new GroupPlan(
                         at,
                         number,
                         beta,
-                        new double[n],
-                        new double[n],
-                        new boolean[n],
-                        new double[n]);
-        for (int i = 0; i < n; i++) {
+                        new double[classes],
+                        new double[classes],
+                        new boolean[classes],
+                        new double[classes]);
+        for (int i = 0; i < classes; i++) {
             plan.c0()[i] = in.getDouble();
             plan.c1()[i] = in.getDouble();
             plan.phantoms()[i] = in.getDouble();
@@ -235,54 +266,56 @@
         return plan;
     }
 
-    private static int count(ByteBuffer in, int most) throws Bad {
+    private static int readGroupCount(ByteBuffer in, int max) throws MalformedFrameException {
         int count = in.getInt();
-        if (count < 0 || count > most) {
-            throw new Bad(count + " entries");
+        if (count < 0 || count > max) {
+            throw new MalformedFrameException("invalid group count " + count);
         }
         return count;
     }
 
-    private static int classes(ByteBuffer in) throws Bad {
+    private static int readClassCount(ByteBuffer in) throws MalformedFrameException {
         int count = in.getShort();
-        if (count < 0 || count > MOST_CLASSES) {
-            throw new Bad(count + " classes");
+        if (count < 0 || count > MAX_CLASSES) {
+            throw new MalformedFrameException("invalid class count " + count);
         }
         return count;
     }
 
-    private static String text(ByteBuffer in) throws Bad {
+    private static String readText(ByteBuffer in) throws MalformedFrameException {
         int length = in.getShort();
-        if (length < 0 || length > 4 * MOST_TEXT || length > in.remaining()) {
-            throw new Bad("a text of " + length + " bytes");
+        if (length < 0 || length > 4 * MAX_TEXT_CHARS || length > in.remaining()) {
+            throw new MalformedFrameException("invalid text length " + length);
         }
         byte[] bytes = new byte[length];
         in.get(bytes);
         return new String(bytes, java.nio.charset.StandardCharsets.UTF_8);
     }
 
-    /** Cuts a stream into frames, over any split of it. */
-    final class Framer {
-        private byte[] held = new byte[0];
+    /** Splits a stream of bytes into frames, however the stream is divided. */
+    final class FrameDecoder {
+        private byte[] incomplete = new byte[0];
 
-        /** The whole frames that these bytes complete, without their lengths. */
-        public List<byte[]> take(byte[] bytes) throws Bad {
-            byte[] all = Arrays.copyOf(held, held.length + bytes.length);
-            System.arraycopy(bytes, 0, all, held.length, bytes.length);
+        /** Returns the frames that these bytes complete, without their length fields. */
+        public List<byte[]> feed(byte[] bytes) throws MalformedFrameException {
+            byte[] all = Arrays.copyOf(incomplete, incomplete.length + bytes.length);
+            System.arraycopy(bytes, 0, all, incomplete.length, bytes.length);
             List<byte[]> frames = new ArrayList<>();
-            int at = 0;
-            while (all.length - at >= 4) {
-                int length = ByteBuffer.wrap(all, at, 4).getInt();
-                if (length < HEAD - 4 || length > LONGEST) {
-                    throw new Bad("a frame of " + length + " bytes");
+            int start = 0;
+            while (all.length - start >= LENGTH_BYTES) {
+                int length = ByteBuffer.wrap(all, start, LENGTH_BYTES).getInt();
+                if (length < HEADER_BYTES - LENGTH_BYTES || length > MAX_LENGTH) {
+                    throw new MalformedFrameException("invalid frame length " + length);
                 }
-                if (all.length - at - 4 < length) {
+                if (all.length - start - LENGTH_BYTES < length) {
                     break;
                 }
-                frames.add(Arrays.copyOfRange(all, at + 4, at + 4 + length));
-                at += 4 + length;
+                frames.add(
+                        Arrays.copyOfRange(
+                                all, start + LENGTH_BYTES, start + LENGTH_BYTES + length));
+                start += LENGTH_BYTES + length;
             }
-            held = Arrays.copyOfRange(all, at, all.length);
+            incomplete = Arrays.copyOfRange(all, start, all.length);
             return frames;
         }
     }
--- a/src/main/java/coralcove/planner/PlanShelf.java
+++ b/src/main/java/coralcove/planner/PlanShelf.java
@@ -11,48 +11,53 @@
 import java.util.TreeMap;
 
 /**
- * The plans that an edge has taken, one a group, on their way to its store; and which of a store's
- * plans still count when an edge starts again. The newest of a group wins, so that a slow disk
- * costs no memory.
+ * Plans that an edge has accepted and not yet written to its plan store, one per trunk group. A
+ * newer plan of a group replaces an older one, so that a slow disk costs no memory. Thread-safe:
+ * the router's thread adds plans and the store's thread drains them.
  */
 public final class PlanShelf {
-    private final Map<Integer, Plan> taken = new LinkedHashMap<>();
+    private final Map<Integer, Plan> pendingByGroup = new LinkedHashMap<>();
 
-    /** A plan that is in force from now on; told on the router's thread. */
+    /** Adds the groups of a plan that has come into force. */
     public synchronized void taken(Plan plan) {
-        for (GroupPlan each : plan.groups()) {
-            taken.put(each.number(), new Plan(plan.router(), plan.version(), List.of(each)));
+        for (GroupPlan group : plan.groups()) {
+            pendingByGroup.put(
+                    group.number(), new Plan(plan.router(), plan.version(), List.of(group)));
         }
     }
 
-    /** What has been taken since this was last asked; asked on the store's thread. */
+    /** Removes and returns the plans added since the last call, one group in each. */
     public synchronized List<Plan> drain() {
-        List<Plan> all = new ArrayList<>(taken.values());
-        taken.clear();
-        return all;
+        List<Plan> drained = new ArrayList<>(pendingByGroup.values());
+        pendingByGroup.clear();
+        return drained;
     }
 
     /**
-     * Puts in force what is stored for this router and not stale, by the age of its facts as
-     * always; returns the groups. A moment still to come, as after a clock was set back, says
-     * nothing of age, and is left.
+     * Puts stored plans into force again after a restart of the edge, and returns the number of
+     * groups restored. Plans of another router and plans whose loads are stale are skipped, and so
+     * are those whose loads were measured after {@code now}, as after a clock was set back: their
+     * age is unknown.
      */
     public static int resume(long now, Settings settings, PlanKeeper keeper, List<Plan> stored) {
-        TreeMap<Long, List<GroupPlan>> byVersion = new TreeMap<>();
+        TreeMap<Long, List<GroupPlan>> groupsByVersion = new TreeMap<>();
         for (Plan plan : stored) {
-            for (GroupPlan each : plan.groups()) {
+            for (GroupPlan group : plan.groups()) {
                 if (plan.router() == settings.ownNumber()
-                        && each.at() <= now
-                        && now - each.at() < PlanKeeper.STALE_FROM) {
-                    byVersion.computeIfAbsent(plan.version(), v -> new ArrayList<>()).add(each);
+                        && group.at() <= now
+                        && now - group.at() < PlanKeeper.STALE_FROM) {
+                    groupsByVersion
+                            .computeIfAbsent(plan.version(), version -> new ArrayList<>())
+                            .add(group);
                 }
             }
         }
-        int groups = 0;
-        for (Map.Entry<Long, List<GroupPlan>> each : byVersion.entrySet()) {
-            Plan plan = new Plan(settings.ownNumber(), each.getKey(), each.getValue());
-            groups += keeper.offer(now, plan) == PlanKeeper.Refusal.NONE ? plan.groups().size() : 0;
+        int restored = 0;
+        for (Map.Entry<Long, List<GroupPlan>> entry : groupsByVersion.entrySet()) {
+            Plan plan = new Plan(settings.ownNumber(), entry.getKey(), entry.getValue());
+            restored +=
+                    keeper.offer(now, plan) == PlanKeeper.Refusal.NONE ? plan.groups().size() : 0;
         }
-        return groups;
+        return restored;
     }
 }
--- a/src/main/java/coralcove/planner/PlannerCore.java
+++ b/src/main/java/coralcove/planner/PlannerCore.java
@@ -11,208 +11,235 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The planner of one router, without sockets and clock: it connects to its edge, hears facts, and
- * sends plans, some groups at a time. It may be ended at any moment: the edge holds the plan, and
- * what it has learnt comes again with the next facts. Its own clock counts only gaps and silences;
- * the age of facts is told by the edge's.
+ * The planner of one router, without sockets and clock: it connects to its edge, receives group
+ * loads and sends plans for some groups at a time. It may be killed at any time: the edge holds the
+ * plans, and the loads come again with the next updates. The planner's own clock measures only
+ * intervals; the age of loads is measured by the edge's clock.
  */
 public final class PlannerCore {
-    /** What it does. */
+    /** Actions of the planner on its connection and its log. */
     public interface Out {
+        /** Starts to connect to the edge. */
         void connect();
 
+        /** Sends bytes to the edge. */
         void send(byte[] bytes);
 
+        /** Closes the connection. */
         void close();
 
+        /** Logs an event. */
         void log(String event, String detail);
     }
 
-    /** µs between two turns of planning, and groups planned in one: 200 groups take a second. */
-    private static final long TURN = 100_000;
+    /** µs between two rounds of planning, and between two ticks. */
+    private static final long ROUND_INTERVAL_MICROS = 100_000;
 
-    private static final int BUDGET = 24;
+    /** Greatest number of groups planned in one round: 200 groups take a second. */
+    private static final int GROUPS_PER_ROUND = 24;
 
-    /** µs: the first gap between two attempts to connect, and the longest. */
-    private static final long GAP_FIRST = 100_000;
+    /** µs: the first delay between two attempts to connect. */
+    private static final long INITIAL_RECONNECT_DELAY_MICROS = 100_000;
 
-    private static final long GAP_LONGEST = 5_000_000;
+    /** µs: the longest delay between two attempts to connect. */
+    private static final long MAX_RECONNECT_DELAY_MICROS = 5_000_000;
 
-    /** µs of silence after which the edge is taken for gone, and between two signs of life. */
-    private static final long SILENT = 3_000_000;
+    /** µs of silence after which the connection to the edge is closed. */
+    private static final long SILENCE_TIMEOUT_MICROS = 3_000_000;
 
-    private static final long ALIVE = 1_000_000;
+    /** µs without anything sent after which a heartbeat is sent. */
+    private static final long HEARTBEAT_INTERVAL_MICROS = 1_000_000;
 
-    /** Groups whose facts are kept at most. */
+    /** Greatest number of groups whose loads are stored. */
     public static final int MOST_GROUPS = 4096;
 
-    private static final long NOT_HEARD = Long.MIN_VALUE;
+    private static final long NEVER = Long.MIN_VALUE;
 
+    /** State of the connection to the edge. */
     private enum State {
+        /** Not connected; the next attempt is scheduled. */
         APART,
+        /** An attempt to connect is under way. */
         CONNECTING,
+        /** Connected; the hello has been sent. */
         GREETING,
+        /** The edge has accepted the hello. */
         AGREED
     }
 
     private final Settings settings;
     private final Planner planner;
-    private final RandomGenerator chance;
-    private final long start;
-    private final Schedule schedule;
+    private final RandomGenerator random;
+    private final long startTag;
+    private final PlanningSchedule schedule;
 
-    /** Null where loads are planned as they were counted. */
-    private final Outlook outlook;
+    /** Null where loads are planned as measured. */
+    private final LoadForecast forecast;
 
-    private Frame.Framer framer = new Frame.Framer();
+    private Frame.FrameDecoder decoder = new Frame.FrameDecoder();
     private State state = State.APART;
-    private long nextTry;
-    private long gap = GAP_FIRST;
-    private long heard;
-    private long aliveAt;
-    private long turnAt;
+    private long nextConnectAt;
+    private long reconnectDelay = INITIAL_RECONNECT_DELAY_MICROS;
+    private long lastReceivedAt;
+    private long nextHeartbeatAt;
+    private long nextRoundAt;
     private long version;
-    private long newest = Long.MIN_VALUE;
-    private long newestHeard = NOT_HEARD;
-    private long taken;
-    private long refused;
 
-    public PlannerCore(Settings settings, long start, RandomGenerator chance) {
-        this(settings, start, chance, false);
+    /** Latest time of measurement of any load, by the edge's clock. */
+    private long newestLoadAt = Long.MIN_VALUE;
+
+    /** Local time at which that load was received from the edge. */
+    private long newestLoadReceivedAt = NEVER;
+
+    private long acceptedPlans;
+    private long rejectedPlans;
+
+    /** Creates a planner that plans for the loads as measured. */
+    public PlannerCore(Settings settings, long startTag, RandomGenerator random) {
+        this(settings, startTag, random, false);
     }
 
     /**
-     * With {@code ahead} it plans for the load to come where that is sure, not for the load
-     * counted.
+     * Creates a planner.
+     *
+     * @param startTag distinguishes this start of the planner from others
+     * @param random randomizes the reconnect delays
+     * @param forecastLoads whether significant changes of load are extrapolated
      */
-    public PlannerCore(Settings settings, long start, RandomGenerator chance, boolean ahead) {
+    public PlannerCore(
+            Settings settings, long startTag, RandomGenerator random, boolean forecastLoads) {
         this.settings = settings;
-        this.start = start;
-        this.chance = chance;
+        this.startTag = startTag;
+        this.random = random;
         planner = new Planner(settings);
         int[] widths = new int[2 * settings.services().size()];
         for (int i = 0; i < widths.length; i++) {
             widths[i] = settings.services().get(i / 2).width();
         }
-        schedule = new Schedule(widths, MOST_GROUPS);
-        long[] holds = new long[widths.length];
-        Arrays.setAll(holds, i -> settings.services().get(i / 2).hold());
-        outlook = ahead ? new Outlook(holds, MOST_GROUPS) : null;
+        schedule = new PlanningSchedule(widths, MOST_GROUPS);
+        long[] holdTimes = new long[widths.length];
+        Arrays.setAll(holdTimes, i -> settings.services().get(i / 2).hold());
+        forecast = forecastLoads ? new LoadForecast(holdTimes, MOST_GROUPS) : null;
     }
 
-    public boolean agreed() {
+    /** Whether the edge has accepted this planner. */
+    public boolean handshakeComplete() {
         return state == State.AGREED;
     }
 
-    /** Plans that the edge took, and refused. */
-    public long[] counts() {
-        return new long[] {taken, refused};
+    /** Returns the number of plans that the edge accepted and the number that it rejected. */
+    public long[] planCounters() {
+        return new long[] {acceptedPlans, rejectedPlans};
     }
 
     /**
-     * Facts from a store: they are planned if they are still young once the edge has told its time.
+     * Adds loads from a store. They are planned if they are still recent by the edge's clock once
+     * the edge has sent a load.
      */
-    public void learn(List<GroupFacts> facts) {
-        for (GroupFacts each : facts) {
-            if (schedule.told(each)) {
-                newest = Math.max(newest, each.at());
+    public void restore(List<GroupFacts> loads) {
+        for (GroupFacts load : loads) {
+            if (schedule.add(load)) {
+                newestLoadAt = Math.max(newestLoadAt, load.at());
             }
         }
-        schedule.changed();
+        schedule.drainChanged();
     }
 
-    /** Facts told since this was last asked, for the store. */
-    public List<GroupFacts> changed() {
-        return schedule.changed();
+    /** Returns the loads received since the last call, to be written to the store. */
+    public List<GroupFacts> drainChanged() {
+        return schedule.drainChanged();
     }
 
+    /** The connection to the edge has been established. */
     public void connected(long now, Out out) {
         state = State.GREETING;
-        framer = new Frame.Framer();
-        heard = now;
+        decoder = new Frame.FrameDecoder();
+        lastReceivedAt = now;
         out.send(
                 new Frame.Hello(
                                 true,
                                 settings.ownNumber(),
                                 2 * settings.services().size(),
-                                start,
+                                startTag,
                                 version)
-                        .bytes());
+                        .encode());
     }
 
-    /** The connection has ended or could not be made. */
+    /** The connection has ended or could not be established. */
     public void closed(long now, Out out) {
         if (state == State.APART) {
             return;
         }
         state = State.APART;
-        nextTry = now + gap / 2 + chance.nextLong(gap);
-        gap = Math.min(GAP_LONGEST, 2 * gap);
-        out.log("edge-gone", "next try in " + (nextTry - now) / 1000 + " ms");
+        nextConnectAt = now + reconnectDelay / 2 + random.nextLong(reconnectDelay);
+        reconnectDelay = Math.min(MAX_RECONNECT_DELAY_MICROS, 2 * reconnectDelay);
+        out.log("edge-gone", "next try in " + (nextConnectAt - now) / 1000 + " ms");
     }
 
+    /** Bytes have been received from the edge. */
     public void read(long now, byte[] bytes, Out out) {
         if (state == State.APART) {
             return;
         }
-        heard = now;
+        lastReceivedAt = now;
         try {
-            for (byte[] each : framer.take(bytes)) {
-                take(now, Frame.read(each), out);
+            for (byte[] frame : decoder.feed(bytes)) {
+                handle(now, Frame.decode(frame), out);
                 if (state == State.APART) {
                     return;
                 }
             }
-        } catch (Frame.Bad e) {
+        } catch (Frame.MalformedFrameException e) {
             out.log("bad-frame", e.getMessage());
             out.close();
             closed(now, out);
         }
     }
 
-    private void take(long now, Frame frame, Out out) {
+    private void handle(long now, Frame frame, Out out) {
         if (frame instanceof Frame.Hello hello) {
             state = State.AGREED;
-            gap = GAP_FIRST;
-            // The edge refuses what is not newer: a planner that starts anew goes on where the last
-            // one ended.
-            version = Math.max(version, hello.version());
-            aliveAt = now + ALIVE;
-            turnAt = now;
+            reconnectDelay = INITIAL_RECONNECT_DELAY_MICROS;
+            // The edge rejects versions that are not newer, so a restarted planner continues from
+            // the version in force.
+            version = Math.max(version, hello.planVersion());
+            nextHeartbeatAt = now + HEARTBEAT_INTERVAL_MICROS;
+            nextRoundAt = now;
             out.log(
                     "edge-here",
-                    "start " + hello.start() + ", plan " + hello.version() + " in force");
-        } else if (frame instanceof Frame.Refused no) {
-            gap = GAP_LONGEST;
-            out.log("turned-away", no.reason());
+                    "start " + hello.startTag() + ", plan " + hello.planVersion() + " in force");
+        } else if (frame instanceof Frame.HelloRejected rejected) {
+            reconnectDelay = MAX_RECONNECT_DELAY_MICROS;
+            out.log("turned-away", rejected.reason());
             out.close();
             closed(now, out);
-        } else if (frame instanceof Frame.Facts facts) {
-            for (GroupFacts each : facts.groups()) {
-                if (schedule.told(each) && each.at() >= newest) {
-                    newest = each.at();
-                    newestHeard = now;
+        } else if (frame instanceof Frame.GroupLoads loads) {
+            for (GroupFacts load : loads.groups()) {
+                if (schedule.add(load) && load.at() >= newestLoadAt) {
+                    newestLoadAt = load.at();
+                    newestLoadReceivedAt = now;
                 }
             }
-        } else if (frame instanceof Frame.Taken answer) {
-            if (answer.refusal().equals("NONE")) {
-                taken++;
+        } else if (frame instanceof Frame.PlanReply reply) {
+            if (reply.result().equals("NONE")) {
+                acceptedPlans++;
             } else {
-                refused++;
-                out.log("plan-refused", "version " + answer.version() + " " + answer.refusal());
+                rejectedPlans++;
+                out.log("plan-refused", "version " + reply.version() + " " + reply.result());
             }
         }
     }
 
+    /** Connects, plans and checks time-outs as needed; called at each tick interval. */
     public void tick(long now, Out out) {
-        if (state == State.APART && now >= nextTry) {
+        if (state == State.APART && now >= nextConnectAt) {
             state = State.CONNECTING;
-            heard = now;
+            lastReceivedAt = now;
             out.connect();
             return;
         }
-        if (state != State.APART && now - heard >= SILENT) {
-            out.log("silent", "no word from the edge for " + SILENT / 1000 + " ms");
+        if (state != State.APART && now - lastReceivedAt >= SILENCE_TIMEOUT_MICROS) {
+            out.log("silent", "no word from the edge for " + SILENCE_TIMEOUT_MICROS / 1000 + " ms");
             out.close();
             closed(now, out);
             return;
@@ -220,35 +247,35 @@
         if (state != State.AGREED) {
             return;
         }
-        // Stored facts say nothing of the edge's time: it has to speak first, or old ones would
-        // pass for young.
-        if (now >= turnAt && !schedule.idle() && newestHeard != NOT_HEARD) {
-            turnAt = now + TURN;
+        // The edge's time is unknown until it has sent a load: by stored loads alone, old ones
+        // would seem recent.
+        if (now >= nextRoundAt && !schedule.isEmpty() && newestLoadReceivedAt != NEVER) {
+            nextRoundAt = now + ROUND_INTERVAL_MICROS;
             plan(now, out);
         }
-        if (now >= aliveAt) {
-            aliveAt = now + ALIVE;
-            out.send(new Frame.Alive().bytes());
+        if (now >= nextHeartbeatAt) {
+            nextHeartbeatAt = now + HEARTBEAT_INTERVAL_MICROS;
+            out.send(new Frame.Heartbeat().encode());
         }
     }
 
     private void plan(long now, Out out) {
-        // The edge's time, as far as it is known: a step of the own clock must not make facts old
-        // or young.
-        long edgeNow = newest + (now - newestHeard);
+        // The edge's time as far as it is known, so that a step of the local clock does not change
+        // the age of loads.
+        long edgeNow = newestLoadAt + (now - newestLoadReceivedAt);
         List<GroupPlan> groups = new ArrayList<>();
-        for (GroupFacts facts : schedule.next(edgeNow, BUDGET)) {
-            groups.add(planner.of(edgeNow, outlook == null ? facts : outlook.ahead(facts)));
+        for (GroupFacts load : schedule.takeNext(edgeNow, GROUPS_PER_ROUND)) {
+            groups.add(planner.of(edgeNow, forecast == null ? load : forecast.forecast(load)));
         }
         if (!groups.isEmpty()) {
             version++;
-            aliveAt = now + ALIVE;
-            out.send(new Frame.Planned(new Plan(settings.ownNumber(), version, groups)).bytes());
+            nextHeartbeatAt = now + HEARTBEAT_INTERVAL_MICROS;
+            out.send(new Frame.PlanOffer(new Plan(settings.ownNumber(), version, groups)).encode());
         }
     }
 
-    /** µs between two looks of {@link #tick}. */
+    /** µs between two calls of {@link #tick}. */
     public static long every() {
-        return TURN;
+        return ROUND_INTERVAL_MICROS;
     }
 }
--- a/src/main/java/coralcove/planner/Restarts.java
+++ b/src/main/java/coralcove/planner/Restarts.java
@@ -3,49 +3,51 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Decides when a planner that has ended is started again: after gaps that grow with each short life
- * and are drawn anew, so that the planners of many routers do not all start at once. Its edge is
- * never ended with it. No clock of its own.
+ * Restart back-off of a planner process: the delay doubles each time the planner ends soon after
+ * its start, and is randomized so that the planners of many routers do not restart at the same
+ * time. The edge keeps running meanwhile. No clock of its own.
  */
 public final class Restarts {
-    /** µs: the first gap and the longest; a minute without a planner is what plans last. */
-    private static final long FIRST = 200_000;
+    /** µs: the first restart delay. */
+    private static final long INITIAL_DELAY_MICROS = 200_000;
 
-    private static final long LONGEST = 30_000_000;
+    /** µs: the longest restart delay; plans stay in use for a minute without a planner. */
+    private static final long MAX_DELAY_MICROS = 30_000_000;
 
-    /** µs: a planner that ran so long was well; the gaps begin anew. */
-    private static final long WELL = 20_000_000;
+    /** µs of running after which a planner counts as stable and the delay is reset. */
+    private static final long STABLE_AFTER_MICROS = 20_000_000;
 
-    private final RandomGenerator chance;
-    private long gap = FIRST;
+    private final RandomGenerator random;
+    private long delay = INITIAL_DELAY_MICROS;
     private long startedAt;
-    private long count;
+    private long startCount;
 
-    public Restarts(RandomGenerator chance) {
-        this.chance = chance;
+    /** Creates a back-off that randomizes its delays by {@code random}. */
+    public Restarts(RandomGenerator random) {
+        this.random = random;
     }
 
-    /** A planner has been started. */
+    /** Records that a planner process was started at {@code now}, µs. */
     public void started(long now) {
         startedAt = now;
-        count++;
+        startCount++;
     }
 
     /**
-     * It has ended; the moment at which it is to be started again: after half to one and a half of
-     * the gap.
+     * Records that the planner process ended at {@code now}, µs, and returns the time at which to
+     * start it again: after half to one and a half times the current delay.
      */
     public long ended(long now) {
-        if (now - startedAt >= WELL) {
-            gap = FIRST;
+        if (now - startedAt >= STABLE_AFTER_MICROS) {
+            delay = INITIAL_DELAY_MICROS;
         }
-        long at = now + gap / 2 + chance.nextLong(gap);
-        gap = Math.min(LONGEST, 2 * gap);
-        return at;
+        long restartAt = now + delay / 2 + random.nextLong(delay);
+        delay = Math.min(MAX_DELAY_MICROS, 2 * delay);
+        return restartAt;
     }
 
-    /** How often it was started. */
-    public long count() {
-        return count;
+    /** Number of times that the planner was started. */
+    public long startCount() {
+        return startCount;
     }
 }
--- a/src/main/java/coralcove/planner/store/GroupStore.java
+++ b/src/main/java/coralcove/planner/store/GroupStore.java
@@ -11,58 +11,65 @@
 import java.util.function.Function;
 
 /**
- * A planner's facts and an edge's plans on disk, one entry a group; the frame has the form's
- * version and the checksum.
+ * Opens the disk stores of a planner's group loads and of an edge's plans. Each holds one entry per
+ * trunk group, encoded as a frame of the link with its version and checksum.
  */
 public final class GroupStore {
     private GroupStore() {}
 
-    /** A planner's facts; opened or made, and {@code said} hears what was left and why. */
-    public static EntryStore<Integer, GroupFacts> facts(Path path, Consumer<String> said) {
+    /**
+     * Opens or creates the store of a planner's group loads. Whatever is discarded is reported to
+     * {@code warnings} with the reason.
+     */
+    public static EntryStore<Integer, GroupFacts> facts(Path path, Consumer<String> warnings) {
         return new EntryStore<>(
                 path,
                 new EntryStore.Form<>(
                         "facts",
                         GroupFacts::number,
-                        each -> new Frame.Facts(List.of(each)).bytes(),
+                        load -> new Frame.GroupLoads(List.of(load)).encode(),
                         entry ->
-                                sound(
+                                decode(
                                         entry,
                                         frame ->
-                                                frame instanceof Frame.Facts facts
-                                                                && facts.groups().size() == 1
-                                                        ? facts.groups().get(0)
+                                                frame instanceof Frame.GroupLoads loads
+                                                                && loads.groups().size() == 1
+                                                        ? loads.groups().get(0)
                                                         : null)),
-                said);
+                warnings);
     }
 
-    /** An edge's plans, one group in each. */
-    public static EntryStore<Integer, Plan> plans(Path path, Consumer<String> said) {
+    /**
+     * Opens or creates the store of an edge's plans, one group in each. Whatever is discarded is
+     * reported to {@code warnings} with the reason.
+     */
+    public static EntryStore<Integer, Plan> plans(Path path, Consumer<String> warnings) {
         return new EntryStore<>(
                 path,
                 new EntryStore.Form<>(
                         "plans",
                         plan -> plan.groups().get(0).number(),
-                        plan -> new Frame.Planned(plan).bytes(),
+                        plan -> new Frame.PlanOffer(plan).encode(),
                         entry ->
-                                sound(
+                                decode(
                                         entry,
                                         frame ->
-                                                frame instanceof Frame.Planned planned
-                                                                && planned.plan().groups().size()
-                                                                        == 1
-                                                        ? planned.plan()
+                                                frame instanceof Frame.PlanOffer offer
+                                                                && offer.plan().groups().size() == 1
+                                                        ? offer.plan()
                                                         : null)),
-                said);
+                warnings);
     }
 
-    private static <T> T sound(byte[] entry, Function<Frame, T> in) {
-        if (entry.length < Frame.HEAD) {
+    /** Decodes an entry and extracts its value; null if the entry is malformed. */
+    private static <T> T decode(byte[] entry, Function<Frame, T> extract) {
+        if (entry.length < Frame.HEADER_BYTES) {
             return null;
         }
         try {
-            return in.apply(Frame.read(Arrays.copyOfRange(entry, 4, entry.length)));
-        } catch (Frame.Bad e) {
+            return extract.apply(
+                    Frame.decode(Arrays.copyOfRange(entry, Frame.LENGTH_BYTES, entry.length)));
+        } catch (Frame.MalformedFrameException e) {
             return null;
         }
     }
--- a/src/main/java/coralcove/planner/transport/EdgePort.java
+++ b/src/main/java/coralcove/planner/transport/EdgePort.java
@@ -15,21 +15,27 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Where an edge's planner connects, on Apache MINA; all that comes is handed to the router's own
- * thread.
+ * The edge's end of the planner link on Apache MINA: listens for the planner and passes all events
+ * to the thread that owns the link.
  */
 public final class EdgePort implements EdgeLink.Out, AutoCloseable {
-    /** Runs an act, given the time, on the thread that owns the link. */
-    public interface Thread {
-        void run(LongConsumer act);
+    /** Runs an action on the thread that owns the link. */
+    public interface LinkExecutor {
+        /** Schedules {@code action}, which receives the current time in µs. */
+        void run(LongConsumer action);
     }
 
     private final Logger log;
     private final NioSocketAcceptor acceptor = new NioSocketAcceptor(1);
-    private final Map<Long, IoSession> open = new ConcurrentHashMap<>();
+    private final Map<Long, IoSession> connections = new ConcurrentHashMap<>();
 
-    /** Listens; a port in use ends in an IOException that names the address. */
-    public EdgePort(String name, String host, int port, EdgeLink link, Thread thread)
+    /**
+     * Starts to listen.
+     *
+     * @param name name of the logger
+     * @throws IOException if the port cannot be listened on; the message names the address
+     */
+    public EdgePort(String name, String host, int port, EdgeLink link, LinkExecutor executor)
             throws IOException {
         log = LoggerFactory.getLogger(name);
         acceptor.setReuseAddress(true);
@@ -38,20 +44,20 @@
                 new IoHandlerAdapter() {
                     @Override
                     public void sessionOpened(IoSession session) {
-                        open.put(session.getId(), session);
-                        thread.run(now -> link.opened(now, session.getId(), EdgePort.this));
+                        connections.put(session.getId(), session);
+                        executor.run(now -> link.opened(now, session.getId(), EdgePort.this));
                     }
 
                     @Override
                     public void messageReceived(IoSession session, Object message) {
                         byte[] bytes = Mina.bytes(message);
-                        thread.run(now -> link.read(now, session.getId(), bytes, EdgePort.this));
+                        executor.run(now -> link.read(now, session.getId(), bytes, EdgePort.this));
                     }
 
                     @Override
                     public void sessionClosed(IoSession session) {
-                        open.remove(session.getId());
-                        thread.run(now -> link.closed(now, session.getId(), EdgePort.this));
+                        connections.remove(session.getId());
+                        executor.run(now -> link.closed(now, session.getId(), EdgePort.this));
                     }
 
                     @Override
@@ -69,7 +75,7 @@
 
     @Override
     public void send(long connection, byte[] bytes) {
-        IoSession session = open.get(connection);
+        IoSession session = connections.get(connection);
         if (session != null) {
             session.write(IoBuffer.wrap(bytes));
         }
@@ -77,7 +83,7 @@
 
     @Override
     public void close(long connection) {
-        IoSession session = open.remove(connection);
+        IoSession session = connections.remove(connection);
         if (session != null) {
             session.closeOnFlush();
         }
@@ -85,7 +91,7 @@
 
     @Override
     public long backlog(long connection) {
-        IoSession session = open.get(connection);
+        IoSession session = connections.get(connection);
         return session == null ? 0 : session.getScheduledWriteBytes();
     }
 
@@ -96,7 +102,7 @@
 
     @Override
     public void close() {
-        open.values().forEach(IoSession::closeNow);
+        connections.values().forEach(IoSession::closeNow);
         acceptor.dispose(false);
     }
 }
--- a/src/main/java/coralcove/planner/transport/PlannerPort.java
+++ b/src/main/java/coralcove/planner/transport/PlannerPort.java
@@ -18,26 +18,35 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** A planner's end of the link on Apache MINA; one thread owns the planner. */
+/**
+ * The planner's end of the link on Apache MINA: connects to the edge and runs the planner on a
+ * thread of its own.
+ */
 public final class PlannerPort implements PlannerCore.Out {
-    /** Milliseconds to connect at most. */
-    private static final int CONNECT = 2000;
+    private static final int CONNECT_TIMEOUT_MILLIS = 2000;
 
     /**
-     * Milliseconds between two writes to the store: what a kill loses comes again with the next
-     * refresh, in 5 s.
+     * Milliseconds between two writes to the store. Loads that a kill loses come again with the
+     * edge's next update, within 5 s.
      */
-    private static final int KEEP = 1000;
+    private static final int STORE_INTERVAL_MILLIS = 1000;
 
     private final Logger log;
     private final InetSocketAddress edge;
     private final PlannerCore core;
     private final EntryStore<Integer, GroupFacts> store;
     private final NioSocketConnector connector = new NioSocketConnector(1);
-    private final ScheduledExecutorService thread;
+    private final ScheduledExecutorService executor;
     private IoSession session;
 
-    /** Keeps what it learns in {@code store}, which may be null and is closed at the end. */
+    /**
+     * Starts the planner.
+     *
+     * @param name name of the logger and the thread
+     * @param host host of the edge
+     * @param port port on which the edge listens for its planner
+     * @param store store of the received loads, or null for none; closed by {@link #end}
+     */
     public PlannerPort(
             String name,
             String host,
@@ -48,27 +57,27 @@
         edge = new InetSocketAddress(host, port);
         this.core = core;
         this.store = store;
-        thread = Executors.newSingleThreadScheduledExecutor(r -> new Thread(r, name));
-        connector.setConnectTimeoutMillis(CONNECT);
+        executor = Executors.newSingleThreadScheduledExecutor(task -> new Thread(task, name));
+        connector.setConnectTimeoutMillis(CONNECT_TIMEOUT_MILLIS);
         connector.getSessionConfig().setTcpNoDelay(true);
         connector.setHandler(
                 new IoHandlerAdapter() {
                     @Override
-                    public void messageReceived(IoSession from, Object message) {
+                    public void messageReceived(IoSession source, Object message) {
                         byte[] bytes = Mina.bytes(message);
-                        run(
+                        execute(
                                 now -> {
-                                    if (from == session) {
+                                    if (source == session) {
                                         core.read(now, bytes, PlannerPort.this);
                                     }
                                 });
                     }
 
                     @Override
-                    public void sessionClosed(IoSession from) {
-                        run(
+                    public void sessionClosed(IoSession source) {
+                        execute(
                                 now -> {
-                                    if (from == session) {
+                                    if (source == session) {
                                         session = null;
                                         core.closed(now, PlannerPort.this);
                                     }
@@ -76,36 +85,37 @@
                     }
 
                     @Override
-                    public void exceptionCaught(IoSession from, Throwable cause) {
-                        from.closeNow();
+                    public void exceptionCaught(IoSession source, Throwable cause) {
+                        source.closeNow();
                     }
                 });
         if (store != null) {
-            core.learn(store.read());
-            thread.scheduleWithFixedDelay(
-                    () -> act(now -> store.write(core.changed())),
-                    KEEP,
-                    KEEP,
+            core.restore(store.read());
+            executor.scheduleWithFixedDelay(
+                    () -> runSafely(now -> store.write(core.drainChanged())),
+                    STORE_INTERVAL_MILLIS,
+                    STORE_INTERVAL_MILLIS,
                     TimeUnit.MILLISECONDS);
         }
-        thread.scheduleAtFixedRate(
-                () -> act(now -> core.tick(now, this)),
+        executor.scheduleAtFixedRate(
+                () -> runSafely(now -> core.tick(now, this)),
                 0,
                 PlannerCore.every(),
                 TimeUnit.MICROSECONDS);
     }
 
-    private void run(LongConsumer act) {
+    private void execute(LongConsumer action) {
         try {
-            thread.execute(() -> act(act));
+            executor.execute(() -> runSafely(action));
         } catch (RejectedExecutionException e) {
-            // Closed: nothing is planned any more.
+            // The planner has been shut down; the event is discarded.
         }
     }
 
-    private void act(LongConsumer act) {
+    /** Runs an action with the current time in µs; a failure is logged and ends nothing else. */
+    private void runSafely(LongConsumer action) {
         try {
-            act.accept(System.nanoTime() / 1000);
+            action.accept(System.nanoTime() / 1000);
         } catch (RuntimeException e) {
             log.error("fault", e);
         }
@@ -117,11 +127,11 @@
                 .connect(edge)
                 .addListener(
                         future -> {
-                            ConnectFuture done = (ConnectFuture) future;
-                            run(
+                            ConnectFuture connection = (ConnectFuture) future;
+                            execute(
                                     now -> {
-                                        if (done.isConnected()) {
-                                            session = done.getSession();
+                                        if (connection.isConnected()) {
+                                            session = connection.getSession();
                                             core.connected(now, this);
                                         } else {
                                             core.closed(now, this);
@@ -145,9 +155,9 @@
         }
     }
 
-    /** Ends the planner for good. */
+    /** Shuts the planner down and closes its store. */
     public void end() {
-        thread.shutdownNow();
+        executor.shutdownNow();
         if (store != null) {
             store.close();
         }
--- a/src/test/java/coralcove/planner/store/GroupStoreTest.java
+++ b/src/test/java/coralcove/planner/store/GroupStoreTest.java
@@ -17,142 +17,137 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A store that was killed, cut, spoilt, made by another version, or cannot be written: the planner
- * starts all the same.
+ * Stores left by a kill, truncated, corrupted, written by another version, or impossible to write:
+ * the planner starts in each case, with the entries that are valid.
  */
 class GroupStoreTest {
-    private final List<String> said = new ArrayList<>();
+    private final List<String> warnings = new ArrayList<>();
 
-    private static List<GroupFacts> facts(int from, int to, long at) {
-        List<GroupFacts> facts = new ArrayList<>();
+    private static List<GroupFacts> loads(int from, int to, long at) {
+        List<GroupFacts> loads = new ArrayList<>();
         for (int i = from; i < to; i++) {
-            facts.add(new GroupFacts(at, i, 30, new double[] {i, 2.5}));
+            loads.add(new GroupFacts(at, i, 30, new double[] {i, 2.5}));
         }
-        return facts;
+        return loads;
     }
 
-    private List<GroupFacts> reopened(Path path) {
-        try (EntryStore<Integer, GroupFacts> store = GroupStore.facts(path, said::add)) {
+    private List<GroupFacts> reopenAndRead(Path path) {
+        try (EntryStore<Integer, GroupFacts> store = GroupStore.facts(path, warnings::add)) {
             return store.read();
         }
     }
 
     @Test
-    void whatWasWrittenIsReadAgainAndTheNewestCounts(@TempDir Path folder) {
+    void readsBackTheNewestLoadOfEachGroup(@TempDir Path folder) {
         Path path = folder.resolve("facts");
-        try (EntryStore<Integer, GroupFacts> store = GroupStore.facts(path, said::add)) {
-            store.write(facts(0, 50, 1));
-            store.write(facts(10, 20, 2));
+        try (EntryStore<Integer, GroupFacts> store = GroupStore.facts(path, warnings::add)) {
+            store.write(loads(0, 50, 1));
+            store.write(loads(10, 20, 2));
         }
-        List<GroupFacts> read = reopened(path);
+        List<GroupFacts> read = reopenAndRead(path);
         assertThat(read).hasSize(50);
         assertThat(read.get(15).at()).isEqualTo(2);
         assertThat(read.get(15).calls()).containsExactly(15, 2.5);
-        assertThat(said).isEmpty();
+        assertThat(warnings).isEmpty();
     }
 
-    /**
-     * A kill between two writes: the file as it was on disk at that moment is copied and opened.
-     */
+    /** A kill between two writes, simulated by opening a copy of the file made between them. */
     @Test
-    void aKillLeavesTheLastWholeCommit(@TempDir Path folder) throws Exception {
+    void killLeavesTheLastCompleteCommit(@TempDir Path folder) throws Exception {
         Path path = folder.resolve("facts");
         Path killed = folder.resolve("killed");
-        try (EntryStore<Integer, GroupFacts> store = GroupStore.facts(path, said::add)) {
-            store.write(facts(0, 50, 1));
-            store.write(facts(0, 50, 2));
+        try (EntryStore<Integer, GroupFacts> store = GroupStore.facts(path, warnings::add)) {
+            store.write(loads(0, 50, 1));
+            store.write(loads(0, 50, 2));
             Files.copy(path, killed);
-            store.write(facts(0, 50, 3));
+            store.write(loads(0, 50, 3));
         }
-        assertThat(reopened(killed)).hasSize(50).allMatch(f -> f.at() == 2);
-        assertThat(said).isEmpty();
+        assertThat(reopenAndRead(killed)).hasSize(50).allMatch(load -> load.at() == 2);
+        assertThat(warnings).isEmpty();
     }
 
     /**
-     * Cut anywhere or with any bit turned, it gives sound entries only, and says so when it is put
-     * aside.
+     * A store that is truncated anywhere, or has any bit inverted, returns only valid entries. One
+     * that cannot be opened is moved aside with a warning.
      */
     @Test
-    void aTornTailAndAFlippedBitGiveOnlyWhatIsSound(@TempDir Path folder) throws Exception {
+    void truncatedOrCorruptStoreReturnsOnlyValidEntries(@TempDir Path folder) throws Exception {
         Path path = folder.resolve("facts");
-        try (EntryStore<Integer, GroupFacts> store = GroupStore.facts(path, said::add)) {
+        try (EntryStore<Integer, GroupFacts> store = GroupStore.facts(path, warnings::add)) {
             for (int i = 1; i <= 30; i++) {
-                store.write(facts(0, 40, i));
+                store.write(loads(0, 40, i));
             }
         }
-        byte[] good = Files.readAllBytes(path);
-        SplittableRandom chance = new SplittableRandom(3);
-        int full = 0;
-        int aside = 0;
+        byte[] original = Files.readAllBytes(path);
+        SplittableRandom random = new SplittableRandom(3);
+        int complete = 0;
+        int withWarnings = 0;
         for (int i = 0; i < 60; i++) {
-            Path spoilt = folder.resolve("spoilt-" + i);
-            Files.write(spoilt, good);
-            try (RandomAccessFile file = new RandomAccessFile(spoilt.toFile(), "rw")) {
+            Path corrupt = folder.resolve("corrupt-" + i);
+            Files.write(corrupt, original);
+            try (RandomAccessFile file = new RandomAccessFile(corrupt.toFile(), "rw")) {
                 if (i % 2 == 0) {
-                    file.setLength(chance.nextLong(good.length));
+                    file.setLength(random.nextLong(original.length));
                 } else {
-                    long at = chance.nextLong(good.length);
-                    file.seek(at);
-                    int was = file.read();
-                    file.seek(at);
-                    file.write(was ^ 1 << chance.nextInt(8));
+                    long position = random.nextLong(original.length);
+                    file.seek(position);
+                    int old = file.read();
+                    file.seek(position);
+                    file.write(old ^ 1 << random.nextInt(8));
                 }
             }
-            said.clear();
-            List<GroupFacts> read = reopened(spoilt);
-            for (GroupFacts each : read) {
-                assertThat(each.calls()).containsExactly(each.number(), 2.5);
-                assertThat(each.at()).isBetween(1L, 30L);
+            warnings.clear();
+            List<GroupFacts> read = reopenAndRead(corrupt);
+            for (GroupFacts load : read) {
+                assertThat(load.calls()).containsExactly(load.number(), 2.5);
+                assertThat(load.at()).isBetween(1L, 30L);
             }
-            full += read.size() == 40 ? 1 : 0;
-            aside += said.isEmpty() ? 0 : 1;
-            assertThat(read.size() == 40 || !said.isEmpty() || read.isEmpty()).isTrue();
-            // Whatever was found, the store that is there now works.
-            try (EntryStore<Integer, GroupFacts> store = GroupStore.facts(spoilt, said::add)) {
-                store.write(facts(0, 5, 99));
+            complete += read.size() == 40 ? 1 : 0;
+            withWarnings += warnings.isEmpty() ? 0 : 1;
+            assertThat(read.size() == 40 || !warnings.isEmpty() || read.isEmpty()).isTrue();
+            // The store works afterwards, whatever was found.
+            try (EntryStore<Integer, GroupFacts> store = GroupStore.facts(corrupt, warnings::add)) {
+                store.write(loads(0, 5, 99));
                 assertThat(store.read()).hasSizeGreaterThanOrEqualTo(5);
             }
         }
-        assertThat(full).isPositive();
-        assertThat(aside).isPositive();
+        assertThat(complete).isPositive();
+        assertThat(withWarnings).isPositive();
     }
 
     @Test
-    void entriesOfAnotherVersionAreLeftAndCounted(@TempDir Path folder) {
+    void entriesOfAnotherVersionAreSkippedAndCounted(@TempDir Path folder) {
         Path path = folder.resolve("facts");
-        try (EntryStore<Integer, GroupFacts> store = GroupStore.facts(path, said::add)) {
-            store.write(facts(0, 5, 1));
+        try (EntryStore<Integer, GroupFacts> store = GroupStore.facts(path, warnings::add)) {
+            store.write(loads(0, 5, 1));
         }
         try (MVStore raw = new MVStore.Builder().fileName(path.toString()).open()) {
             raw.<Integer, byte[]>openMap("facts")
                     .put(2, new byte[] {9, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10});
-            byte[] moved = raw.<Integer, byte[]>openMap("facts").get(3);
-            raw.<Integer, byte[]>openMap("facts").put(77, moved);
+            byte[] entryOfGroup3 = raw.<Integer, byte[]>openMap("facts").get(3);
+            raw.<Integer, byte[]>openMap("facts").put(77, entryOfGroup3);
         }
-        assertThat(reopened(path)).extracting(GroupFacts::number).containsExactly(0, 1, 3, 4);
-        assertThat(said).containsExactly("2 entries left: another form or a wrong checksum");
+        assertThat(reopenAndRead(path)).extracting(GroupFacts::number).containsExactly(0, 1, 3, 4);
+        assertThat(warnings).containsExactly("2 entries left: another form or a wrong checksum");
     }
 
     @Test
-    void aStoreThatCannotBeMadeIsDoneWithout(@TempDir Path folder) throws Exception {
+    void storeThatCannotBeCreatedIsNotUsed(@TempDir Path folder) throws Exception {
         Path file = folder.resolve("file");
         Files.writeString(file, "x");
         try (EntryStore<Integer, GroupFacts> store =
-                GroupStore.facts(file.resolve("facts"), said::add)) {
-            store.write(facts(0, 5, 1));
+                GroupStore.facts(file.resolve("facts"), warnings::add)) {
+            store.write(loads(0, 5, 1));
             assertThat(store.works()).isFalse();
             assertThat(store.read()).isEmpty();
         }
-        assertThat(said).hasSize(1);
-        assertThat(said.get(0)).startsWith("store is not used: ");
+        assertThat(warnings).hasSize(1);
+        assertThat(warnings.get(0)).startsWith("store is not used: ");
     }
 
-    /**
-     * An edge's plans come back as they were taken; an entry spoilt on disk is left, and the others
-     * count.
-     */
+    /** An edge's plans are read back as stored; an entry corrupted on disk is skipped. */
     @Test
-    void plansComeBackAndASpoiltOneIsLeft(@TempDir Path folder) {
+    void plansAreReadBackAndACorruptOneIsSkipped(@TempDir Path folder) {
         Path path = folder.resolve("plans");
         List<Plan> plans = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
@@ -170,7 +165,7 @@
                                             new boolean[] {true, false},
                                             new double[] {0, 0}))));
         }
-        try (EntryStore<Integer, Plan> store = GroupStore.plans(path, said::add)) {
+        try (EntryStore<Integer, Plan> store = GroupStore.plans(path, warnings::add)) {
             store.write(plans);
         }
         try (MVStore raw = new MVStore.Builder().fileName(path.toString()).open()) {
@@ -178,8 +173,8 @@
             entry[20] ^= 1;
             raw.<Integer, byte[]>openMap("plans").put(4, entry);
         }
-        try (EntryStore<Integer, Plan> store = GroupStore.plans(path, said::add)) {
-            assertThat(store.read()).hasSize(19).noneMatch(p -> p.version() == 104);
+        try (EntryStore<Integer, Plan> store = GroupStore.plans(path, warnings::add)) {
+            assertThat(store.read()).hasSize(19).noneMatch(plan -> plan.version() == 104);
             assertThat(store.left()).isEqualTo(1);
         }
     }
