--- a/src/main/java/coralcove/experiment/Charts.java
+++ b/src/main/java/coralcove/experiment/Charts.java
@@ -18,12 +18,12 @@
 import org.knowm.xchart.XYSeries;
 import org.knowm.xchart.internal.chartpart.Chart;
 
-/** Pictures of tables, by XChart: lines with their intervals, and stacked bars. */
+/** Renders charts as PNG by XChart: lines with confidence intervals, and stacked bars. */
 final class Charts {
     private static final int WIDTH = 900;
     private static final int HEIGHT = 480;
 
-    /** Told apart by those who do not tell red from green, and in print by their markers. */
+    /** Distinguishable with red-green colour blindness; in print the markers distinguish series. */
     private static final Color[] COLOURS = {
         new Color(0, 92, 175),
         new Color(213, 94, 0),
@@ -34,12 +34,15 @@
         new Color(70, 150, 210)
     };
 
-    /** One point of a line. */
-    record Point(double x, Sample sample) {}
+    /** A point of a line: the estimate of a metric at {@code x}. */
+    record Point(double x, MeanEstimate estimate) {}
 
     private Charts() {}
 
-    /** Lines over x, each point with its interval; a picture without points says so. */
+    /**
+     * Draws lines over x, each point with its confidence interval. A chart without points has a
+     * title that says so.
+     */
     static byte[] lines(String title, String xTitle, String yTitle, Map<String, List<Point>> lines)
             throws IOException {
         XYChart chart =
@@ -53,28 +56,28 @@
         chart.getStyler()
                 .setDefaultSeriesRenderStyle(XYSeries.XYSeriesRenderStyle.Line)
                 .setSeriesColors(COLOURS);
-        look(chart);
-        for (Map.Entry<String, List<Point>> each : lines.entrySet()) {
+        applyStyle(chart);
+        for (Map.Entry<String, List<Point>> line : lines.entrySet()) {
             List<Point> points =
-                    each.getValue().stream().filter(p -> p.sample.count() > 0).toList();
+                    line.getValue().stream().filter(point -> point.estimate.count() > 0).toList();
             if (!points.isEmpty()) {
                 chart.addSeries(
-                        each.getKey(),
+                        line.getKey(),
                         points.stream().mapToDouble(Point::x).toArray(),
-                        points.stream().mapToDouble(p -> p.sample.mean()).toArray(),
-                        points.stream().mapToDouble(p -> p.sample.halfWidth()).toArray());
+                        points.stream().mapToDouble(point -> point.estimate.mean()).toArray(),
+                        points.stream().mapToDouble(point -> point.estimate.halfWidth()).toArray());
             }
         }
-        return chart.getSeriesMap().isEmpty() ? nothing(title) : png(chart);
+        return chart.getSeriesMap().isEmpty() ? emptyChart(title) : png(chart);
     }
 
-    /** Bars of parts on top of one another, one bar an entry. */
+    /** Draws one stacked bar per entry, from parts by name. */
     static byte[] bars(String title, String yTitle, Map<String, Map<String, Double>> bars)
             throws IOException {
         TreeSet<String> parts = new TreeSet<>();
-        bars.values().forEach(each -> parts.addAll(each.keySet()));
+        bars.values().forEach(bar -> parts.addAll(bar.keySet()));
         if (parts.isEmpty()) {
-            return nothing(title);
+            return emptyChart(title);
         }
         CategoryChart chart =
                 new CategoryChartBuilder()
@@ -84,7 +87,7 @@
                         .yAxisTitle(yTitle)
                         .build();
         chart.getStyler().setStacked(true).setXAxisLabelRotation(30).setSeriesColors(COLOURS);
-        look(chart);
+        applyStyle(chart);
         List<String> names = new ArrayList<>(bars.keySet());
         for (String part : parts) {
             chart.addSeries(
@@ -95,17 +98,17 @@
         return png(chart);
     }
 
-    private static void look(Chart<?, ?> chart) {
+    private static void applyStyle(Chart<?, ?> chart) {
         chart.getStyler()
                 .setChartBackgroundColor(Color.WHITE)
                 .setPlotBorderVisible(false)
                 .setLegendBorderColor(Color.WHITE);
     }
 
-    private static byte[] nothing(String title) throws IOException {
+    private static byte[] emptyChart(String title) throws IOException {
         XYChart chart =
                 new XYChartBuilder().width(WIDTH).height(HEIGHT).title(title + ": no data").build();
-        look(chart);
+        applyStyle(chart);
         return png(chart);
     }
 
@@ -113,10 +116,10 @@
         return BitmapEncoder.getBitmapBytes(chart, BitmapFormat.PNG);
     }
 
-    /** Writes pictures by name into a folder. */
-    static void write(Path folder, LinkedHashMap<String, byte[]> pictures) throws IOException {
-        for (Map.Entry<String, byte[]> each : pictures.entrySet()) {
-            Files.write(folder.resolve(each.getKey() + ".png"), each.getValue());
+    /** Writes charts into a folder, each as its name with {@code .png}. */
+    static void write(Path folder, LinkedHashMap<String, byte[]> charts) throws IOException {
+        for (Map.Entry<String, byte[]> chart : charts.entrySet()) {
+            Files.write(folder.resolve(chart.getKey() + ".png"), chart.getValue());
         }
     }
 }
--- a/src/main/java/coralcove/experiment/Outcome.java
+++ b/src/main/java/coralcove/experiment/Outcome.java
@@ -6,8 +6,14 @@
 import java.util.TreeMap;
 
 /**
- * What one run came to: its result, or why there is none. {@code version} is the program's that ran
- * it.
+ * Outcome of one run.
+ *
+ * @param id name of the run
+ * @param version version of the program that executed the run
+ * @param levels levels of all factors, by the key of the factor
+ * @param seed seed of the run
+ * @param result metrics of the run, or null if it failed
+ * @param error why the run failed
  */
 public record Outcome(
         String id,
@@ -16,22 +22,23 @@
         long seed,
         ObjectNode result,
         String error) {
+    /** Whether the run has no result. */
     public boolean failed() {
         return result == null;
     }
 
-    /** A number of the result; 0 where it has none. */
-    public double number(String key) {
+    /** Returns a metric of the result; 0 if there is none of this key. */
+    public double metric(String key) {
         JsonNode value = result == null ? null : result.get(key);
         return value == null ? 0 : value.asDouble();
     }
 
-    /** Parts under a key, by name. */
-    public Map<String, Double> parts(String key) {
+    /** Returns a metric that is broken down by name; empty if there is none of this key. */
+    public Map<String, Double> breakdown(String key) {
         Map<String, Double> parts = new TreeMap<>();
         if (result != null && result.get(key) instanceof ObjectNode object) {
             object.properties()
-                    .forEach(each -> parts.put(each.getKey(), each.getValue().asDouble()));
+                    .forEach(entry -> parts.put(entry.getKey(), entry.getValue().asDouble()));
         }
         return parts;
     }
--- a/src/main/java/coralcove/experiment/Plan.java
+++ b/src/main/java/coralcove/experiment/Plan.java
@@ -16,70 +16,82 @@
 import java.util.Set;
 
 /**
- * An experiment's plan: a day, factors of it with their levels, and seeds. Each combination of
- * levels is played on each seed, so that policies meet the same callers. Decides what is run, and
- * in which order; no I/O but reading its files.
+ * The plan of an experiment: a day, factors with their levels, and seeds. Each combination of
+ * levels is run with each seed, so that all policies serve the same callers. It determines the runs
+ * and their order; its only I/O is reading its files.
  */
 public final class Plan {
-    /** Runs at most: a plan of more is a slip of the pen. */
-    private static final int MOST_RUNS = 200_000;
+    /** Greatest number of runs; a plan with more is taken for a mistake. */
+    private static final int MAX_RUNS = 200_000;
 
-    private static final int MOST_FACTORS = 8;
-    private static final int MOST_LEVELS = 100;
-    static final String POLICY = "policy";
-    static final String TROUBLES = "troubles";
+    private static final int MAX_FACTORS = 8;
+    private static final int MAX_LEVELS = 100;
+    static final String POLICY_KEY = "policy";
+    static final String TROUBLES_KEY = "troubles";
 
     /**
-     * What is changed, and what to: {@code policy}, {@code troubles} (a name of the plan's sets),
-     * or a key of the day.
+     * A factor and its levels. The key is {@code policy}, {@code troubles} (the levels name sets of
+     * faults of the plan), or a key of the day.
      */
     public record Factor(String key, List<JsonNode> levels) {}
 
     /**
-     * Stops a combination's seeds once each difference from {@code base} is known to {@code
-     * halfWidth} of the value offered.
+     * Ends the experiment before all seeds are run, once the confidence interval of each difference
+     * from the base level has the half width {@code halfWidth}, as a share of the value offered.
      */
-    public record Stop(String factor, String base, double halfWidth, int leastSeeds) {}
+    public record StoppingRule(
+            String factorKey, String baseLevel, double halfWidth, int minSeeds) {}
 
     /**
-     * What must hold: the share of value, that of the worst ten seconds, and whether rules must be
-     * kept.
+     * The goal that a search tests.
+     *
+     * @param minShare least mean share of the offered value that is served
+     * @param minWorstShare least mean share of the worst ten seconds
+     * @param rulesRequired whether no run may break a rule
      */
-    public record Goal(double share, double worst, boolean rules) {
+    public record Goal(double minShare, double minWorstShare, boolean rulesRequired) {
         /**
-         * Why it does not hold, or "": any run that failed or broke rules, else the means of all.
+         * Returns why the outcomes miss the goal, or an empty string if they reach it. A run that
+         * failed or broke rules misses it; otherwise the means over all runs decide.
          */
         public String missed(List<Outcome> outcomes) {
-            for (Outcome each : outcomes) {
-                if (each.failed()) {
-                    return each.id() + ": the run failed: " + each.error();
+            for (Outcome outcome : outcomes) {
+                if (outcome.failed()) {
+                    return outcome.id() + ": the run failed: " + outcome.error();
                 }
-                if (rules && each.number("broken") > 0) {
-                    return each.id() + ": " + (long) each.number("broken") + " rules broken";
+                if (rulesRequired && outcome.metric("broken") > 0) {
+                    return outcome.id() + ": " + (long) outcome.metric("broken") + " rules broken";
                 }
             }
-            String low = under("value served", mean(outcomes, "share"), share);
-            return low.isEmpty()
-                    ? under("worst ten seconds", mean(outcomes, "worst_10s"), worst)
-                    : low;
+            String reason = shortfall("value served", mean(outcomes, "share"), minShare);
+            return reason.isEmpty()
+                    ? shortfall("worst ten seconds", mean(outcomes, "worst_10s"), minWorstShare)
+                    : reason;
         }
 
-        private static double mean(List<Outcome> outcomes, String figure) {
-            return outcomes.stream().mapToDouble(o -> o.number(figure)).average().orElse(0);
+        private static double mean(List<Outcome> outcomes, String metric) {
+            return outcomes.stream()
+                    .mapToDouble(outcome -> outcome.metric(metric))
+                    .average()
+                    .orElse(0);
         }
 
-        private static String under(String what, double found, double least) {
-            return found < least
-                    ? String.format(java.util.Locale.ROOT, "%s %.4f under %.4f", what, found, least)
+        private static String shortfall(String name, double value, double min) {
+            return value < min
+                    ? String.format(java.util.Locale.ROOT, "%s %.4f under %.4f", name, value, min)
                     : "";
         }
     }
 
     /**
-     * One run: the levels of all factors by key, its seed, its policy, and the day to be played.
+     * One run.
+     *
+     * @param levels levels of all factors, by the key of the factor
+     * @param policy name of the routing policy
+     * @param day settings of the day with the levels applied
      */
     public record Run(Map<String, String> levels, long seed, String policy, ObjectNode day) {
-        /** Its name among a plan's runs, and the order in which results are told. */
+        /** Name of the run, unique in its plan; results are sorted by it. */
         public String id() {
             StringBuilder id = new StringBuilder();
             levels.forEach((key, level) -> id.append(key).append('=').append(level).append(' '));
@@ -92,112 +104,113 @@
     private final Path dayFile;
     private final ObjectNode day;
     private final List<Factor> factors = new ArrayList<>();
-    private final Map<String, ArrayNode> troubles = new LinkedHashMap<>();
+    private final Map<String, ArrayNode> troubleSets = new LinkedHashMap<>();
     private final int firstSeed;
     private final int seeds;
-    private final double patience;
-    private final boolean bounded;
-    private final long mostBytes;
-    private final Stop stop;
+    private final double runTimeoutSeconds;
+    private final boolean boundRequired;
+    private final long maxResultBytes;
+    private final StoppingRule stoppingRule;
     private final Goal goal;
 
-    /** Reads it and the day it names; each combination is checked as a day of its own. */
+    /**
+     * Reads a plan and the day that it names, and checks that each combination of levels makes a
+     * valid day.
+     */
     public static Plan read(Path path) throws BadConfig {
         return new Plan(Toml.read(path), path.toAbsolutePath().getParent());
     }
 
     Plan(Toml toml, Path folder) throws BadConfig {
         this.toml = toml;
-        Toml.Table main = toml.table("experiment");
-        name = main.text("name");
-        dayFile = folder.resolve(main.text("day")).normalize();
+        Toml.Table experiment = toml.table("experiment");
+        name = experiment.text("name");
+        dayFile = folder.resolve(experiment.text("day")).normalize();
         Toml dayToml = Toml.read(dayFile);
         DayFile.of(dayToml, 1);
         day = (ObjectNode) dayToml.root();
-        firstSeed = main.whole("first_seed", 1, 1_000_000, 1);
-        seeds = main.whole("seeds", 1, 100_000, 10);
-        patience = main.number("patience_s", 0.1, 86_400, 600);
-        bounded = main.flag("bound", true);
-        mostBytes = Math.round(main.number("most_mb", 1, 1e6, 500) * 1e6);
+        firstSeed = experiment.whole("first_seed", 1, 1_000_000, 1);
+        seeds = experiment.whole("seeds", 1, 100_000, 10);
+        runTimeoutSeconds = experiment.number("patience_s", 0.1, 86_400, 600);
+        boundRequired = experiment.flag("bound", true);
+        maxResultBytes = Math.round(experiment.number("most_mb", 1, 1e6, 500) * 1e6);
         if (toml.has("troubles")) {
             Toml.Table sets = toml.table("troubles");
             for (String key : sets.keys()) {
                 if (!(sets.node(key) instanceof ArrayNode list)) {
                     throw sets.bad(key, "is no list of troubles");
                 }
-                troubles.put(key, list);
+                troubleSets.put(key, list);
             }
         }
         List<Toml.Table> tables = toml.list("factor");
-        if (tables.size() > MOST_FACTORS) {
-            throw tables.get(MOST_FACTORS)
-                    .bad("key", "is a factor too many: " + MOST_FACTORS + " at most");
+        if (tables.size() > MAX_FACTORS) {
+            throw tables.get(MAX_FACTORS)
+                    .bad("key", "is a factor too many: " + MAX_FACTORS + " at most");
         }
         Set<String> keys = new HashSet<>();
-        for (Toml.Table each : tables) {
-            Factor factor = factor(each);
+        for (Toml.Table table : tables) {
+            Factor factor = readFactor(table);
             if (!keys.add(factor.key)) {
-                throw each.bad("key", factor.key + " is a factor twice");
+                throw table.bad("key", factor.key + " is a factor twice");
             }
             for (String other : keys) {
-                boolean within =
+                boolean oneContainsOther =
                         other.startsWith(factor.key + ".") || factor.key.startsWith(other + ".");
-                boolean both =
-                        other.equals(TROUBLES) && factor.key.startsWith("trouble.")
-                                || factor.key.equals(TROUBLES) && other.startsWith("trouble.");
-                if (within || both) {
-                    throw each.bad(
+                boolean bothChangeTroubles =
+                        other.equals(TROUBLES_KEY) && factor.key.startsWith("trouble.")
+                                || factor.key.equals(TROUBLES_KEY) && other.startsWith("trouble.");
+                if (oneContainsOther || bothChangeTroubles) {
+                    throw table.bad(
                             "key",
                             factor.key + " and " + other + " change the same part of the day");
                 }
             }
             factors.add(factor);
         }
-        stop = readStop();
+        stoppingRule = readStoppingRule();
         goal = readGoal();
         long runs = seeds;
-        for (Factor each : factors) {
-            runs *= each.levels.size();
+        for (Factor factor : factors) {
+            runs *= factor.levels.size();
         }
-        if (runs > MOST_RUNS) {
-            throw main.bad(
-                    "seeds", "make " + runs + " runs of all levels: " + MOST_RUNS + " at most");
+        if (runs > MAX_RUNS) {
+            throw experiment.bad(
+                    "seeds", "make " + runs + " runs of all levels: " + MAX_RUNS + " at most");
         }
         toml.nothingElse();
-        check(tables);
+        checkDays(tables);
     }
 
-    private Factor factor(Toml.Table table) throws BadConfig {
+    private Factor readFactor(Toml.Table table) throws BadConfig {
         String key = table.text("key");
         JsonNode list = table.node("levels");
-        if (!(list instanceof ArrayNode levels)
-                || levels.isEmpty()
-                || levels.size() > MOST_LEVELS) {
-            throw table.bad("levels", "is no list of 1 to " + MOST_LEVELS + " levels");
+        if (!(list instanceof ArrayNode levels) || levels.isEmpty() || levels.size() > MAX_LEVELS) {
+            throw table.bad("levels", "is no list of 1 to " + MAX_LEVELS + " levels");
         }
-        List<JsonNode> found = new ArrayList<>();
-        Set<String> seen = new HashSet<>();
+        List<JsonNode> accepted = new ArrayList<>();
+        Set<String> distinct = new HashSet<>();
         for (JsonNode level : levels) {
             if (!level.isValueNode()) {
                 throw table.bad("levels", level + " is no single value");
             }
-            if (!seen.add(level.asText())) {
+            if (!distinct.add(level.asText())) {
                 throw table.bad("levels", level + " is there twice");
             }
-            if (key.equals(POLICY) && !Policies.NAMES.contains(level.asText())) {
+            if (key.equals(POLICY_KEY) && !Policies.NAMES.contains(level.asText())) {
                 throw table.bad(
                         "levels", level + " is no policy: " + String.join(", ", Policies.NAMES));
             }
-            if (key.equals(TROUBLES) && !troubles.containsKey(level.asText())) {
+            if (key.equals(TROUBLES_KEY) && !troubleSets.containsKey(level.asText())) {
                 throw table.bad("levels", level + " is no set of [troubles]");
             }
-            found.add(level);
+            accepted.add(level);
         }
         if (key.equals("day.seed") || key.equals("seed")) {
             throw table.bad("key", "is no factor: seeds are drawn for each combination alike");
         }
-        if (!key.equals(POLICY)
-                && !key.equals(TROUBLES)
+        if (!key.equals(POLICY_KEY)
+                && !key.equals(TROUBLES_KEY)
                 && !key.matches("[a-z_]+(\\.\\d+)?\\.[a-z0-9_]+")) {
             throw table.bad(
                     "key",
@@ -205,28 +218,29 @@
                             + " is neither policy, troubles nor TABLE.KEY of the day"
                             + " (service.0.share for a list)");
         }
-        return new Factor(key, found);
+        return new Factor(key, accepted);
     }
 
-    private Stop readStop() throws BadConfig {
+    private StoppingRule readStoppingRule() throws BadConfig {
         if (!toml.has("stop")) {
             return null;
         }
         Toml.Table table = toml.table("stop");
         String key = table.text("factor");
-        Factor factor = factors.stream().filter(f -> f.key.equals(key)).findFirst().orElse(null);
+        Factor factor =
+                factors.stream().filter(each -> each.key.equals(key)).findFirst().orElse(null);
         if (factor == null) {
             throw table.bad("factor", key + " is no factor of this plan");
         }
-        String base = table.node("base") == null ? "" : table.node("base").asText();
-        if (factor.levels.stream().noneMatch(l -> l.asText().equals(base))) {
-            throw table.bad("base", "\"" + base + "\" is no level of " + key);
+        String baseLevel = table.node("base") == null ? "" : table.node("base").asText();
+        if (factor.levels.stream().noneMatch(level -> level.asText().equals(baseLevel))) {
+            throw table.bad("base", "\"" + baseLevel + "\" is no level of " + key);
         }
-        int least = table.whole("least_seeds", 2, 10_000, 8);
-        if (least > seeds) {
+        int minSeeds = table.whole("least_seeds", 2, 10_000, 8);
+        if (minSeeds > seeds) {
             throw table.bad("least_seeds", "are more than all " + seeds);
         }
-        return new Stop(key, base, table.number("half_width", 1e-6, 1), least);
+        return new StoppingRule(key, baseLevel, table.number("half_width", 1e-6, 1), minSeeds);
     }
 
     private Goal readGoal() throws BadConfig {
@@ -240,36 +254,39 @@
                 table.flag("rules", true));
     }
 
-    /** Levels that make no day together are told now, not after an hour of runs. */
-    private void check(List<Toml.Table> tables) throws BadConfig {
-        // Policies play the same day: drawing it once for each of them would make every start
-        // longer.
-        Set<ObjectNode> drawn = new HashSet<>();
+    /**
+     * Checks that each combination of levels makes a valid day, so that an error is reported before
+     * the first run.
+     */
+    private void checkDays(List<Toml.Table> tables) throws BadConfig {
+        // Runs that differ in the policy only have the same day, which is checked once, since it
+        // takes time to generate.
+        Set<ObjectNode> checkedDays = new HashSet<>();
         for (Run run : runs(firstSeed, 1)) {
-            if (!drawn.add(run.day)) {
+            if (!checkedDays.add(run.day)) {
                 continue;
             }
             try {
                 DayFile.of(Toml.of(dayFile.toString(), run.day), run.seed);
             } catch (BadConfig e) {
-                String why = e.getMessage().replaceFirst("^.*?:\\d+: ", "");
-                // The factor that the reason names, or the first.
-                int at = 0;
+                String reason = e.getMessage().replaceFirst("^.*?:\\d+: ", "");
+                // The error is reported for the factor that the reason names, or for the first one.
+                int factorIndex = 0;
                 for (int i = 0; i < factors.size(); i++) {
-                    String last =
+                    String lastPart =
                             factors.get(i).key.substring(factors.get(i).key.lastIndexOf('.') + 1);
-                    at = why.contains(last) ? i : at;
+                    factorIndex = reason.contains(lastPart) ? i : factorIndex;
                 }
                 if (tables.isEmpty()) {
-                    throw toml.table("experiment").bad("day", why);
+                    throw toml.table("experiment").bad("day", reason);
                 }
-                throw tables.get(at)
+                throw tables.get(factorIndex)
                         .bad(
                                 "levels",
                                 "make no day with "
                                         + run.id().replaceAll(" seed=.*", "")
                                         + ": "
-                                        + why);
+                                        + reason);
             }
         }
     }
@@ -290,114 +307,123 @@
         return firstSeed;
     }
 
-    /** Seconds that a run may take. */
-    public double patience() {
-        return patience;
+    /** Seconds after which a run is aborted. */
+    public double runTimeoutSeconds() {
+        return runTimeoutSeconds;
     }
 
-    public boolean bounded() {
-        return bounded;
+    /** Whether the upper bound of each run's demand is computed. */
+    public boolean boundRequired() {
+        return boundRequired;
     }
 
-    /** Bytes that the store of results may grow to. */
-    public long mostBytes() {
-        return mostBytes;
+    /** Size of the result store, in bytes, from which no more runs are executed. */
+    public long maxResultBytes() {
+        return maxResultBytes;
     }
 
-    /** Null where all seeds are run. */
-    public Stop stop() {
-        return stop;
+    /** Returns the stopping rule, or null if all seeds are run. */
+    public StoppingRule stoppingRule() {
+        return stoppingRule;
     }
 
-    /** Null where none is stated. */
+    /** Returns the goal, or null if the plan has none. */
     public Goal goal() {
         return goal;
     }
 
+    /** Returns the source of the plan, for errors that name a line of it. */
     public Toml toml() {
         return toml;
     }
 
     /**
-     * All runs of {@code count} seeds from {@code first} on: seed by seed, so that a part of them
-     * is a whole experiment.
+     * Returns the runs of {@code count} seeds from {@code firstSeed} on. They are ordered by seed,
+     * so that the first ones make up a complete experiment with fewer seeds.
      */
-    public List<Run> runs(int first, int count) {
+    public List<Run> runs(int firstSeed, int count) {
         List<Run> runs = new ArrayList<>();
-        for (int seed = first; seed < first + count; seed++) {
-            combine(0, new LinkedHashMap<>(), seed, runs);
+        for (int seed = firstSeed; seed < firstSeed + count; seed++) {
+            addCombinations(0, new LinkedHashMap<>(), seed, runs);
         }
         return runs;
     }
 
-    private void combine(int at, Map<String, JsonNode> chosen, int seed, List<Run> runs) {
-        if (at == factors.size()) {
-            runs.add(run(chosen, seed));
+    /** Adds a run for each combination of levels of the factors from {@code factorIndex} on. */
+    private void addCombinations(
+            int factorIndex, Map<String, JsonNode> chosen, int seed, List<Run> runs) {
+        if (factorIndex == factors.size()) {
+            runs.add(createRun(chosen, seed));
             return;
         }
-        Factor factor = factors.get(at);
+        Factor factor = factors.get(factorIndex);
         for (JsonNode level : factor.levels) {
             chosen.put(factor.key, level);
-            combine(at + 1, chosen, seed, runs);
+            addCombinations(factorIndex + 1, chosen, seed, runs);
         }
         chosen.remove(factor.key);
     }
 
-    private Run run(Map<String, JsonNode> chosen, long seed) {
-        ObjectNode changed = day.deepCopy();
+    private Run createRun(Map<String, JsonNode> chosen, long seed) {
+        ObjectNode changedDay = day.deepCopy();
         Map<String, String> levels = new LinkedHashMap<>();
         String policy = "choice";
-        for (Map.Entry<String, JsonNode> each : chosen.entrySet()) {
-            levels.put(each.getKey(), each.getValue().asText());
-            if (each.getKey().equals(POLICY)) {
-                policy = each.getValue().asText();
-            } else if (each.getKey().equals(TROUBLES)) {
-                changed.set("trouble", troubles.get(each.getValue().asText()).deepCopy());
+        for (Map.Entry<String, JsonNode> entry : chosen.entrySet()) {
+            levels.put(entry.getKey(), entry.getValue().asText());
+            if (entry.getKey().equals(POLICY_KEY)) {
+                policy = entry.getValue().asText();
+            } else if (entry.getKey().equals(TROUBLES_KEY)) {
+                changedDay.set("trouble", troubleSets.get(entry.getValue().asText()).deepCopy());
             } else {
-                set(changed, each.getKey(), each.getValue());
+                setValue(changedDay, entry.getKey(), entry.getValue());
             }
         }
-        return new Run(levels, seed, policy, changed);
+        return new Run(levels, seed, policy, changedDay);
     }
 
-    /** This run's day with one value changed; for a search along a key that is no factor. */
+    /** Returns the run with one value of its day changed, for a search over any key of the day. */
     public Run with(Run run, String key, double value) {
-        ObjectNode changed = run.day.deepCopy();
-        set(changed, key, changed.numberNode(value));
-        return varied(run, key, Double.toString(value), changed);
+        ObjectNode changedDay = run.day.deepCopy();
+        setValue(changedDay, key, changedDay.numberNode(value));
+        return createVariant(run, key, Double.toString(value), changedDay);
     }
 
-    /** This run's day with these of its troubles only. */
+    /**
+     * Returns the run with some of the faults of its day.
+     *
+     * @param kept indexes of the faults that remain
+     */
     public Run with(Run run, List<Integer> kept) {
-        ObjectNode changed = run.day.deepCopy();
+        ObjectNode changedDay = run.day.deepCopy();
         ArrayNode all = run.day.withArray("trouble");
-        ArrayNode some = changed.putArray("trouble");
-        kept.forEach(each -> some.add(all.get(each)));
-        return varied(run, "kept", kept.toString(), changed);
+        ArrayNode remaining = changedDay.putArray("trouble");
+        kept.forEach(index -> remaining.add(all.get(index)));
+        return createVariant(run, "kept", kept.toString(), changedDay);
     }
 
-    private static Run varied(Run run, String key, String level, ObjectNode day) {
+    private static Run createVariant(Run run, String key, String level, ObjectNode day) {
         Map<String, String> levels = new LinkedHashMap<>(run.levels);
         levels.put(key, level);
         return new Run(levels, run.seed, run.policy, day);
     }
 
-    private static void set(ObjectNode day, String key, JsonNode value) {
+    /** Sets TABLE.KEY of a day, or LIST.INDEX.KEY for an entry of a list. */
+    private static void setValue(ObjectNode day, String key, JsonNode value) {
         String[] path = key.split("\\.");
         JsonNode table = day.get(path[0]);
         if (path.length == 3) {
-            int place = Integer.parseInt(path[1]);
+            int index = Integer.parseInt(path[1]);
             if (table instanceof ArrayNode list
-                    && place < list.size()
-                    && list.get(place) instanceof ObjectNode entry) {
+                    && index < list.size()
+                    && list.get(index) instanceof ObjectNode entry) {
                 entry.set(path[2], value);
                 return;
             }
-            // A key that nothing knows: the day's own check tells it.
+            // There is no such entry; the check of the day reports the unknown key.
             day.putObject(path[0] + "." + path[1]).set(path[2], value);
             return;
         }
-        ObjectNode to = table instanceof ObjectNode object ? object : day.putObject(path[0]);
-        to.set(path[1], value);
+        ObjectNode target = table instanceof ObjectNode object ? object : day.putObject(path[0]);
+        target.set(path[1], value);
     }
 }
--- a/src/main/java/coralcove/experiment/Program.java
+++ b/src/main/java/coralcove/experiment/Program.java
@@ -8,15 +8,16 @@
 import java.util.stream.Stream;
 import java.util.zip.CRC32C;
 
-/** Which build of the program this is: results of one are not to be mixed with those of another. */
+/** Identifies this build of the program, so that results of different builds are not mixed. */
 public final class Program {
+    /** Release number. */
     public static final String VERSION = "0.2.0";
 
     private Program() {}
 
     /**
-     * The version and a checksum of what runs: the jar, or all class files of a build that was not
-     * packed.
+     * Returns the release number and a checksum of the running code: of the JAR, or of all class
+     * files where the build was not packaged.
      */
     public static String version() {
         try {
@@ -27,15 +28,15 @@
                                     .getCodeSource()
                                     .getLocation()
                                     .toURI());
-            CRC32C sum = new CRC32C();
+            CRC32C checksum = new CRC32C();
             List<Path> files;
-            try (Stream<Path> all = Files.walk(source)) {
-                files = all.filter(Files::isRegularFile).sorted().toList();
+            try (Stream<Path> tree = Files.walk(source)) {
+                files = tree.filter(Files::isRegularFile).sorted().toList();
             }
             for (Path file : files) {
-                sum.update(Files.readAllBytes(file));
+                checksum.update(Files.readAllBytes(file));
             }
-            return VERSION + "+" + String.format("%08x", sum.getValue());
+            return VERSION + "+" + String.format("%08x", checksum.getValue());
         } catch (java.net.URISyntaxException e) {
             return VERSION;
         } catch (IOException e) {
--- a/src/main/java/coralcove/experiment/Report.java
+++ b/src/main/java/coralcove/experiment/Report.java
@@ -14,77 +14,80 @@
 import java.util.TreeMap;
 
 /**
- * Tables and pictures of an experiment's results: one HTML page that needs no other file, PNGs, and
+ * Tables and charts of the results of an experiment, as a self-contained HTML page, PNG files and
  * text for a terminal.
  */
 public final class Report {
     /**
-     * What is compared; where a plan names no base, the first level of its policy, or of its last
-     * factor.
+     * The level that the other levels of its factor are compared with: the base level of the
+     * stopping rule, else the first level of the policy, else the first level of the last factor.
      */
-    private record Base(String factor, String level) {}
+    private record Baseline(String factorKey, String level) {}
 
-    /** One table. */
-    private record Table(String title, String note, List<String> heads, List<List<String>> rows) {}
+    private record Table(
+            String title, String note, List<String> headers, List<List<String>> rows) {}
 
     private final Plan plan;
     private final List<Outcome> outcomes;
-    private final Map<Map<String, String>, List<Outcome>> combinations = new LinkedHashMap<>();
+    private final Map<Map<String, String>, List<Outcome>> outcomesByLevels = new LinkedHashMap<>();
 
-    /** Parts of the value lost, by combination. */
-    private final Map<Map<String, String>, Map<String, Double>> lost = new LinkedHashMap<>();
+    /** Mean share of the value lost, by reason, for each combination of levels. */
+    private final Map<Map<String, String>, Map<String, Double>> lossByCombination =
+            new LinkedHashMap<>();
 
     private final List<Table> tables = new ArrayList<>();
-    private final LinkedHashMap<String, byte[]> pictures = new LinkedHashMap<>();
-    private final long failed;
+    private final LinkedHashMap<String, byte[]> charts = new LinkedHashMap<>();
+    private final long failedCount;
 
-    /** {@code outcomes} of the plan's runs; those of other runs have been left out. */
+    /** Creates the report of a plan from the outcomes of its runs. */
     public Report(Plan plan, List<Outcome> outcomes) throws IOException {
         this.plan = plan;
         this.outcomes = outcomes;
-        failed = outcomes.stream().filter(Outcome::failed).count();
+        failedCount = outcomes.stream().filter(Outcome::failed).count();
         for (Plan.Run run : plan.runs(plan.firstSeed(), 1)) {
-            combinations.put(run.levels(), new ArrayList<>());
+            outcomesByLevels.put(run.levels(), new ArrayList<>());
         }
         outcomes.stream()
-                .filter(o -> !o.failed())
+                .filter(outcome -> !outcome.failed())
                 .forEach(
-                        o ->
-                                combinations
-                                        .computeIfAbsent(o.levels(), l -> new ArrayList<>())
-                                        .add(o));
-        served();
-        differences();
-        services();
-        lost();
-        pictures();
-        failures();
+                        outcome ->
+                                outcomesByLevels
+                                        .computeIfAbsent(
+                                                outcome.levels(), levels -> new ArrayList<>())
+                                        .add(outcome));
+        addValueServed();
+        addDifferences();
+        addServices();
+        addLosses();
+        addCharts();
+        addFailures();
     }
 
     private static String percent(double value) {
         return Double.isNaN(value) ? "" : String.format(Locale.ROOT, "%.2f", 100 * value);
     }
 
-    private static String interval(Sample sample) {
-        return sample.count() == 0
+    private static String interval(MeanEstimate estimate) {
+        return estimate.count() == 0
                 ? "no data"
-                : percent(sample.mean())
+                : percent(estimate.mean())
                         + " ("
-                        + percent(sample.low())
+                        + percent(estimate.low())
                         + " to "
-                        + percent(sample.high())
+                        + percent(estimate.high())
                         + ")";
     }
 
-    private static Sample sample(List<Outcome> of, String figure) {
-        return Sample.of(of.stream().mapToDouble(o -> o.number(figure)).toArray());
+    private static MeanEstimate estimate(List<Outcome> outcomes, String metric) {
+        return MeanEstimate.of(
+                outcomes.stream().mapToDouble(outcome -> outcome.metric(metric)).toArray());
     }
 
-    private List<String> heads(String... more) {
-        List<String> heads = new ArrayList<>();
-        plan.factors().forEach(f -> heads.add(f.key()));
-        heads.addAll(List.of(more));
-        return heads;
+    private List<String> headers(String... more) {
+        List<String> headers = new ArrayList<>();
+        plan.factors().forEach(factor -> headers.add(factor.key()));
+        headers.addAll(List.of(more));
+        return headers;
     }
 
     private static List<String> row(Map<String, String> levels, String... more) {
@@ -93,35 +96,43 @@
         return row;
     }
 
-    private void served() {
+    private void addValueServed() {
         List<List<String>> rows = new ArrayList<>();
-        combinations.forEach(
-                (levels, of) -> {
-                    Sample share = sample(of, "share");
-                    Sample bound = sample(of, "bound");
+        outcomesByLevels.forEach(
+                (levels, runs) -> {
+                    MeanEstimate share = estimate(runs, "share");
+                    MeanEstimate bound = estimate(runs, "bound");
                     rows.add(
                             row(
                                     levels,
-                                    Integer.toString(of.size()),
+                                    Integer.toString(runs.size()),
                                     interval(share),
-                                    interval(sample(of, "worst_10s")),
-                                    plan.bounded() ? percent(bound.mean()) : "",
-                                    plan.bounded() ? percent(share.mean() / bound.mean()) : "",
-                                    of.isEmpty()
+                                    interval(estimate(runs, "worst_10s")),
+                                    plan.boundRequired() ? percent(bound.mean()) : "",
+                                    plan.boundRequired()
+                                            ? percent(share.mean() / bound.mean())
+                                            : "",
+                                    runs.isEmpty()
                                             ? ""
                                             : String.format(
                                                     Locale.ROOT,
                                                     "%.0f",
-                                                    sample(of, "set_up_p99_ms").mean()),
+                                                    estimate(runs, "set_up_p99_ms").mean()),
                                     Long.toString(
                                             (long)
-                                                    of.stream()
-                                                            .mapToDouble(o -> o.number("broken"))
+                                                    runs.stream()
+                                                            .mapToDouble(
+                                                                    outcome ->
+                                                                            outcome.metric(
+                                                                                    "broken"))
                                                             .sum()),
                                     Long.toString(
                                             (long)
-                                                    of.stream()
-                                                            .mapToDouble(o -> o.number("checked"))
+                                                    runs.stream()
+                                                            .mapToDouble(
+                                                                    outcome ->
+                                                                            outcome.metric(
+                                                                                    "checked"))
                                                             .sum())));
                 });
         tables.add(
@@ -131,7 +142,7 @@
                             + " holds it 19 times of 20; the worst ten seconds in a row; the bound"
                             + " that no routing passes (calls as a fluid, no troubles), and the"
                             + " value served in hundredths of it.",
-                        heads(
+                        headers(
                                 "seeds",
                                 "value served",
                                 "worst 10 s",
@@ -143,62 +154,64 @@
                         rows));
     }
 
-    private Base base() {
-        if (plan.stop() != null) {
-            return new Base(plan.stop().factor(), plan.stop().base());
+    private Baseline baseline() {
+        if (plan.stoppingRule() != null) {
+            return new Baseline(plan.stoppingRule().factorKey(), plan.stoppingRule().baseLevel());
         }
         Plan.Factor factor = null;
         for (Plan.Factor each : plan.factors()) {
-            factor = factor != null && factor.key().equals(Plan.POLICY) ? factor : each;
+            factor = factor != null && factor.key().equals(Plan.POLICY_KEY) ? factor : each;
         }
-        return factor == null ? null : new Base(factor.key(), factor.levels().get(0).asText());
+        return factor == null ? null : new Baseline(factor.key(), factor.levels().get(0).asText());
     }
 
-    private void differences() {
-        Base base = base();
-        if (base == null) {
+    private void addDifferences() {
+        Baseline baseline = baseline();
+        if (baseline == null) {
             return;
         }
         List<List<String>> rows = new ArrayList<>();
-        for (Paired each : Paired.of(outcomes, base.factor, base.level, "share")) {
-            List<String> row = new ArrayList<>(each.others().values());
-            row.add(each.level());
-            row.add(Integer.toString(each.differences().length));
-            row.add(interval(each.sample()));
+        for (PairedDifferences pair :
+                PairedDifferences.of(outcomes, baseline.factorKey, baseline.level, "share")) {
+            List<String> row = new ArrayList<>(pair.otherLevels().values());
+            row.add(pair.level());
+            row.add(Integer.toString(pair.differences().length));
+            row.add(interval(pair.estimate()));
             rows.add(row);
         }
-        List<String> heads = new ArrayList<>();
+        List<String> headers = new ArrayList<>();
         plan.factors().stream()
-                .filter(f -> !f.key().equals(base.factor))
-                .forEach(f -> heads.add(f.key()));
-        heads.addAll(List.of(base.factor, "seeds", "points more than " + base.level));
+                .filter(factor -> !factor.key().equals(baseline.factorKey))
+                .forEach(factor -> headers.add(factor.key()));
+        headers.addAll(List.of(baseline.factorKey, "seeds", "points more than " + baseline.level));
         tables.add(
                 new Table(
-                        "Differences from " + base.level,
+                        "Differences from " + baseline.level,
                         "Seed by seed on the same callers, in hundredths of the value offered.",
-                        heads,
+                        headers,
                         rows));
     }
 
-    private void services() {
-        Set<String> names = new LinkedHashSet<>();
-        outcomes.forEach(o -> names.addAll(o.parts("share_by_service").keySet()));
+    private void addServices() {
+        Set<String> services = new LinkedHashSet<>();
+        outcomes.forEach(
+                outcome -> services.addAll(outcome.breakdown("share_by_service").keySet()));
         List<List<String>> rows = new ArrayList<>();
-        combinations.forEach(
-                (levels, of) -> {
+        outcomesByLevels.forEach(
+                (levels, runs) -> {
                     List<String> row = row(levels);
-                    names.forEach(
-                            name ->
+                    services.forEach(
+                            service ->
                                     row.add(
                                             interval(
-                                                    Sample.of(
-                                                            of.stream()
+                                                    MeanEstimate.of(
+                                                            runs.stream()
                                                                     .mapToDouble(
-                                                                            o ->
-                                                                                    o.parts(
+                                                                            outcome ->
+                                                                                    outcome.breakdown(
                                                                                                     "share_by_service")
                                                                                             .getOrDefault(
-                                                                                                    name,
+                                                                                                    service,
                                                                                                     0.0))
                                                                     .toArray()))));
                     rows.add(row);
@@ -207,39 +220,40 @@
                 new Table(
                         "By service",
                         "Value served of each service, in hundredths of its own.",
-                        heads(names.toArray(String[]::new)),
+                        headers(services.toArray(String[]::new)),
                         rows));
     }
 
-    private void lost() {
-        Set<String> names = new LinkedHashSet<>();
-        combinations.forEach(
-                (levels, of) -> {
-                    Map<String, Double> sums = new TreeMap<>();
-                    of.forEach(
-                            o ->
-                                    o.parts("lost")
+    private void addLosses() {
+        Set<String> reasons = new LinkedHashSet<>();
+        outcomesByLevels.forEach(
+                (levels, runs) -> {
+                    Map<String, Double> meanShares = new TreeMap<>();
+                    runs.forEach(
+                            outcome ->
+                                    outcome.breakdown("lost")
                                             .forEach(
-                                                    (why, part) ->
-                                                            sums.merge(
-                                                                    why,
-                                                                    part / of.size(),
+                                                    (reason, share) ->
+                                                            meanShares.merge(
+                                                                    reason,
+                                                                    share / runs.size(),
                                                                     Double::sum)));
-                    lost.put(levels, sums);
-                    names.addAll(sums.keySet());
+                    lossByCombination.put(levels, meanShares);
+                    reasons.addAll(meanShares.keySet());
                 });
         List<List<String>> rows = new ArrayList<>();
-        combinations.forEach(
-                (levels, of) -> {
+        outcomesByLevels.forEach(
+                (levels, runs) -> {
                     List<String> row = row(levels);
-                    names.forEach(
-                            name ->
+                    reasons.forEach(
+                            reason ->
                                     row.add(
-                                            of.isEmpty()
+                                            runs.isEmpty()
                                                     ? ""
                                                     : percent(
-                                                            lost.get(levels)
-                                                                    .getOrDefault(name, 0.0))));
+                                                            lossByCombination
+                                                                    .get(levels)
+                                                                    .getOrDefault(reason, 0.0))));
                     rows.add(row);
                 });
         tables.add(
@@ -247,15 +261,15 @@
                         "What loss is made of",
                         "By what became of a caller's last try, in hundredths of the value offered;"
                                 + " late: stood past the post-dial target; cut: stood and was cut.",
-                        heads(names.toArray(String[]::new)),
+                        headers(reasons.toArray(String[]::new)),
                         rows));
     }
 
-    private void failures() {
+    private void addFailures() {
         List<List<String>> rows = new ArrayList<>();
         outcomes.stream()
                 .filter(Outcome::failed)
-                .forEach(o -> rows.add(List.of(o.id(), o.error())));
+                .forEach(outcome -> rows.add(List.of(outcome.id(), outcome.error())));
         if (!rows.isEmpty()) {
             tables.add(
                     new Table(
@@ -266,96 +280,101 @@
         }
     }
 
-    /** The factor drawn along x: the first whose levels are all numbers. */
-    private Plan.Factor along() {
+    /**
+     * Returns the factor of the x axis: the first with several levels that are all numbers, or
+     * null.
+     */
+    private Plan.Factor xAxisFactor() {
         return plan.factors().stream()
                 .filter(
-                        f ->
-                                f.levels().size() > 1
-                                        && f.levels().stream().allMatch(l -> l.isNumber()))
+                        factor ->
+                                factor.levels().size() > 1
+                                        && factor.levels().stream()
+                                                .allMatch(level -> level.isNumber()))
                 .findFirst()
                 .orElse(null);
     }
 
-    private void pictures() throws IOException {
-        Plan.Factor along = along();
-        if (along != null) {
-            pictures.put(
+    private void addCharts() throws IOException {
+        Plan.Factor xAxis = xAxisFactor();
+        if (xAxis != null) {
+            charts.put(
                     "value-served",
                     Charts.lines(
                             "Value served",
-                            along.key(),
+                            xAxis.key(),
                             "share of the value offered",
-                            lines(along, "share")));
-            pictures.put(
+                            lines(xAxis, "share")));
+            charts.put(
                     "worst-10s",
                     Charts.lines(
                             "Worst ten seconds",
-                            along.key(),
+                            xAxis.key(),
                             "share of the value offered",
-                            lines(along, "worst_10s")));
-            pictures.put(
+                            lines(xAxis, "worst_10s")));
+            charts.put(
                     "set-up-p99",
                     Charts.lines(
-                            "Set-up delay, p99", along.key(), "ms", lines(along, "set_up_p99_ms")));
+                            "Set-up delay, p99", xAxis.key(), "ms", lines(xAxis, "set_up_p99_ms")));
         }
         Map<String, Map<String, Double>> bars = new LinkedHashMap<>();
-        combinations.forEach(
-                (levels, of) -> {
-                    if (!of.isEmpty()) {
-                        bars.put(String.join(" ", levels.values()), lost.get(levels));
+        outcomesByLevels.forEach(
+                (levels, runs) -> {
+                    if (!runs.isEmpty()) {
+                        bars.put(String.join(" ", levels.values()), lossByCombination.get(levels));
                     }
                 });
-        pictures.put(
-                "loss", Charts.bars("What loss is made of", "share of the value offered", bars));
+        charts.put("loss", Charts.bars("What loss is made of", "share of the value offered", bars));
     }
 
-    private Map<String, List<Charts.Point>> lines(Plan.Factor along, String figure) {
+    private Map<String, List<Charts.Point>> lines(Plan.Factor xAxis, String metric) {
         Map<String, List<Charts.Point>> lines = new LinkedHashMap<>();
-        combinations.forEach(
-                (levels, of) -> {
-                    Map<String, String> others = new LinkedHashMap<>(levels);
-                    double x = Double.parseDouble(others.remove(along.key()));
+        outcomesByLevels.forEach(
+                (levels, runs) -> {
+                    Map<String, String> otherLevels = new LinkedHashMap<>(levels);
+                    double x = Double.parseDouble(otherLevels.remove(xAxis.key()));
                     String name =
-                            others.isEmpty() ? plan.name() : String.join(" ", others.values());
-                    lines.computeIfAbsent(name, l -> new ArrayList<>())
-                            .add(new Charts.Point(x, sample(of, figure)));
+                            otherLevels.isEmpty()
+                                    ? plan.name()
+                                    : String.join(" ", otherLevels.values());
+                    lines.computeIfAbsent(name, line -> new ArrayList<>())
+                            .add(new Charts.Point(x, estimate(runs, metric)));
                 });
         return lines;
     }
 
-    /** For a terminal, or a page in Markdown. */
+    /** Returns the tables as Markdown, for a terminal or a page. */
     public String text() {
-        StringBuilder out = new StringBuilder(heading()).append('\n');
+        StringBuilder text = new StringBuilder(heading()).append('\n');
         for (Table table : tables) {
-            out.append('\n').append(table.title).append(". ").append(table.note).append("\n\n");
-            out.append("| ").append(String.join(" | ", table.heads)).append(" |\n|");
-            table.heads.forEach(head -> out.append(" --- |"));
-            out.append('\n');
+            text.append('\n').append(table.title).append(". ").append(table.note).append("\n\n");
+            text.append("| ").append(String.join(" | ", table.headers)).append(" |\n|");
+            table.headers.forEach(header -> text.append(" --- |"));
+            text.append('\n');
             table.rows.forEach(
-                    row -> out.append("| ").append(String.join(" | ", row)).append(" |\n"));
+                    row -> text.append("| ").append(String.join(" | ", row)).append(" |\n"));
         }
-        return out.toString();
+        return text.toString();
     }
 
     private String heading() {
         Set<String> versions = new LinkedHashSet<>();
-        outcomes.forEach(o -> versions.add(o.version()));
+        outcomes.forEach(outcome -> versions.add(outcome.version()));
         return plan.name()
                 + ": "
                 + outcomes.size()
                 + " runs"
-                + (failed > 0 ? ", " + failed + " of them failed" : "")
+                + (failedCount > 0 ? ", " + failedCount + " of them failed" : "")
                 + ", program "
                 + String.join(" and ", versions)
                 + (versions.size() > 1 ? " (mixed)" : "");
     }
 
-    /** Writes {@code report.html} and the pictures into a folder. */
+    /** Writes {@code report.html} and the charts as PNG into a folder. */
     public void write(Path folder) throws IOException {
         Files.createDirectories(folder);
-        Charts.write(folder, pictures);
-        StringBuilder out =
+        Charts.write(folder, charts);
+        StringBuilder html =
                 new StringBuilder(
                                 "<!doctype html>\n"
                                         + "<html lang=\"en\"><head><meta charset=\"utf-8\"><title>")
@@ -372,31 +391,33 @@
                         .append("</h1>\n<p>")
                         .append(escaped(heading()))
                         .append("</p>\n");
-        pictures.forEach(
+        charts.forEach(
                 (name, png) ->
-                        out.append("<p><img alt=\"")
+                        html.append("<p><img alt=\"")
                                 .append(escaped(name))
                                 .append("\" src=\"data:image/png;base64,")
                                 .append(Base64.getEncoder().encodeToString(png))
                                 .append("\"></p>\n"));
         for (Table table : tables) {
-            out.append("<h2>")
+            html.append("<h2>")
                     .append(escaped(table.title))
                     .append("</h2>\n<p>")
                     .append(escaped(table.note))
                     .append("</p>\n<table><tr>");
-            table.heads.forEach(head -> out.append("<th>").append(escaped(head)).append("</th>"));
-            out.append("</tr>\n");
+            table.headers.forEach(
+                    header -> html.append("<th>").append(escaped(header)).append("</th>"));
+            html.append("</tr>\n");
             for (List<String> row : table.rows) {
-                out.append("<tr>");
-                row.forEach(cell -> out.append("<td>").append(escaped(cell)).append("</td>"));
-                out.append("</tr>\n");
+                html.append("<tr>");
+                row.forEach(cell -> html.append("<td>").append(escaped(cell)).append("</td>"));
+                html.append("</tr>\n");
             }
-            out.append("</table>\n");
+            html.append("</table>\n");
         }
-        Files.writeString(folder.resolve("report.html"), out.append("</body></html>\n"));
+        Files.writeString(folder.resolve("report.html"), html.append("</body></html>\n"));
     }
 
+    /** Returns text with the special characters of HTML escaped. */
     private static String escaped(String text) {
         return text.replace("&", "&amp;")
                 .replace("<", "&lt;")
--- a/src/main/java/coralcove/experiment/ResultStore.java
+++ b/src/main/java/coralcove/experiment/ResultStore.java
@@ -20,9 +20,9 @@
 import org.h2.mvstore.MVStoreException;
 
 /**
- * Results of an experiment on disk, in an H2 MVStore: one entry a run, committed as it ends, so
- * that a kill loses only the runs in hand. Each entry has the program's version and a checksum of
- * the run's input: a run whose plan has changed is not done.
+ * Results of an experiment on disk, in an H2 MVStore. It has one entry per run, committed when the
+ * run ends, so that a kill loses only the runs in progress. Each entry has the version of the
+ * program and a checksum of the run's input; a run whose input has changed counts as not done.
  */
 public final class ResultStore implements AutoCloseable {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -32,8 +32,9 @@
     private final MVMap<String, String> runs;
 
     /**
-     * Opens or makes it; a file that is no such store, or is open elsewhere, ends in an
-     * IOException.
+     * Opens or creates a store.
+     *
+     * @throws IOException if the file is not such a store or is open in another process
      */
     public ResultStore(Path path) throws IOException {
         this.path = path;
@@ -49,48 +50,54 @@
         }
     }
 
-    /** What stands for a run's input. */
-    static String digest(Plan.Run run) {
-        CRC32C sum = new CRC32C();
-        sum.update(
+    /** Returns a checksum of a run's input: its policy, seed and day. */
+    static String inputDigest(Plan.Run run) {
+        CRC32C checksum = new CRC32C();
+        checksum.update(
                 (run.policy() + "\n" + run.seed() + "\n" + run.day())
                         .getBytes(StandardCharsets.UTF_8));
-        return String.format("%08x", sum.getValue());
+        return String.format("%08x", checksum.getValue());
     }
 
-    /** Versions of the program that made the results kept. */
+    /** Versions of the program that produced the stored results, in order. */
     public List<String> versions() {
-        TreeSet<String> found = new TreeSet<>();
-        for (Outcome each : outcomes()) {
-            found.add(each.version());
+        TreeSet<String> versions = new TreeSet<>();
+        for (Outcome outcome : outcomes()) {
+            versions.add(outcome.version());
         }
-        return List.copyOf(found);
+        return List.copyOf(versions);
     }
 
     /**
-     * Whether this run, with this input, has its result; a failed one counts as done unless it is
-     * to be tried again.
+     * Whether a run has a stored outcome with the same input.
+     *
+     * @param includeFailed whether a failed run counts as done
      */
-    public boolean done(Plan.Run run, boolean failedToo) {
+    public boolean done(Plan.Run run, boolean includeFailed) {
         String text = runs.get(run.id());
         if (text == null) {
             return false;
         }
         JsonNode entry = parse(text);
-        return entry.path("digest").asText().equals(digest(run))
-                && (failedToo || entry.has("result"));
+        return entry.path("digest").asText().equals(inputDigest(run))
+                && (includeFailed || entry.has("result"));
     }
 
-    /** A run's result, or null. */
+    /** Returns the outcome of a run, or null if there is none; the input may have changed. */
     public Outcome get(Plan.Run run) {
         String text = runs.get(run.id());
         return text == null ? null : outcome(run.id(), parse(text));
     }
 
-    /** Writes one result, whole or not at all. */
+    /**
+     * Stores the outcome of a run atomically.
+     *
+     * @param result the metrics, or null for a failed run
+     * @param error why the run failed
+     */
     public void put(Plan.Run run, String version, ObjectNode result, String error) {
         ObjectNode entry = JSON.createObjectNode();
-        entry.put("version", version).put("digest", digest(run)).put("seed", run.seed());
+        entry.put("version", version).put("digest", inputDigest(run)).put("seed", run.seed());
         ObjectNode levels = entry.putObject("levels");
         run.levels().forEach(levels::put);
         if (result == null) {
@@ -102,8 +109,8 @@
         store.commit();
     }
 
-    /** Bytes on disk. */
-    public long bytes() {
+    /** Size of the store on disk, in bytes. */
+    public long sizeBytes() {
         try {
             return Files.size(path);
         } catch (IOException e) {
@@ -111,11 +118,11 @@
         }
     }
 
-    /** All results by name. */
+    /** Returns all outcomes, in the order of the names of the runs. */
     public List<Outcome> outcomes() {
         List<Outcome> all = new ArrayList<>();
-        for (Map.Entry<String, String> each : runs.entrySet()) {
-            all.add(outcome(each.getKey(), parse(each.getValue())));
+        for (Map.Entry<String, String> entry : runs.entrySet()) {
+            all.add(outcome(entry.getKey(), parse(entry.getValue())));
         }
         return all;
     }
@@ -124,7 +131,7 @@
         Map<String, String> levels = new LinkedHashMap<>();
         entry.path("levels")
                 .properties()
-                .forEach(each -> levels.put(each.getKey(), each.getValue().asText()));
+                .forEach(level -> levels.put(level.getKey(), level.getValue().asText()));
         return new Outcome(
                 id,
                 entry.path("version").asText(),
@@ -139,23 +146,23 @@
             return JSON.readTree(text);
         } catch (JacksonException e) {
             throw new IllegalStateException(
-                    "an entry of the results is no JSON: " + e.getOriginalMessage(), e);
+                    "malformed JSON in the result store: " + e.getOriginalMessage(), e);
         }
     }
 
     /**
-     * One JSON object a line, by the runs' names: equal runs give equal bytes, whoever ran them and
-     * in which order.
+     * Writes one JSON object per line, in the order of the names of the runs. Equal runs give equal
+     * bytes, in whatever order and on however many workers they were executed.
      */
-    public void export(Path to) throws IOException {
-        StringBuilder out = new StringBuilder();
-        for (Map.Entry<String, String> each : runs.entrySet()) {
+    public void export(Path file) throws IOException {
+        StringBuilder lines = new StringBuilder();
+        for (Map.Entry<String, String> entry : runs.entrySet()) {
             ObjectNode line = JSON.createObjectNode();
-            line.put("run", each.getKey());
-            line.setAll((ObjectNode) parse(each.getValue()));
-            out.append(line).append('\n');
+            line.put("run", entry.getKey());
+            line.setAll((ObjectNode) parse(entry.getValue()));
+            lines.append(line).append('\n');
         }
-        Files.writeString(to, out);
+        Files.writeString(file, lines);
     }
 
     @Override
--- a/src/main/java/coralcove/experiment/Runner.java
+++ b/src/main/java/coralcove/experiment/Runner.java
@@ -8,34 +8,36 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 
 /**
- * Runs a plan over workers, and only what the store does not have. Whether more seeds are needed is
- * decided between blocks of them, from whole blocks only, so that results are the same however many
- * workers there are and however often it was killed.
+ * Executes the runs of a plan that have no stored result, on several worker processes. Whether more
+ * seeds are needed is decided after each block of seeds, from complete blocks only, so that the
+ * results do not depend on the number of workers or on interruptions.
  */
 public final class Runner {
-    /** Seeds of one block past the least ones. */
-    private static final int BLOCK = 4;
+    /** Seeds of each block after the first one, which has the minimum number of seeds. */
+    private static final int SEEDS_PER_BLOCK = 4;
 
-    /** Runs in a row whose worker could not be started after which it is given up. */
-    private static final int MOST_STARTS = 3;
+    /** Consecutive failures to start a worker after which the experiment is aborted. */
+    private static final int MAX_START_FAILURES = 3;
 
-    /** Hears how it goes. */
+    /** Receives progress events. */
     public interface Progress {
+        /** A run has ended: {@code result} is null if it failed, and {@code left} are to do. */
         void ran(Plan.Run run, ObjectNode result, String error, int left);
 
-        void decided(String what);
+        /** The experiment ended before all seeds were run, for the reason given. */
+        void decided(String reason);
     }
 
-    /** A store that has grown to its bound. */
-    public static final class Full extends IOException {
+    /** The result store has reached its maximum size. */
+    public static final class ResultStoreFullException extends IOException {
         private static final long serialVersionUID = 1;
 
-        Full(long bytes, long most) {
+        ResultStoreFullException(long bytes, long maxBytes) {
             super(
                     "results fill "
                             + bytes
                             + " bytes of at most "
-                            + most
+                            + maxBytes
                             + " (most_mb): nothing more is run");
         }
     }
@@ -44,101 +46,111 @@
     private final ResultStore store;
     private final String version;
     private final int workers;
-    private final int heap;
+    private final int workerHeapMb;
     private final Progress progress;
 
-    /** {@code heap} is each worker's in MB. */
+    /**
+     * Creates a runner.
+     *
+     * @param version version of the program, stored with each result
+     * @param workers number of worker processes
+     * @param workerHeapMb heap of each worker, MB
+     */
     public Runner(
             Plan plan,
             ResultStore store,
             String version,
             int workers,
-            int heap,
+            int workerHeapMb,
             Progress progress) {
         this.plan = plan;
         this.store = store;
         this.version = version;
         this.workers = workers;
-        this.heap = heap;
+        this.workerHeapMb = workerHeapMb;
         this.progress = progress;
     }
 
     /**
-     * Returns the seeds that were needed; runs that failed before are tried again with {@code
-     * retry}.
+     * Executes the plan and returns the number of seeds that were needed.
+     *
+     * @param retryFailed whether runs that failed before are executed again
      */
-    public int run(boolean retry) throws IOException {
-        Plan.Stop stop = plan.stop();
-        int done = 0;
-        while (done < plan.seeds()) {
+    public int run(boolean retryFailed) throws IOException {
+        Plan.StoppingRule rule = plan.stoppingRule();
+        int seedsDone = 0;
+        while (seedsDone < plan.seeds()) {
             int block =
                     Math.min(
-                            plan.seeds() - done,
-                            stop == null ? plan.seeds() : done == 0 ? stop.leastSeeds() : BLOCK);
-            all(
-                    plan.runs(plan.firstSeed() + done, block).stream()
-                            .filter(run -> !store.done(run, !retry))
+                            plan.seeds() - seedsDone,
+                            rule == null
+                                    ? plan.seeds()
+                                    : seedsDone == 0 ? rule.minSeeds() : SEEDS_PER_BLOCK);
+            executeAll(
+                    plan.runs(plan.firstSeed() + seedsDone, block).stream()
+                            .filter(run -> !store.done(run, !retryFailed))
                             .toList());
-            done += block;
-            if (stop != null && done < plan.seeds() && known(stop, done)) {
+            seedsDone += block;
+            if (rule != null && seedsDone < plan.seeds() && differencesKnown(rule, seedsDone)) {
                 progress.decided(
                         "stopped after "
-                                + done
+                                + seedsDone
                                 + " seeds: each difference from "
-                                + stop.base()
+                                + rule.baseLevel()
                                 + " is known to "
-                                + stop.halfWidth());
-                return done;
+                                + rule.halfWidth());
+                return seedsDone;
             }
         }
-        return done;
+        return seedsDone;
     }
 
     /**
-     * Whether each level's paired difference from the base is known well enough, at each
-     * combination of the others.
+     * Whether the difference of each level from the base level is known to the required half width,
+     * for each combination of the other factors.
      */
-    private boolean known(Plan.Stop stop, int seeds) {
+    private boolean differencesKnown(Plan.StoppingRule rule, int seeds) {
         List<Outcome> outcomes = new ArrayList<>();
-        for (Plan.Run each : plan.runs(plan.firstSeed(), seeds)) {
-            outcomes.add(store.get(each));
+        for (Plan.Run run : plan.runs(plan.firstSeed(), seeds)) {
+            outcomes.add(store.get(run));
         }
-        for (Paired each : Paired.of(outcomes, stop.factor(), stop.base(), "share")) {
-            if (each.differences().length < stop.leastSeeds()
-                    || each.halfWidth() > stop.halfWidth()) {
+        for (PairedDifferences pair :
+                PairedDifferences.of(outcomes, rule.factorKey(), rule.baseLevel(), "share")) {
+            if (pair.differences().length < rule.minSeeds()
+                    || pair.halfWidth() > rule.halfWidth()) {
                 return false;
             }
         }
         return true;
     }
 
-    /** Runs these, but for those that have their result. */
+    /** Executes those of the runs that have no stored outcome; failed runs are not retried. */
     public void play(List<Plan.Run> runs) throws IOException {
-        all(runs.stream().filter(run -> !store.done(run, true)).toList());
+        executeAll(runs.stream().filter(run -> !store.done(run, true)).toList());
     }
 
-    private void all(List<Plan.Run> todo) throws IOException {
-        Iterator<Plan.Run> next = todo.iterator();
-        int[] left = {todo.size()};
-        AtomicBoolean end = new AtomicBoolean();
-        List<IOException> troubles = new ArrayList<>();
-        List<RuntimeException> faults = new ArrayList<>();
+    private void executeAll(List<Plan.Run> runs) throws IOException {
+        Iterator<Plan.Run> pending = runs.iterator();
+        int[] remaining = {runs.size()};
+        AtomicBoolean stopped = new AtomicBoolean();
+        List<IOException> ioFailures = new ArrayList<>();
+        List<RuntimeException> failures = new ArrayList<>();
         List<Thread> threads = new ArrayList<>();
-        for (int i = 0; i < Math.min(workers, todo.size()); i++) {
+        for (int i = 0; i < Math.min(workers, runs.size()); i++) {
             Thread thread =
                     new Thread(
                             () -> {
                                 try {
-                                    work(next, left, end);
+                                    executeRuns(pending, remaining, stopped);
                                 } catch (IOException e) {
-                                    end.set(true);
-                                    synchronized (next) {
-                                        troubles.add(e);
+                                    stopped.set(true);
+                                    synchronized (pending) {
+                                        ioFailures.add(e);
                                     }
                                 } catch (RuntimeException e) {
-                                    end.set(true);
-                                    synchronized (next) {
-                                        faults.add(e);
+                                    stopped.set(true);
+                                    synchronized (pending) {
+                                        failures.add(e);
                                     }
                                 }
                             },
@@ -150,51 +162,53 @@
             try {
                 thread.join();
             } catch (InterruptedException e) {
-                end.set(true);
+                stopped.set(true);
                 Thread.currentThread().interrupt();
             }
         }
-        if (!faults.isEmpty()) {
-            throw faults.get(0);
+        if (!failures.isEmpty()) {
+            throw failures.get(0);
         }
-        if (!troubles.isEmpty()) {
-            throw troubles.get(0);
+        if (!ioFailures.isEmpty()) {
+            throw ioFailures.get(0);
         }
     }
 
-    private void work(Iterator<Plan.Run> next, int[] left, AtomicBoolean end) throws IOException {
+    private void executeRuns(Iterator<Plan.Run> pending, int[] remaining, AtomicBoolean stopped)
+            throws IOException {
         Worker worker = null;
-        int starts = 0;
+        int startFailures = 0;
         try {
-            while (!end.get()) {
+            while (!stopped.get()) {
                 Plan.Run run;
-                synchronized (next) {
-                    if (!next.hasNext()) {
+                synchronized (pending) {
+                    if (!pending.hasNext()) {
                         return;
                     }
-                    run = next.next();
+                    run = pending.next();
                 }
                 ObjectNode result = null;
                 String error = "";
                 try {
-                    if (worker == null || !worker.alive()) {
+                    if (worker == null || !worker.isAlive()) {
                         worker = null;
-                        worker = new Worker(heap);
-                        starts = 0;
+                        worker = new Worker(workerHeapMb);
+                        startFailures = 0;
                     }
-                    result = worker.play(run, plan.bounded(), plan.patience());
-                } catch (Worker.Failed e) {
+                    result = worker.execute(run, plan.boundRequired(), plan.runTimeoutSeconds());
+                } catch (Worker.RunFailedException e) {
                     error = e.getMessage();
-                    if (worker == null && ++starts >= MOST_STARTS) {
+                    if (worker == null && ++startFailures >= MAX_START_FAILURES) {
                         throw new IOException("workers cannot be started");
                     }
                 }
-                synchronized (next) {
+                synchronized (pending) {
                     store.put(run, version, result, error);
-                    left[0]--;
-                    progress.ran(run, result, error, left[0]);
-                    if (store.bytes() > plan.mostBytes()) {
-                        throw new Full(store.bytes(), plan.mostBytes());
+                    remaining[0]--;
+                    progress.ran(run, result, error, remaining[0]);
+                    if (store.sizeBytes() > plan.maxResultBytes()) {
+                        throw new ResultStoreFullException(
+                                store.sizeBytes(), plan.maxResultBytes());
                     }
                 }
             }
--- a/src/main/java/coralcove/experiment/Search.java
+++ b/src/main/java/coralcove/experiment/Search.java
@@ -6,93 +6,106 @@
 import java.util.function.Function;
 
 /**
- * Decides what is tried next when the smallest thing is looked for that breaks a goal. No I/O:
- * trials are asked for.
+ * Finds the smallest change that breaks a goal, by choosing the trials to make. No I/O: the caller
+ * executes the trials.
  */
 public final class Search {
-    /** Trials of one search at most: halving a range 40 times is past any tolerance. */
-    private static final int MOST_TRIALS = 40;
+    /** Greatest number of trials of one search: 40 bisections exceed any tolerance. */
+    private static final int MAX_TRIALS = 40;
 
     /**
-     * The last value at which the goal holds, the first at which it breaks, and why it breaks
-     * there.
+     * Result of a bisection.
+     *
+     * @param holds the last value found at which the goal holds
+     * @param breaks the first value found at which it breaks
+     * @param why why it breaks there
+     * @param trials number of trials made
      */
     public record Edge(double holds, double breaks, String why, int trials) {}
 
     private Search() {}
 
     /**
-     * Halves the range until the edge is known to {@code tolerance}; {@code missed} tells why the
-     * goal breaks at a value, or "". The goal is taken to hold below some value and to break above
-     * it; a range that does not show that is told.
+     * Bisects the range from {@code from}, where the goal holds, to {@code to}, where it breaks,
+     * until the threshold is known to {@code tolerance}.
+     *
+     * @param trial returns why the goal breaks at a value, or an empty string if it holds
+     * @throws IllegalArgumentException if the goal breaks at {@code from} or holds at {@code to}
      */
     public static Edge edge(
-            double from, double to, double tolerance, DoubleFunction<String> missed) {
-        String why = missed.apply(from);
-        if (!why.isEmpty()) {
-            throw new IllegalArgumentException("the goal breaks at " + from + " already: " + why);
+            double from, double to, double tolerance, DoubleFunction<String> trial) {
+        String reason = trial.apply(from);
+        if (!reason.isEmpty()) {
+            throw new IllegalArgumentException(
+                    "the goal breaks at " + from + " already: " + reason);
         }
-        why = missed.apply(to);
-        if (why.isEmpty()) {
+        reason = trial.apply(to);
+        if (reason.isEmpty()) {
             throw new IllegalArgumentException("the goal still holds at " + to);
         }
         double holds = from;
         double breaks = to;
         int trials = 2;
-        while (Math.abs(breaks - holds) > tolerance && trials < MOST_TRIALS) {
+        while (Math.abs(breaks - holds) > tolerance && trials < MAX_TRIALS) {
             double middle = (holds + breaks) / 2;
-            String at = missed.apply(middle);
+            String reasonAtMiddle = trial.apply(middle);
             trials++;
-            if (at.isEmpty()) {
+            if (reasonAtMiddle.isEmpty()) {
                 holds = middle;
             } else {
                 breaks = middle;
-                why = at;
+                reason = reasonAtMiddle;
             }
         }
-        return new Edge(holds, breaks, why, trials);
+        return new Edge(holds, breaks, reason, trials);
     }
 
     /**
-     * The smallest part of {@code all} that still breaks the goal, in the sense that nothing of it
-     * can be left out by itself: delta debugging (Zeller and Hildebrandt 2002, ddmin). {@code
-     * breaks} is asked with parts in their order, never twice the same.
+     * Returns a minimal subset of {@code all} that still breaks the goal: without any one of its
+     * elements the goal holds. The algorithm is delta debugging (ddmin, Zeller and Hildebrandt
+     * 2002).
+     *
+     * @param breaks whether the goal breaks with a subset, which is in the order of {@code all};
+     *     called at most once for each subset
+     * @throws IllegalArgumentException if the goal holds with all elements
      */
     public static <T> List<T> smallest(List<T> all, Function<List<T>, Boolean> breaks) {
-        List<T> kept = new ArrayList<>(all);
-        java.util.Map<List<T>, Boolean> asked = new java.util.HashMap<>();
-        Function<List<T>, Boolean> once = part -> asked.computeIfAbsent(List.copyOf(part), breaks);
-        if (!once.apply(kept)) {
+        List<T> subset = new ArrayList<>(all);
+        java.util.Map<List<T>, Boolean> results = new java.util.HashMap<>();
+        Function<List<T>, Boolean> cachedBreaks =
+                candidate -> results.computeIfAbsent(List.copyOf(candidate), breaks);
+        if (!cachedBreaks.apply(subset)) {
             throw new IllegalArgumentException("the goal holds with all " + all.size());
         }
-        if (once.apply(List.of())) {
+        if (cachedBreaks.apply(List.of())) {
             return List.of();
         }
         int parts = 2;
-        while (kept.size() > 1) {
+        while (subset.size() > 1) {
             List<T> next = null;
-            int nextParts = Math.min(kept.size(), 2 * parts);
+            int nextParts = Math.min(subset.size(), 2 * parts);
             for (int i = 0; i < parts && next == null; i++) {
-                List<T> part = kept.subList(i * kept.size() / parts, (i + 1) * kept.size() / parts);
-                if (once.apply(part)) {
+                List<T> part =
+                        subset.subList(i * subset.size() / parts, (i + 1) * subset.size() / parts);
+                if (cachedBreaks.apply(part)) {
                     next = new ArrayList<>(part);
                     nextParts = 2;
                 }
             }
             for (int i = 0; i < parts && next == null && parts > 2; i++) {
-                List<T> rest = new ArrayList<>(kept.subList(0, i * kept.size() / parts));
-                rest.addAll(kept.subList((i + 1) * kept.size() / parts, kept.size()));
-                if (once.apply(rest)) {
-                    next = rest;
+                List<T> complement = new ArrayList<>(subset.subList(0, i * subset.size() / parts));
+                complement.addAll(subset.subList((i + 1) * subset.size() / parts, subset.size()));
+                if (cachedBreaks.apply(complement)) {
+                    next = complement;
                     nextParts = Math.max(2, parts - 1);
                 }
             }
-            if (next == null && parts >= kept.size()) {
-                return kept;
+            if (next == null && parts >= subset.size()) {
+                return subset;
             }
-            kept = next == null ? kept : next;
-            parts = Math.min(kept.size(), nextParts);
+            subset = next == null ? subset : next;
+            parts = Math.min(subset.size(), nextParts);
         }
-        return kept;
+        return subset;
     }
 }
--- a/src/main/java/coralcove/experiment/Worker.java
+++ b/src/main/java/coralcove/experiment/Worker.java
@@ -17,150 +17,160 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A process that plays one run after another: a line of JSON in, a line out. It may be ended at any
- * moment, so that a run that never ends, or fills its memory, costs that run and nothing else.
+ * A process that executes one run after another, each requested by a line of JSON on its standard
+ * input and answered by a line on its standard output. It may be killed at any time, so that a run
+ * that never ends, or exhausts its memory, fails alone.
  */
 final class Worker implements AutoCloseable {
     private static final ObjectMapper JSON = new ObjectMapper();
 
     /**
-     * What a worker says once it can take runs; a start of the Java machine does not count as part
-     * of a run.
+     * First line of a worker's output, once it can execute runs. It keeps the start of the Java
+     * virtual machine out of the time-out of the first run.
      */
     private static final String READY = "ready";
 
-    /** Seconds that a start may take. */
-    private static final long START = 60;
+    private static final long START_TIMEOUT_SECONDS = 60;
 
-    /** Stands for the end of a worker's output. */
-    private static final String ENDED = "";
+    /** Queued in place of a line at the end of a worker's output. */
+    private static final String END_OF_OUTPUT = "";
 
-    /** Why a run has no result. */
-    static final class Failed extends Exception {
+    /** A run has no result; the message says why. */
+    static final class RunFailedException extends Exception {
         private static final long serialVersionUID = 1;
 
-        Failed(String reason) {
+        RunFailedException(String reason) {
             super(reason);
         }
     }
 
     private final Process process;
-    private final PrintStream in;
+    private final PrintStream requests;
     private boolean closed;
-    private final LinkedBlockingQueue<String> out = new LinkedBlockingQueue<>();
+    private final LinkedBlockingQueue<String> responses = new LinkedBlockingQueue<>();
 
-    /** {@code heap} is the worker's in MB. */
-    Worker(int heap) throws IOException, Failed {
+    /** Starts a worker process with a heap of {@code heapMb} MB and waits until it is ready. */
+    Worker(int heapMb) throws IOException, RunFailedException {
         process =
                 new ProcessBuilder(
                                 List.of(
                                         Path.of(System.getProperty("java.home"), "bin", "java")
                                                 .toString(),
-                                        "-Xmx" + heap + "m",
+                                        "-Xmx" + heapMb + "m",
                                         "-XX:+UseSerialGC",
                                         "-cp",
                                         System.getProperty("java.class.path"),
                                         "coralcove.experiment.Worker"))
                         .redirectError(ProcessBuilder.Redirect.DISCARD)
                         .start();
-        in = new PrintStream(process.getOutputStream(), true, StandardCharsets.UTF_8);
-        Thread reader = new Thread(this::read, "worker-" + process.pid());
+        requests = new PrintStream(process.getOutputStream(), true, StandardCharsets.UTF_8);
+        Thread reader = new Thread(this::readOutput, "worker-" + process.pid());
         reader.setDaemon(true);
         reader.start();
-        String first = next(START);
-        if (!READY.equals(first)) {
+        String firstLine = readLine(START_TIMEOUT_SECONDS);
+        if (!READY.equals(firstLine)) {
             close();
-            throw new Failed("a worker did not start");
+            throw new RunFailedException("a worker did not start");
         }
     }
 
-    private void read() {
+    private void readOutput() {
         try (BufferedReader lines =
                 new BufferedReader(
                         new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
             for (String line = lines.readLine(); line != null; line = lines.readLine()) {
-                out.add(line);
+                responses.add(line);
             }
         } catch (IOException e) {
-            // Ended: told below like any end.
+            // The process was killed; reported below like any end of output.
         }
-        out.add(ENDED);
+        responses.add(END_OF_OUTPUT);
     }
 
-    private String next(double seconds) {
+    /** Waits for the next line of output; returns null after {@code timeoutSeconds}. */
+    private String readLine(double timeoutSeconds) {
         try {
-            return out.poll((long) (seconds * 1000), TimeUnit.MILLISECONDS);
+            return responses.poll((long) (timeoutSeconds * 1000), TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            return ENDED;
+            return END_OF_OUTPUT;
         }
     }
 
-    /** Plays one run; after a failure that names the worker ended, it is of no more use. */
-    ObjectNode play(Plan.Run run, boolean bounded, double patience) throws Failed {
-        ObjectNode task = JSON.createObjectNode();
-        task.put("seed", run.seed()).put("policy", run.policy()).put("bound", bounded);
-        task.set("day", run.day());
-        in.println(task);
-        String answer = next(patience);
-        if (answer == null) {
+    /**
+     * Executes a run and returns its metrics. After a time-out, or if the process has ended, the
+     * worker is closed and can no longer be used.
+     *
+     * @param boundRequired whether the upper bound of the run's demand is computed
+     * @param timeoutSeconds time after which the process is killed
+     */
+    ObjectNode execute(Plan.Run run, boolean boundRequired, double timeoutSeconds)
+            throws RunFailedException {
+        ObjectNode request = JSON.createObjectNode();
+        request.put("seed", run.seed()).put("policy", run.policy()).put("bound", boundRequired);
+        request.set("day", run.day());
+        requests.println(request);
+        String line = readLine(timeoutSeconds);
+        if (line == null) {
             close();
-            throw new Failed("stopped: not done after " + patience + " s");
+            throw new RunFailedException("stopped: not done after " + timeoutSeconds + " s");
         }
-        if (answer.equals(ENDED)) {
+        if (line.equals(END_OF_OUTPUT)) {
             close();
-            throw new Failed("its worker ended");
+            throw new RunFailedException("its worker ended");
         }
         try {
-            JsonNode got = JSON.readTree(answer);
-            if (got.has("error")) {
-                throw new Failed(got.get("error").asText());
+            JsonNode response = JSON.readTree(line);
+            if (response.has("error")) {
+                throw new RunFailedException(response.get("error").asText());
             }
-            return (ObjectNode) got.get("result");
+            return (ObjectNode) response.get("result");
         } catch (IOException e) {
             close();
-            throw new Failed("its worker answered with no JSON");
+            throw new RunFailedException("its worker answered with no JSON");
         }
     }
 
-    boolean alive() {
+    /** Whether the worker can execute runs. */
+    boolean isAlive() {
         return !closed && process.isAlive();
     }
 
     @Override
     public void close() {
-        // A process that is told to end lives on for a moment: the next run would be sent to it and
-        // fail.
+        // A killed process stays alive for a short time; without this flag the next run would be
+        // sent to it and fail.
         closed = true;
         process.destroyForcibly();
     }
 
-    /** The worker's own side. */
+    /** Runs the worker process. */
     public static void main(String[] args) throws IOException {
         System.setProperty("coralcove.log", "OFF");
         serve(System.in, System.out);
     }
 
-    static void serve(InputStream from, OutputStream to) throws IOException {
-        PrintStream answers = new PrintStream(to, true, StandardCharsets.UTF_8);
-        answers.println(READY);
+    /** Executes the runs requested on {@code input} and writes the responses to {@code output}. */
+    static void serve(InputStream input, OutputStream output) throws IOException {
+        PrintStream responses = new PrintStream(output, true, StandardCharsets.UTF_8);
+        responses.println(READY);
         BufferedReader lines =
-                new BufferedReader(new InputStreamReader(from, StandardCharsets.UTF_8));
+                new BufferedReader(new InputStreamReader(input, StandardCharsets.UTF_8));
         for (String line = lines.readLine(); line != null; line = lines.readLine()) {
-            ObjectNode answer = JSON.createObjectNode();
+            ObjectNode response = JSON.createObjectNode();
             try {
-                JsonNode task = JSON.readTree(line);
-                answer.set(
+                JsonNode request = JSON.readTree(line);
+                response.set(
                         "result",
-                        OneRun.play(
-                                (ObjectNode) task.get("day"),
-                                task.get("seed").asLong(),
-                                task.get("policy").asText(),
-                                task.get("bound").asBoolean()));
+                        RunExecutor.execute(
+                                (ObjectNode) request.get("day"),
+                                request.get("seed").asLong(),
+                                request.get("policy").asText(),
+                                request.get("bound").asBoolean()));
             } catch (BadConfig | IOException | RuntimeException | OutOfMemoryError e) {
-                answer.put("error", e.getClass().getSimpleName() + ": " + e.getMessage());
+                response.put("error", e.getClass().getSimpleName() + ": " + e.getMessage());
             }
-            answers.println(answer);
+            responses.println(response);
         }
     }
 }
--- a/src/main/java/coralcove/planner/EdgeLink.java
+++ b/src/main/java/coralcove/planner/EdgeLink.java
@@ -111,27 +111,27 @@
     }
 
     /** A connection has been opened to the edge. */
-    public void opened(long now, long connection, Out out) {
+    public void opened(long now, long connection, Out actions) {
         long unidentified = peers.size() - (plannerConnection >= 0 ? 1 : 0);
         if (unidentified >= MAX_UNIDENTIFIED) {
             count("too-many");
-            out.close(connection);
+            actions.close(connection);
             return;
         }
         peers.put(connection, new Peer(now));
     }
 
     /** A connection has been closed by the other end or has failed. */
-    public void closed(long now, long connection, Out out) {
+    public void closed(long now, long connection, Out actions) {
         peers.remove(connection);
         if (connection == plannerConnection) {
             plannerConnection = NO_CONNECTION;
-            out.log("planner-gone", "connection closed");
+            actions.log("planner-gone", "connection closed");
         }
     }
 
     /** Bytes have been received on a connection. */
-    public void read(long now, long connection, byte[] bytes, Out out) {
+    public void read(long now, long connection, byte[] bytes, Out actions) {
         Peer peer = peers.get(connection);
         if (peer == null) {
             return;
@@ -142,20 +142,20 @@
                 if (!peers.containsKey(connection)) {
                     return;
                 }
-                handle(now, connection, Frame.decode(frame), out);
+                handle(now, connection, Frame.decode(frame), actions);
             }
         } catch (Frame.MalformedFrameException e) {
             count("bad-frame");
-            drop(connection, "malformed frame: " + e.getMessage(), out);
+            drop(connection, "malformed frame: " + e.getMessage(), actions);
         }
     }
 
-    private void handle(long now, long connection, Frame frame, Out out) {
+    private void handle(long now, long connection, Frame frame, Out actions) {
         if (frame instanceof Frame.Hello hello) {
-            handleHello(now, connection, hello, out);
+            handleHello(now, connection, hello, actions);
         } else if (connection != plannerConnection) {
             count("unknown-peer");
-            drop(connection, "message received before a hello", out);
+            drop(connection, "message received before a hello", actions);
         } else if (frame instanceof Frame.PlanOffer offer) {
             PlanKeeper.Refusal result = plannedTargets.offer(now, offer.plan());
             count(
@@ -168,13 +168,13 @@
                         .groups()
                         .forEach(group -> loadQueue.planAccepted(group.number(), group.at()));
             } else {
-                out.log("plan-refused", "version " + offer.plan().version() + " " + result);
+                actions.log("plan-refused", "version " + offer.plan().version() + " " + result);
             }
-            send(connection, new Frame.PlanReply(offer.plan().version(), result.name()), out);
+            send(connection, new Frame.PlanReply(offer.plan().version(), result.name()), actions);
         }
     }
 
-    private void handleHello(long now, long connection, Frame.Hello hello, Out out) {
+    private void handleHello(long now, long connection, Frame.Hello hello, Out actions) {
         String rejection =
                 !hello.fromPlanner()
                         ? "not a planner"
@@ -187,8 +187,8 @@
                                                 : "";
         if (!rejection.isEmpty()) {
             count("turned-away");
-            send(connection, new Frame.HelloRejected(rejection), out);
-            drop(connection, rejection, out);
+            send(connection, new Frame.HelloRejected(rejection), actions);
+            drop(connection, rejection, actions);
             return;
         }
         plannerConnection = connection;
@@ -197,7 +197,7 @@
         // Groups whose loads the last planner received and did not plan would have no plan until
         // the next load update, or the one after.
         loadQueue.requeueUnplanned();
-        out.log(
+        actions.log(
                 "planner-here",
                 "start " + hello.startTag() + ", plan " + plannedTargets.version() + " in force");
         send(
@@ -208,19 +208,19 @@
                         hello.classCount(),
                         startTag,
                         plannedTargets.version()),
-                out);
+                actions);
     }
 
     /**
      * Closes silent connections, sends queued loads and heartbeats; called at each tick interval.
      */
-    public void tick(long now, Out out) {
+    public void tick(long now, Out actions) {
         for (long connection : java.util.List.copyOf(peers.keySet())) {
             // A connection that stalls without closing is useless, and would block a planner that
             // works from being accepted.
             if (now - peers.get(connection).lastReceivedAt >= SILENCE_TIMEOUT_MICROS) {
                 count("silent");
-                drop(connection, "silent for " + SILENCE_TIMEOUT_MICROS / 1000 + " ms", out);
+                drop(connection, "silent for " + SILENCE_TIMEOUT_MICROS / 1000 + " ms", actions);
             }
         }
         if (plannerConnection < 0) {
@@ -228,14 +228,14 @@
         }
         if (now >= nextLoadsAt
                 && loadQueue.queuedCount() > 0
-                && out.backlog(plannerConnection) < MAX_BACKLOG_BYTES) {
+                && actions.backlog(plannerConnection) < MAX_BACKLOG_BYTES) {
             nextLoadsAt = now + SEND_INTERVAL_MICROS;
-            send(plannerConnection, new Frame.GroupLoads(loadQueue.drain(MAX_BATCH)), out);
+            send(plannerConnection, new Frame.GroupLoads(loadQueue.drain(MAX_BATCH)), actions);
             nextHeartbeatAt = now + HEARTBEAT_INTERVAL_MICROS;
         }
         if (now >= nextHeartbeatAt) {
             nextHeartbeatAt = now + HEARTBEAT_INTERVAL_MICROS;
-            send(plannerConnection, new Frame.Heartbeat(), out);
+            send(plannerConnection, new Frame.Heartbeat(), actions);
         }
     }
 
@@ -244,15 +244,15 @@
         return SEND_INTERVAL_MICROS;
     }
 
-    private void drop(long connection, String reason, Out out) {
+    private void drop(long connection, String reason, Out actions) {
         peers.remove(connection);
-        out.close(connection);
-        out.log(connection == plannerConnection ? "planner-gone" : "peer-dropped", reason);
+        actions.close(connection);
+        actions.log(connection == plannerConnection ? "planner-gone" : "peer-dropped", reason);
         plannerConnection = connection == plannerConnection ? NO_CONNECTION : plannerConnection;
     }
 
-    private static void send(long connection, Frame frame, Out out) {
-        out.send(connection, frame.encode());
+    private static void send(long connection, Frame frame, Out actions) {
+        actions.send(connection, frame.encode());
     }
 
     private void count(String event) {
--- a/src/main/java/coralcove/planner/PlannerCore.java
+++ b/src/main/java/coralcove/planner/PlannerCore.java
@@ -151,11 +151,11 @@
     }
 
     /** The connection to the edge has been established. */
-    public void connected(long now, Out out) {
+    public void connected(long now, Out actions) {
         state = State.GREETING;
         decoder = new Frame.FrameDecoder();
         lastReceivedAt = now;
-        out.send(
+        actions.send(
                 new Frame.Hello(
                                 true,
                                 settings.ownNumber(),
@@ -166,37 +166,37 @@
     }
 
     /** The connection has ended or could not be established. */
-    public void closed(long now, Out out) {
+    public void closed(long now, Out actions) {
         if (state == State.APART) {
             return;
         }
         state = State.APART;
         nextConnectAt = now + reconnectDelay / 2 + random.nextLong(reconnectDelay);
         reconnectDelay = Math.min(MAX_RECONNECT_DELAY_MICROS, 2 * reconnectDelay);
-        out.log("edge-gone", "next try in " + (nextConnectAt - now) / 1000 + " ms");
+        actions.log("edge-gone", "next try in " + (nextConnectAt - now) / 1000 + " ms");
     }
 
     /** Bytes have been received from the edge. */
-    public void read(long now, byte[] bytes, Out out) {
+    public void read(long now, byte[] bytes, Out actions) {
         if (state == State.APART) {
             return;
         }
         lastReceivedAt = now;
         try {
             for (byte[] frame : decoder.feed(bytes)) {
-                handle(now, Frame.decode(frame), out);
+                handle(now, Frame.decode(frame), actions);
                 if (state == State.APART) {
                     return;
                 }
             }
         } catch (Frame.MalformedFrameException e) {
-            out.log("bad-frame", e.getMessage());
-            out.close();
-            closed(now, out);
+            actions.log("bad-frame", e.getMessage());
+            actions.close();
+            closed(now, actions);
         }
     }
 
-    private void handle(long now, Frame frame, Out out) {
+    private void handle(long now, Frame frame, Out actions) {
         if (frame instanceof Frame.Hello hello) {
             state = State.AGREED;
             reconnectDelay = INITIAL_RECONNECT_DELAY_MICROS;
@@ -205,14 +205,14 @@
             version = Math.max(version, hello.planVersion());
             nextHeartbeatAt = now + HEARTBEAT_INTERVAL_MICROS;
             nextRoundAt = now;
-            out.log(
+            actions.log(
                     "edge-here",
                     "start " + hello.startTag() + ", plan " + hello.planVersion() + " in force");
         } else if (frame instanceof Frame.HelloRejected rejected) {
             reconnectDelay = MAX_RECONNECT_DELAY_MICROS;
-            out.log("turned-away", rejected.reason());
-            out.close();
-            closed(now, out);
+            actions.log("turned-away", rejected.reason());
+            actions.close();
+            closed(now, actions);
         } else if (frame instanceof Frame.GroupLoads loads) {
             for (GroupFacts load : loads.groups()) {
                 if (schedule.add(load) && load.at() >= newestLoadAt) {
@@ -225,23 +225,24 @@
                 acceptedPlans++;
             } else {
                 rejectedPlans++;
-                out.log("plan-refused", "version " + reply.version() + " " + reply.result());
+                actions.log("plan-refused", "version " + reply.version() + " " + reply.result());
             }
         }
     }
 
     /** Connects, plans and checks time-outs as needed; called at each tick interval. */
-    public void tick(long now, Out out) {
+    public void tick(long now, Out actions) {
         if (state == State.APART && now >= nextConnectAt) {
             state = State.CONNECTING;
             lastReceivedAt = now;
-            out.connect();
+            actions.connect();
             return;
         }
         if (state != State.APART && now - lastReceivedAt >= SILENCE_TIMEOUT_MICROS) {
-            out.log("silent", "no word from the edge for " + SILENCE_TIMEOUT_MICROS / 1000 + " ms");
-            out.close();
-            closed(now, out);
+            actions.log(
+                    "silent", "no word from the edge for " + SILENCE_TIMEOUT_MICROS / 1000 + " ms");
+            actions.close();
+            closed(now, actions);
             return;
         }
         if (state != State.AGREED) {
@@ -251,15 +252,15 @@
         // would seem recent.
         if (now >= nextRoundAt && !schedule.isEmpty() && newestLoadReceivedAt != NEVER) {
             nextRoundAt = now + ROUND_INTERVAL_MICROS;
-            plan(now, out);
+            plan(now, actions);
         }
         if (now >= nextHeartbeatAt) {
             nextHeartbeatAt = now + HEARTBEAT_INTERVAL_MICROS;
-            out.send(new Frame.Heartbeat().encode());
+            actions.send(new Frame.Heartbeat().encode());
         }
     }
 
-    private void plan(long now, Out out) {
+    private void plan(long now, Out actions) {
         // The edge's time as far as it is known, so that a step of the local clock does not change
         // the age of loads.
         long edgeNow = newestLoadAt + (now - newestLoadReceivedAt);
@@ -270,7 +271,8 @@
         if (!groups.isEmpty()) {
             version++;
             nextHeartbeatAt = now + HEARTBEAT_INTERVAL_MICROS;
-            out.send(new Frame.PlanOffer(new Plan(settings.ownNumber(), version, groups)).encode());
+            actions.send(
+                    new Frame.PlanOffer(new Plan(settings.ownNumber(), version, groups)).encode());
         }
     }
 
--- a/src/test/java/coralcove/experiment/ExperimentTest.java
+++ b/src/test/java/coralcove/experiment/ExperimentTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Plans, workers that are killed, results that are resumed, and what is refused. */
+/** Experiments: execution on workers that fail, resumption, stopping rules and invalid plans. */
 class ExperimentTest {
     private static final String DAY =
             """
@@ -86,73 +86,75 @@
         return new Plan(Toml.of("plan.toml", text), folder);
     }
 
-    private static final class Told implements Runner.Progress {
-        final List<String> ran = new ArrayList<>();
-        int most = Integer.MAX_VALUE;
+    private static final class RecordingProgress implements Runner.Progress {
+        final List<String> lines = new ArrayList<>();
+        int failAfter = Integer.MAX_VALUE;
 
         @Override
         public void ran(Plan.Run run, ObjectNode result, String error, int left) {
-            ran.add(run.id() + (result == null ? " FAILED " + error : ""));
-            if (ran.size() >= most) {
+            lines.add(run.id() + (result == null ? " FAILED " + error : ""));
+            if (lines.size() >= failAfter) {
                 throw new IllegalStateException("killed");
             }
         }
 
         @Override
-        public void decided(String what) {
-            ran.add(what);
+        public void decided(String reason) {
+            lines.add(reason);
         }
     }
 
-    private static byte[] bytes(ResultStore store, Path folder) throws IOException {
+    private static byte[] exportBytes(ResultStore store, Path folder) throws IOException {
         store.export(folder.resolve("out.jsonl"));
         return Files.readAllBytes(folder.resolve("out.jsonl"));
     }
 
     /**
-     * On one worker, on three, and killed after five of twelve runs and begun again: the same
-     * bytes.
+     * The export has the same bytes on one worker, on three, and after an interruption after five
+     * of twelve runs.
      */
     @Test
-    void equalSeedsGiveEqualBytesAndAKillLosesNothing(@TempDir Path folder) throws Exception {
-        // Baselines: the report is what is kept here, not the module's decisions.
+    void equalSeedsGiveEqualBytesAlsoAfterAnInterruption(@TempDir Path folder) throws Exception {
+        // Baseline policies only, so that the expected report does not change with the decisions of
+        // the main routing policy.
         String text = PLAN.replace("\"choice\"", "\"reserved\"");
         Plan plan = plan(folder, text);
-        byte[] first;
+        byte[] expected;
         try (ResultStore store = new ResultStore(folder.resolve("one/results.mv"))) {
-            new Runner(plan, store, "v1", 1, 256, new Told()).run(false);
-            first = bytes(store, folder);
+            new Runner(plan, store, "v1", 1, 256, new RecordingProgress()).run(false);
+            expected = exportBytes(store, folder);
             assertThat(store.outcomes()).hasSize(12).noneMatch(Outcome::failed);
             assertThat(new Report(plan, store.outcomes()).text())
                     .isEqualTo(Kept.trace("experiment-tiny"));
         }
-        Path three = folder.resolve("three/results.mv");
-        Told told = new Told();
-        told.most = 5;
-        try (ResultStore store = new ResultStore(three)) {
-            assertThatThrownBy(() -> new Runner(plan, store, "v1", 3, 256, told).run(false))
+        Path interrupted = folder.resolve("three/results.mv");
+        RecordingProgress progress = new RecordingProgress();
+        progress.failAfter = 5;
+        try (ResultStore store = new ResultStore(interrupted)) {
+            assertThatThrownBy(() -> new Runner(plan, store, "v1", 3, 256, progress).run(false))
                     .hasMessage("killed");
         }
-        try (ResultStore store = new ResultStore(three)) {
-            int kept = store.outcomes().size();
-            assertThat(kept).isBetween(5, 7);
-            Told rest = new Told();
-            new Runner(plan, store, "v1", 3, 256, rest).run(false);
-            assertThat(rest.ran).hasSize(12 - kept);
-            assertThat(bytes(store, folder)).isEqualTo(first);
-            // A plan whose day has changed has no results yet.
-            Plan other = plan(folder, text.replace("at_s = 5, len_s = 6", "at_s = 5, len_s = 5"));
-            assertThat(other.runs(1, 3).stream().filter(run -> store.done(run, true)).count())
+        try (ResultStore store = new ResultStore(interrupted)) {
+            int stored = store.outcomes().size();
+            assertThat(stored).isBetween(5, 7);
+            RecordingProgress resumed = new RecordingProgress();
+            new Runner(plan, store, "v1", 3, 256, resumed).run(false);
+            assertThat(resumed.lines).hasSize(12 - stored);
+            assertThat(exportBytes(store, folder)).isEqualTo(expected);
+            // Runs whose day has changed have no results yet.
+            Plan changedPlan =
+                    plan(folder, text.replace("at_s = 5, len_s = 6", "at_s = 5, len_s = 5"));
+            assertThat(changedPlan.runs(1, 3).stream().filter(run -> store.done(run, true)).count())
                     .isEqualTo(6);
         }
     }
 
     /**
-     * A run past its time is stopped and named, its worker's end costs no other run, and it is
-     * tried again when asked.
+     * A run that exceeds its time-out is aborted and reported, the loss of its worker affects no
+     * other run, and it is executed again only on request.
      */
     @Test
-    void aRunThatDoesNotEndIsStoppedAndNamed(@TempDir Path folder) throws Exception {
+    void runThatExceedsItsTimeoutIsAbortedAndReported(@TempDir Path folder) throws Exception {
         Plan plan =
                 plan(
                         folder,
@@ -164,10 +166,10 @@
                                 + "key = \"traffic.sessions_per_s\"\n"
                                 + "levels = [8, 3000]\n");
         try (ResultStore store = new ResultStore(folder.resolve("results.mv"))) {
-            Told told = new Told();
-            new Runner(plan, store, "v1", 2, 512, told).run(false);
-            assertThat(told.ran).hasSize(2);
-            assertThat(told.ran)
+            RecordingProgress progress = new RecordingProgress();
+            new Runner(plan, store, "v1", 2, 512, progress).run(false);
+            assertThat(progress.lines).hasSize(2);
+            assertThat(progress.lines)
                     .anyMatch(
                             line ->
                                     line.contains("sessions_per_s=3000")
@@ -176,45 +178,48 @@
             assertThat(new Report(plan, store.outcomes()).text())
                     .contains("Failed runs")
                     .contains("not done after 0.5 s");
-            Told again = new Told();
-            new Runner(plan, store, "v1", 2, 512, again).run(false);
-            assertThat(again.ran).isEmpty();
-            new Runner(plan, store, "v1", 1, 512, again).run(true);
-            assertThat(again.ran).anyMatch(line -> line.contains("sessions_per_s=3000"));
+            RecordingProgress secondPass = new RecordingProgress();
+            new Runner(plan, store, "v1", 2, 512, secondPass).run(false);
+            assertThat(secondPass.lines).isEmpty();
+            new Runner(plan, store, "v1", 1, 512, secondPass).run(true);
+            assertThat(secondPass.lines).anyMatch(line -> line.contains("sessions_per_s=3000"));
         }
     }
 
-    /** Seeds end once differences are known; which ones does not hang on the workers. */
+    /** No more seeds are run once the differences are known; workers do not influence which. */
     @Test
-    void seedsStopWhenTheDifferenceIsKnown(@TempDir Path folder) throws Exception {
+    void stopsOnceTheDifferencesAreKnown(@TempDir Path folder) throws Exception {
         String text =
                 PLAN.replace("seeds = 3", "seeds = 40")
                         + "[stop]\nfactor = \"policy\"\nbase = \"choice\"\n"
                         + "half_width = 0.2\nleast_seeds = 3\n";
         Plan plan = plan(folder, text);
-        Told told = new Told();
+        RecordingProgress progress = new RecordingProgress();
         try (ResultStore store = new ResultStore(folder.resolve("results.mv"))) {
-            assertThat(new Runner(plan, store, "v1", 4, 256, told).run(false)).isEqualTo(3);
+            assertThat(new Runner(plan, store, "v1", 4, 256, progress).run(false)).isEqualTo(3);
             assertThat(store.outcomes()).hasSize(12);
         }
-        assertThat(told.ran)
+        assertThat(progress.lines)
                 .last()
                 .isEqualTo("stopped after 3 seeds: each difference from choice is known to 0.2");
     }
 
     @Test
-    void aFullStoreEndsTheExperiment(@TempDir Path folder) throws Exception {
+    void fullStoreEndsTheExperiment(@TempDir Path folder) throws Exception {
         Plan plan = plan(folder, PLAN.replace("seeds = 3", "seeds = 3\nmost_mb = 1"));
         try (ResultStore store = new ResultStore(folder.resolve("results.mv"))) {
             store.put(plan.runs(1, 1).get(0), "v1", null, "x".repeat(2_000_000));
-            assertThatThrownBy(() -> new Runner(plan, store, "v1", 1, 256, new Told()).run(false))
-                    .isInstanceOf(Runner.Full.class)
+            assertThatThrownBy(
+                            () ->
+                                    new Runner(plan, store, "v1", 1, 256, new RecordingProgress())
+                                            .run(false))
+                    .isInstanceOf(Runner.ResultStoreFullException.class)
                     .hasMessageContaining("of at most 1000000 (most_mb): nothing more is run");
         }
     }
 
     @Test
-    void faultyPlansAreRefusedWithTheirLine(@TempDir Path folder) throws Exception {
+    void invalidPlansAreRejectedWithTheirLine(@TempDir Path folder) throws Exception {
         String[][] changes = {
             {"seeds = 3", "seeds = 0"},
             {"levels = [\"choice\", \"direct\"]", "levels = [\"choice\", \"chioce\"]"},
@@ -271,21 +276,21 @@
             },
             {"day = \"tiny.toml\"", "day = \"none.toml\""}
         };
-        StringBuilder told = new StringBuilder();
+        StringBuilder messages = new StringBuilder();
         for (String[] change : changes) {
             assertThat(PLAN).contains(change[0]);
             try {
                 plan(folder, PLAN.replace(change[0], change[1]));
-                told.append("taken: ").append(change[1]).append('\n');
+                messages.append("taken: ").append(change[1]).append('\n');
             } catch (BadConfig e) {
-                told.append(e.getMessage().replace(folder.toString() + "/", "")).append('\n');
+                messages.append(e.getMessage().replace(folder.toString() + "/", "")).append('\n');
             }
         }
-        assertThat(told.toString()).isEqualTo(Kept.trace("bad-plans"));
+        assertThat(messages.toString()).isEqualTo(Kept.trace("bad-plans"));
     }
 
     @Test
-    void aReportWithoutResultsSaysSo(@TempDir Path folder) throws Exception {
+    void reportWithoutResultsSaysNoData(@TempDir Path folder) throws Exception {
         Plan plan = plan(folder, PLAN);
         Report report = new Report(plan, List.of());
         assertThat(report.text()).contains("no data");
@@ -296,27 +301,27 @@
     }
 
     /**
-     * A process that is told to end lives on for a moment, and must not be sent the next run in it.
+     * A killed process stays alive for a short time, during which it must not be sent another run.
      */
     @Test
-    void aWorkerThatWasEndedIsOfNoMoreUse() throws Exception {
+    void closedWorkerIsNotAlive() throws Exception {
         Worker worker = new Worker(64);
-        assertThat(worker.alive()).isTrue();
+        assertThat(worker.isAlive()).isTrue();
         worker.close();
-        assertThat(worker.alive()).isFalse();
+        assertThat(worker.isAlive()).isFalse();
     }
 
-    /** What a worker cannot play it tells, and goes on. */
+    /** A worker reports a request that it cannot execute, and continues. */
     @Test
-    void aWorkerTellsWhatItCannotPlay() throws Exception {
-        ByteArrayOutputStream out = new ByteArrayOutputStream();
-        String task =
+    void workerReportsInvalidRequestsAndContinues() throws Exception {
+        ByteArrayOutputStream output = new ByteArrayOutputStream();
+        String request =
                 "{\"seed\":1,\"policy\":\"choice\",\"bound\":false,\"day\":{\"day\":{\"name\":\"x\"}}}\n";
         Worker.serve(
                 new ByteArrayInputStream(
-                        (task + "not json\n" + task).getBytes(StandardCharsets.UTF_8)),
-                out);
-        List<String> lines = out.toString(StandardCharsets.UTF_8).lines().toList();
+                        (request + "not json\n" + request).getBytes(StandardCharsets.UTF_8)),
+                output);
+        List<String> lines = output.toString(StandardCharsets.UTF_8).lines().toList();
         assertThat(lines).hasSize(4);
         assertThat(lines.get(1))
                 .isEqualTo("{\"error\":\"BadConfig: day:1: day.length_s: is missing\"}")
--- a/src/test/java/coralcove/experiment/SearchTest.java
+++ b/src/test/java/coralcove/experiment/SearchTest.java
@@ -14,13 +14,15 @@
 
 class SearchTest {
     @Test
-    void theEdgeIsFound() {
-        Search.Edge edge = Search.edge(0.5, 2, 0.01, value -> value > 1.2345 ? "over" : "");
-        assertThat(edge.holds()).isLessThanOrEqualTo(1.2345);
-        assertThat(edge.breaks()).isGreaterThan(1.2345).isCloseTo(edge.holds(), within(0.01));
-        assertThat(edge.why()).isEqualTo("over");
-        assertThat(edge.trials()).isEqualTo(10);
-        // Downwards too, and never for ever.
+    void findsTheThresholdByBisection() {
+        Search.Edge threshold = Search.edge(0.5, 2, 0.01, value -> value > 1.2345 ? "over" : "");
+        assertThat(threshold.holds()).isLessThanOrEqualTo(1.2345);
+        assertThat(threshold.breaks())
+                .isGreaterThan(1.2345)
+                .isCloseTo(threshold.holds(), within(0.01));
+        assertThat(threshold.why()).isEqualTo("over");
+        assertThat(threshold.trials()).isEqualTo(10);
+        // A descending range works as well, and the number of trials is bounded.
         assertThat(Search.edge(2, 0.5, 0, value -> value < 1.1 ? "under" : "").trials())
                 .isEqualTo(40);
         assertThatThrownBy(() -> Search.edge(0.5, 2, 0.1, value -> ""))
@@ -29,43 +31,43 @@
                 .hasMessage("the goal breaks at 0.5 already: no");
     }
 
-    /** Any set of culprits that must all be there is found, and no part is tried twice. */
+    /** Finds any set of elements that break the goal together, and tries no subset twice. */
     @Test
-    void theSmallestSetIsFound() {
-        SplittableRandom chance = new SplittableRandom(3);
+    void findsTheSmallestSubset() {
+        SplittableRandom random = new SplittableRandom(3);
         for (int round = 0; round < 300; round++) {
-            int count = 1 + chance.nextInt(12);
+            int count = 1 + random.nextInt(12);
             List<Integer> all = IntStream.range(0, count).boxed().toList();
-            Set<Integer> culprits = new HashSet<>();
-            for (int i = 1 + chance.nextInt(3); i > 0; i--) {
-                culprits.add(chance.nextInt(count));
+            Set<Integer> breaking = new HashSet<>();
+            for (int i = 1 + random.nextInt(3); i > 0; i--) {
+                breaking.add(random.nextInt(count));
             }
-            List<List<Integer>> asked = new ArrayList<>();
-            List<Integer> found =
+            List<List<Integer>> tried = new ArrayList<>();
+            List<Integer> smallest =
                     Search.smallest(
                             all,
-                            part -> {
-                                asked.add(part);
-                                return part.containsAll(culprits);
+                            subset -> {
+                                tried.add(subset);
+                                return subset.containsAll(breaking);
                             });
-            assertThat(found).containsExactlyElementsOf(culprits.stream().sorted().toList());
-            assertThat(asked).doesNotHaveDuplicates();
+            assertThat(smallest).containsExactlyElementsOf(breaking.stream().sorted().toList());
+            assertThat(tried).doesNotHaveDuplicates();
         }
-        assertThat(Search.smallest(List.of(1, 2), part -> true)).isEmpty();
-        assertThatThrownBy(() -> Search.smallest(List.of(1, 2), part -> false))
+        assertThat(Search.smallest(List.of(1, 2), subset -> true)).isEmpty();
+        assertThatThrownBy(() -> Search.smallest(List.of(1, 2), subset -> false))
                 .hasMessage("the goal holds with all 2");
     }
 
     @Test
-    void intervalsHoldTheMeanAboutNineteenTimesOfTwenty() {
-        SplittableRandom chance = new SplittableRandom(8);
-        int held = 0;
+    void intervalsContainTheMeanInAbout95Percent() {
+        SplittableRandom random = new SplittableRandom(8);
+        int containing = 0;
         for (int i = 0; i < 400; i++) {
-            Sample sample = Sample.of(chance.doubles(30).toArray());
-            held += sample.low() <= 0.5 && sample.high() >= 0.5 ? 1 : 0;
+            MeanEstimate estimate = MeanEstimate.of(random.doubles(30).toArray());
+            containing += estimate.low() <= 0.5 && estimate.high() >= 0.5 ? 1 : 0;
         }
-        assertThat(held).isBetween(360, 395);
-        assertThat(Sample.of(new double[] {3}).halfWidth()).isZero();
-        assertThat(Sample.of(new double[0]).count()).isZero();
+        assertThat(containing).isBetween(360, 395);
+        assertThat(MeanEstimate.of(new double[] {3}).halfWidth()).isZero();
+        assertThat(MeanEstimate.of(new double[0]).count()).isZero();
     }
 }
