--- a/src/main/antlr4/coralcove/numbers/file/HoursText.g4
+++ b/src/main/antlr4/coralcove/numbers/file/HoursText.g4
@@ -1,4 +1,4 @@
-/* The language of hours: "mo-fr 09:00-17:30 except holidays; sa 10:00-12:00". docs/numbers.md has the meaning. */
+/* Grammar of opening hours, for example "mo-fr 09:00-17:30 except holidays; sa 10:00-12:00". docs/numbers.md describes the meaning. */
 grammar HoursText;
 
 hours : clause (';' clause)* EOF ;
--- a/src/main/java/coralcove/numbers/Destination.java
+++ b/src/main/java/coralcove/numbers/Destination.java
@@ -2,33 +2,41 @@
 
 import java.util.List;
 
-/** Where the numbers of a prefix go, as a table says it. */
+/** Where calls to the numbers of a prefix are routed, as stated in a number table. */
 public sealed interface Destination {
-    /** To the lines of an exchange; {@code services} are the only ones carried, all if empty. */
+    /**
+     * An exchange; only the listed {@code services} are carried to it, all of them if the list is
+     * empty.
+     */
     record FarEnd(int number, List<Integer> services) implements Destination {}
 
-    /** Nobody has it: 404 (RFC 3261 21.4.5). */
+    /** No subscriber has the number: 404 (RFC 3261 21.4.5). */
     record Unallocated() implements Destination {}
 
-    /** Its owner may not be called: 403 (RFC 3261 21.4.4). */
+    /** The number may not be called: 403 (RFC 3261 21.4.4). */
     record Blocked() implements Destination {}
 
-    /** Its owner has another number now: 410 with the new one (RFC 3261 21.4.11). */
+    /**
+     * The subscriber has another number now, {@code to}: 410 with that number (RFC 3261 21.4.11).
+     */
     record Changed(String to) implements Destination {}
 
     /**
-     * Some of its numbers have moved: the portability server knows; {@code donor} had them all
-     * once.
+     * Some numbers of the prefix are ported, which the portability server knows; {@code donor} is
+     * the exchange to which the whole prefix was assigned.
      */
     record Ported(int donor) implements Destination {}
 
-    /** By the first calendar that is open; {@code otherwise} is null where nothing is said. */
-    record ByHours(List<Choice> choices, Destination otherwise) implements Destination {}
+    /**
+     * The destination of the first calendar that is open; {@code otherwise} applies if none is,
+     * null if the table has no {@code else}.
+     */
+    record ByHours(List<CalendarRoute> routes, Destination otherwise) implements Destination {}
 
-    /** One calendar, by its name, and where numbers go while it is open: never again by hours. */
-    record Choice(String calendar, Destination to) {}
+    /** A calendar's name and the destination while it is open, which is never a {@link ByHours}. */
+    record CalendarRoute(String calendar, Destination destination) {}
 
-    /** As a table's file has it. */
+    /** This destination in the syntax of a table file. */
     default String text() {
         if (this instanceof FarEnd far) {
             return "to "
@@ -44,16 +52,16 @@
             return "ported " + ported.donor;
         }
         if (this instanceof ByHours hours) {
-            StringBuilder all = new StringBuilder("hours ");
-            hours.choices.forEach(
+            StringBuilder text = new StringBuilder("hours ");
+            hours.routes.forEach(
                     each ->
-                            all.append(each.calendar)
+                            text.append(each.calendar)
                                     .append(' ')
-                                    .append(each.to.text())
+                                    .append(each.destination.text())
                                     .append("; "));
             return hours.otherwise == null
-                    ? all.substring(0, all.length() - 2)
-                    : all + "else " + hours.otherwise.text();
+                    ? text.substring(0, text.length() - 2)
+                    : text + "else " + hours.otherwise.text();
         }
         return this instanceof Blocked ? "blocked" : "unallocated";
     }
--- a/src/main/java/coralcove/numbers/Digits.java
+++ b/src/main/java/coralcove/numbers/Digits.java
@@ -1,23 +1,27 @@
 package coralcove.numbers;
 
 /**
- * A number or a prefix of one as a long: four bits a digit from the top, digit + 1 each, so that 0
- * is no digit and plain order is the order of prefixes, each before what it begins. At most 15
- * digits (E.164).
+ * A telephone number or a prefix of one, packed into a long: four bits per digit from the top, each
+ * holding digit + 1, so that 0 marks the end. Numeric order of keys is the order of prefixes, with
+ * each prefix before the numbers that begin with it. At most 15 digits (E.164).
  */
 public final class Digits {
     /** Digits of the longest number (ITU-T E.164 section 6.1). */
-    public static final int MOST = 15;
+    public static final int MAX_LENGTH = 15;
 
-    /** Bits of the long in use: 15 digits of four. */
-    private static final int BITS = 60;
+    /** Bits of the long in use: 15 digits of four bits. */
+    private static final int USED_BITS = 60;
 
     private Digits() {}
 
-    /** Packs digits; an {@link IllegalArgumentException} says what is wrong with them. */
+    /**
+     * Packs a string of digits.
+     *
+     * @throws IllegalArgumentException with the reason if it is too long or has another character
+     */
     public static long pack(CharSequence digits) {
-        if (digits.length() > MOST) {
-            throw new IllegalArgumentException("has more than " + MOST + " digits");
+        if (digits.length() > MAX_LENGTH) {
+            throw new IllegalArgumentException("has more than " + MAX_LENGTH + " digits");
         }
         long key = 0;
         for (int i = 0; i < digits.length(); i++) {
@@ -25,45 +29,47 @@
             if (digit < 0 || digit > 9) {
                 throw new IllegalArgumentException("'" + digits.charAt(i) + "' is no digit");
             }
-            key |= (digit + 1L) << BITS - 4 - 4 * i;
+            key |= (digit + 1L) << USED_BITS - 4 - 4 * i;
         }
         return key;
     }
 
+    /** The digits of a key as a string; the inverse of {@link #pack}. */
     public static String text(long key) {
-        StringBuilder text = new StringBuilder(MOST);
-        for (int i = 0; i < MOST && at(key, i) != 0; i++) {
-            text.append((char) ('0' + at(key, i) - 1));
+        StringBuilder text = new StringBuilder(MAX_LENGTH);
+        for (int i = 0; i < MAX_LENGTH && digitAt(key, i) != 0; i++) {
+            text.append((char) ('0' + digitAt(key, i) - 1));
         }
         return text.toString();
     }
 
+    /** How many digits a key has. */
     public static int length(long key) {
-        return key == 0 ? 0 : (BITS - Long.numberOfTrailingZeros(key) + 3) / 4;
+        return key == 0 ? 0 : (USED_BITS - Long.numberOfTrailingZeros(key) + 3) / 4;
     }
 
-    /** Digit + 1 at place {@code i}, 0 past the end. */
-    static int at(long key, int i) {
-        return (int) (key >>> BITS - 4 - 4 * i) & 15;
+    /** Digit + 1 at an index, 0 past the end. */
+    static int digitAt(long key, int index) {
+        return (int) (key >>> USED_BITS - 4 - 4 * index) & 15;
     }
 
-    /** {@code count} digits from place {@code from}, the last in the lowest bits. */
-    static int part(long key, int from, int count) {
-        return (int) (key >>> BITS - 4 * (from + count)) & (1 << 4 * count) - 1;
+    /** {@code count} digits from index {@code from}, the last one in the lowest four bits. */
+    static int slice(long key, int from, int count) {
+        return (int) (key >>> USED_BITS - 4 * (from + count)) & (1 << 4 * count) - 1;
     }
 
-    /** The first {@code count} digits. */
-    static long head(long key, int count) {
-        return count == 0 ? 0 : key & -1L << BITS - 4 * count;
+    /** The first {@code count} digits, as a key. */
+    static long prefix(long key, int count) {
+        return count == 0 ? 0 : key & -1L << USED_BITS - 4 * count;
     }
 
-    /** How many digits two keys begin with in common. */
-    static int common(long a, long b) {
-        long differ = a ^ b;
-        return differ == 0
+    /** The length of the longest common prefix of two keys, in digits. */
+    static int commonPrefixLength(long a, long b) {
+        long difference = a ^ b;
+        return difference == 0
                 ? Math.min(length(a), length(b))
                 : Math.min(
-                        (Long.numberOfLeadingZeros(differ) - (64 - BITS)) / 4,
+                        (Long.numberOfLeadingZeros(difference) - (64 - USED_BITS)) / 4,
                         Math.min(length(a), length(b)));
     }
 }
--- a/src/main/java/coralcove/numbers/HoursCheck.java
+++ b/src/main/java/coralcove/numbers/HoursCheck.java
@@ -7,67 +7,75 @@
 import java.util.TreeSet;
 
 /**
- * Looks ahead for times at which two calendars of one destination are open, or none and nothing
- * else is said.
+ * Looks ahead for times at which two calendars of one destination are open at once, or none is open
+ * and the destination has no {@code else}.
  */
 public final class HoursCheck {
-    /** µs looked ahead: a year and a day, so that each holiday and clock change comes once. */
-    private static final long AHEAD = 367L * 86_400_000_000L;
+    /** A year and a day, so that each holiday and clock change is covered once. */
+    private static final long LOOK_AHEAD_US = 367L * 86_400_000_000L;
 
-    /** Findings told of one destination at most; the first ones show what is wrong. */
-    private static final int MOST = 3;
+    /** Findings reported per destination; the first ones show what is wrong. */
+    private static final int MAX_FINDINGS = 3;
 
-    /** Changes looked at of one destination: some hundred a calendar and year are usual. */
-    private static final int MOST_CHANGES = 20_000;
+    /**
+     * Opening and closing times examined per destination; some hundred per calendar and year are
+     * usual.
+     */
+    private static final int MAX_CHANGES = 20_000;
 
     private HoursCheck() {}
 
-    /** What is found in a table from {@code now} on, one line each. */
+    /**
+     * The overlaps and gaps in a table's calendars from {@code now} (µs since 1970) on, one line
+     * each.
+     */
     public static List<String> of(NumberTable table, long now) {
-        List<String> found = new ArrayList<>();
+        List<String> findings = new ArrayList<>();
         for (int value = 1; value <= table.destinations(); value++) {
             if (table.destination(value) instanceof Destination.ByHours hours) {
-                found.addAll(of(table, hours, now));
+                findings.addAll(of(table, hours, now));
             }
         }
-        return found;
+        return findings;
     }
 
     private static List<String> of(NumberTable table, Destination.ByHours hours, long now) {
-        Set<String> found = new TreeSet<>();
-        List<String> told = new ArrayList<>();
-        long at = now;
-        for (int i = 0; i < MOST_CHANGES && at < now + AHEAD && told.size() < MOST; i++) {
+        Set<String> seen = new TreeSet<>();
+        List<String> findings = new ArrayList<>();
+        long time = now;
+        for (int i = 0;
+                i < MAX_CHANGES && time < now + LOOK_AHEAD_US && findings.size() < MAX_FINDINGS;
+                i++) {
             List<String> open = new ArrayList<>();
-            long next = Hours.NEVER;
-            for (Destination.Choice choice : hours.choices()) {
-                Hours calendar = table.calendars().get(choice.calendar());
-                if (calendar.open(at)) {
-                    open.add(choice.calendar());
+            long next = OpeningHours.NEVER;
+            for (Destination.CalendarRoute route : hours.routes()) {
+                OpeningHours calendar = table.calendars().get(route.calendar());
+                if (calendar.isOpen(time)) {
+                    open.add(route.calendar());
                 }
-                next = Math.min(next, calendar.change(at));
+                next = Math.min(next, calendar.nextChange(time));
             }
-            String what =
+            String problem =
                     open.size() > 1
                             ? "overlap of " + String.join(" and ", open) + ", the first counts"
                             : open.isEmpty() && hours.otherwise() == null
-                                    ? "gap: no calendar is open and nothing else is said"
+                                    ? "gap: no calendar is open and there is no 'else'"
                                     : "";
-            if (!what.isEmpty() && found.add(what)) {
-                told.add(
+            if (!problem.isEmpty() && seen.add(problem)) {
+                findings.add(
                         "from "
-                                + Instant.ofEpochSecond(at / 1_000_000)
+                                + Instant.ofEpochSecond(time / 1_000_000)
                                 + ": "
-                                + what
+                                + problem
                                 + " ("
                                 + hours.text()
                                 + ")");
             }
-            if (next == Hours.NEVER) {
+            if (next == OpeningHours.NEVER) {
                 break;
             }
-            at = next;
+            time = next;
         }
-        return told;
+        return findings;
     }
 }
--- a/src/main/java/coralcove/numbers/NumberTable.java
+++ b/src/main/java/coralcove/numbers/NumberTable.java
@@ -5,78 +5,83 @@
 import java.util.Map;
 
 /**
- * One version of all that is known of numbers; it never changes. The rules make a number of what
- * was dialled, the trie finds the longest prefix, calendars open and close. Tables made by {@link
- * #edited} share what did not change.
+ * One immutable version of the number table: dialling rules normalize what was dialled, the trie
+ * finds the longest matching prefix, and calendars say when something is open. Tables made by
+ * {@link #edited} share what did not change.
  */
 public final class NumberTable {
     /**
-     * What is dialled becomes a number by the first rule that fits: it begins with {@code begins},
-     * or has {@code least} to {@code most} digits where that is null; what it begins with is
-     * replaced by {@code put}.
+     * A rule that turns a dialled string into a full number; the first one that matches is applied.
+     * It matches strings that begin with {@code prefix} or, if that is null, strings of {@code
+     * minDigits} to {@code maxDigits} digits. The prefix is replaced by {@code replacement}.
      */
-    public record Rule(String begins, int least, int most, String put) {
-        boolean fits(String dialled) {
-            return begins != null
-                    ? dialled.startsWith(begins)
-                    : dialled.length() >= least
-                            && dialled.length() <= most
+    public record DialingRule(String prefix, int minDigits, int maxDigits, String replacement) {
+        boolean matches(String dialled) {
+            return prefix != null
+                    ? dialled.startsWith(prefix)
+                    : dialled.length() >= minDigits
+                            && dialled.length() <= maxDigits
                             && !dialled.startsWith("+");
         }
 
         String apply(String dialled) {
-            return put + (begins == null ? dialled : dialled.substring(begins.length()));
+            return replacement + (prefix == null ? dialled : dialled.substring(prefix.length()));
         }
 
         @Override
         public String toString() {
-            return (begins != null ? begins : least + "-" + most + " digits") + " -> " + put;
+            return (prefix != null ? prefix : minDigits + "-" + maxDigits + " digits")
+                    + " -> "
+                    + replacement;
         }
     }
 
-    /** One edit: a prefix and where it goes now, null where it goes away. */
-    public record Change(long prefix, Destination to) {}
+    /** A change of one prefix: its new destination, or null if the prefix is removed. */
+    public record Change(long prefix, Destination destination) {}
 
-    /**
-     * What can be dialled: digits, a plus at the start, and visual separators (RFC 3966 section
-     * 5.1.1).
-     */
-    private static final String SEPARATORS = "-.() ";
+    /** Characters in a dialled string that are ignored (RFC 3966 section 5.1.1). */
+    private static final String VISUAL_SEPARATORS = "-.() ";
 
     private final long version;
-    private final List<Rule> rules;
-    private final Map<String, Hours> calendars;
+    private final List<DialingRule> rules;
+    private final Map<String, OpeningHours> calendars;
     private final PrefixTrie trie;
 
-    /** Place i is of value i; places past {@link #known} belong to newer tables. */
+    /**
+     * Indexed by the trie's values; entries from {@link #destinationsEnd} on belong to newer
+     * tables.
+     */
     private final Destination[] destinations;
 
-    private final int known;
+    private final int destinationsEnd;
 
+    /**
+     * {@code destinations} is indexed by the trie's values, from 1 to {@code destinationsEnd - 1}.
+     */
     public NumberTable(
             long version,
-            List<Rule> rules,
-            Map<String, Hours> calendars,
+            List<DialingRule> rules,
+            Map<String, OpeningHours> calendars,
             PrefixTrie trie,
             Destination[] destinations,
-            int known) {
+            int destinationsEnd) {
         this.version = version;
         this.rules = rules;
         this.calendars = calendars;
         this.trie = trie;
         this.destinations = destinations;
-        this.known = known;
+        this.destinationsEnd = destinationsEnd;
     }
 
     public long version() {
         return version;
     }
 
-    public List<Rule> rules() {
+    public List<DialingRule> rules() {
         return rules;
     }
 
-    public Map<String, Hours> calendars() {
+    public Map<String, OpeningHours> calendars() {
         return calendars;
     }
 
@@ -84,25 +89,27 @@
         return trie;
     }
 
+    /** The number of distinct destinations; their values run from 1 to this. */
     public int destinations() {
-        return known - 1;
+        return destinationsEnd - 1;
     }
 
+    /** The destination that belongs to a value of the trie. */
     public Destination destination(int value) {
         return destinations[value];
     }
 
-    /** The rule that makes a number of what was dialled, null if none is needed. */
-    public Rule rule(String dialled) {
-        return ruleOf(plain(dialled));
+    /** The rule that applies to a dialled string, null if none does. */
+    public DialingRule ruleFor(String dialled) {
+        return firstMatchingRule(withoutSeparators(dialled));
     }
 
-    private Rule ruleOf(String plain) {
-        if (plain.startsWith("+")) {
+    private DialingRule firstMatchingRule(String stripped) {
+        if (stripped.startsWith("+")) {
             return null;
         }
-        for (Rule rule : rules) {
-            if (rule.fits(plain)) {
+        for (DialingRule rule : rules) {
+            if (rule.matches(stripped)) {
                 return rule;
             }
         }
@@ -110,13 +117,14 @@
     }
 
     /**
-     * The number meant by what was dialled; an {@link IllegalArgumentException} says why it can be
-     * none.
+     * The packed number ({@link Digits}) that a dialled string stands for.
+     *
+     * @throws IllegalArgumentException with the reason if the string is not a number
      */
-    public long number(String dialled) {
-        String plain = plain(dialled);
-        Rule rule = ruleOf(plain);
-        String full = rule == null ? plain : rule.apply(plain);
+    public long toNumber(String dialled) {
+        String stripped = withoutSeparators(dialled);
+        DialingRule rule = firstMatchingRule(stripped);
+        String full = rule == null ? stripped : rule.apply(stripped);
         String digits = full.startsWith("+") ? full.substring(1) : full;
         if (digits.isEmpty()) {
             throw new IllegalArgumentException("has no digits");
@@ -124,44 +132,45 @@
         return Digits.pack(digits);
     }
 
-    private static String plain(String dialled) {
-        StringBuilder plain = new StringBuilder(dialled.length());
+    private static String withoutSeparators(String dialled) {
+        StringBuilder stripped = new StringBuilder(dialled.length());
         for (int i = 0; i < dialled.length(); i++) {
-            if (SEPARATORS.indexOf(dialled.charAt(i)) < 0) {
-                plain.append(dialled.charAt(i));
+            if (VISUAL_SEPARATORS.indexOf(dialled.charAt(i)) < 0) {
+                stripped.append(dialled.charAt(i));
             }
         }
-        return plain.toString();
+        return stripped.toString();
     }
 
     /**
-     * The next table: these edits and nothing else. What was not there before is no error to take
-     * away.
+     * The next version: this table with these changes. Removing a prefix that does not exist is not
+     * an error.
      */
     public NumberTable edited(long newVersion, List<Change> changes) {
         if (newVersion <= version) {
             throw new IllegalArgumentException(
                     "version " + newVersion + " is not after " + version);
         }
-        PrefixTrie next = trie;
-        // Copied, not written behind: some thousand references at most unless each prefix goes its
-        // own way.
-        Destination[] all = Arrays.copyOf(destinations, known + changes.size());
-        int used = known;
+        PrefixTrie newTrie = trie;
+        // Copied rather than appended to the shared array: a few thousand references at most,
+        // unless nearly every prefix has a destination of its own.
+        Destination[] newDestinations =
+                Arrays.copyOf(destinations, destinationsEnd + changes.size());
+        int used = destinationsEnd;
         for (Change change : changes) {
-            if (change.to == null) {
-                next = next.without(change.prefix);
+            if (change.destination == null) {
+                newTrie = newTrie.without(change.prefix);
             } else {
-                all[used] = change.to;
-                next = next.with(change.prefix, used++);
+                newDestinations[used] = change.destination;
+                newTrie = newTrie.with(change.prefix, used++);
             }
         }
         return new NumberTable(
                 newVersion,
                 rules,
                 calendars,
-                next.worthPacking() ? next.packed() : next,
-                all,
+                newTrie.shouldPack() ? newTrie.packed() : newTrie,
+                newDestinations,
                 used);
     }
 }
--- a/src/main/java/coralcove/numbers/Porting.java
+++ b/src/main/java/coralcove/numbers/Porting.java
@@ -9,36 +9,44 @@
 import java.util.Set;
 
 /**
- * What a session does about a number that may have moved: go by what is known, wait for the
- * portability server, or go to the donor exchange. It remembers answers, keeps one question out a
- * number, and stops asking a server that fails or is slow, so that no session loses its final
- * answer to it. No clock, wire or chance of its own.
+ * Cache of the portability server's answers, with a circuit breaker. For a number that may be
+ * ported it decides whether a session uses a cached answer, waits for the server, or falls back to
+ * the donor exchange. There is at most one outstanding query per number, and queries stop while the
+ * server fails or is slow, so that no session misses its final answer because of it. Uses no clock,
+ * I/O or random numbers.
  */
 public final class Porting {
     /**
-     * Times in µs. {@code budget} is the longest wait, and {@code share} the part of what the
-     * caller has left that it may take; {@code staleFor} is how long past its lifetime an answer
-     * serves when no newer one comes.
+     * Limits; times in µs. {@code budget} is the longest wait of a session, and {@code waitShare}
+     * the share of its caller's remaining time that a wait may take. {@code maxStaleness} is how
+     * long past its lifetime an answer may be used when no newer one arrives (RFC 8767). {@code
+     * maxPorted} and {@code maxNotPorted} bound the cached answers, {@code asked} the outstanding
+     * queries.
      */
     public record Settings(
-            long budget, double share, long staleFor, int known, int unknown, int asked) {}
+            long budget,
+            double waitShare,
+            long maxStaleness,
+            int maxPorted,
+            int maxNotPorted,
+            int asked) {}
 
-    /** What is to be done now. */
-    public sealed interface Answer permits Goes, Wait, Donor {}
+    /** What a session does next. */
+    public sealed interface Decision permits Proceed, Wait, UseDonor {}
 
-    /** Go by this: the routing number, or 0 for a number that has not moved. */
-    public record Goes(long routing, boolean stale) implements Answer {}
+    /** Use this answer: the packed routing number, or 0 for a number that is not ported. */
+    public record Proceed(long routingNumber, boolean stale) implements Decision {}
 
     /**
-     * Wait for the answer, at most until then; {@code ask} tells that the question must be sent
-     * now.
+     * Wait for the answer, until {@code deadline} at most; {@code sendQuery} if the caller must
+     * send the query now.
      */
-    public record Wait(long until, boolean ask) implements Answer {}
+    public record Wait(long deadline, boolean sendQuery) implements Decision {}
 
-    /** Go to the donor exchange, for this reason. */
-    public record Donor(String reason) implements Answer {}
+    /** Route to the donor exchange, for this reason. */
+    public record UseDonor(String reason) implements Decision {}
 
-    /** How a question ended; times to live in µs. */
+    /** The result of a query: the number is ported, is not ported, or the query failed. */
     public enum Outcome {
         MOVED,
         NOT_MOVED,
@@ -46,223 +54,250 @@
     }
 
     /**
-     * Failed or slow questions in a row that close the way to the server: chance losses rarely come
-     * so.
+     * Failed or slow queries in a row after which queries are paused; random losses rarely reach
+     * this.
      */
-    private static final int FAILURES = 5;
+    private static final int FAILURE_THRESHOLD = 5;
 
-    /** µs: an answer later than this is of no use to a session, and counts as a failure. */
-    private static final long SLOW = 400_000;
-
-    /** µs: the first pause after closing, and the longest; a restart takes some seconds. */
-    private static final long PAUSE_FIRST = 500_000;
-
-    private static final long PAUSE_LONGEST = 4_000_000;
+    /** An answer later than this is of no use to a session and counts as a failure. */
+    private static final long SLOW_ANSWER_US = 400_000;
 
     /**
-     * µs: the wait for news of a number whose last answer is past its lifetime: a good server takes
-     * less.
+     * The first pause, which doubles up to {@link #MAX_PAUSE_US}; a server restart takes some
+     * seconds.
      */
-    private static final long STALE_WAIT = 60_000;
+    private static final long INITIAL_PAUSE_US = 500_000;
+
+    private static final long MAX_PAUSE_US = 4_000_000;
 
     /**
-     * µs: bounds of a lifetime: below, each session would ask; above, a move would not be seen for
-     * days.
+     * How long a session waits for a newer answer when the cached one has expired; a healthy server
+     * takes less.
      */
-    private static final long LIFE_LEAST = 1_000_000;
+    private static final long STALE_REFRESH_WAIT_US = 60_000;
 
-    private static final long LIFE_MOST = 86_400_000_000L;
+    /** Shorter lifetimes are raised to this, as otherwise each session would send a query. */
+    private static final long MIN_LIFETIME_US = 1_000_000;
 
-    /**
-     * µs: how long a number that the server does not know is remembered at most (RFC 2308 section
-     * 5).
-     */
-    private static final long UNKNOWN_MOST = 600_000_000;
+    /** Longer lifetimes are cut to this, as otherwise a porting could go unnoticed for days. */
+    private static final long MAX_LIFETIME_US = 86_400_000_000L;
+
+    /** How long a negative answer is cached at most (RFC 2308 section 5). */
+    private static final long MAX_NEGATIVE_LIFETIME_US = 600_000_000;
 
-    /** µs: less than this is not worth waiting: a set-up needs what is left. */
-    private static final long LEAST_WAIT = 5_000;
+    /** Shorter waits are skipped: the set-up itself needs the remaining time. */
+    private static final long MIN_WAIT_US = 5_000;
 
-    private record Known(long routing, long until) {}
+    private record CachedAnswer(long routingNumber, long expiresAt) {}
 
-    /** A question that is out, and who waits for it. */
-    private static final class Question {
-        final long since;
+    /** An outstanding query and the sessions that wait for it. */
+    private static final class Query {
+        final long sentAt;
         final boolean trial;
-        final Set<Long> sessions = new LinkedHashSet<>();
+        final Set<Long> waitingSessions = new LinkedHashSet<>();
 
-        Question(long since, boolean trial) {
-            this.since = since;
+        Query(long sentAt, boolean trial) {
+            this.sentAt = sentAt;
             this.trial = trial;
         }
     }
 
     private final Settings settings;
-    private final Map<Long, Known> moved;
+    private final Map<Long, CachedAnswer> ported;
 
     /**
-     * Apart, so that calls to numbers that do not exist cannot push out what is known of those that
-     * do.
+     * A map of its own, so that calls to nonexistent numbers cannot evict answers about ported
+     * ones.
      */
-    private final Map<Long, Known> still;
-
-    private final Map<Long, Question> out = new LinkedHashMap<>();
-    private int failures;
-    private long closedUntil;
-    private long pause = PAUSE_FIRST;
-    private boolean trying;
-    private long hits;
-    private long questions;
-    private long stales;
-    private long donors;
+    private final Map<Long, CachedAnswer> notPorted;
+
+    private final Map<Long, Query> outstandingQueries = new LinkedHashMap<>();
+    private int consecutiveFailures;
+    private long pausedUntil;
+    private long pause = INITIAL_PAUSE_US;
+    private boolean trialOutstanding;
+    private long cacheHits;
+    private long queriesSent;
+    private long staleAnswers;
+    private long donorFallbacks;
 
     public Porting(Settings settings) {
         this.settings = settings;
-        moved = bounded(settings.known);
-        still = bounded(settings.unknown);
+        ported = lruMap(settings.maxPorted);
+        notPorted = lruMap(settings.maxNotPorted);
     }
 
-    /** The one not used for longest goes first. */
-    private static Map<Long, Known> bounded(int most) {
+    /** A map of at most {@code maxEntries} entries that evicts the least recently used one. */
+    private static Map<Long, CachedAnswer> lruMap(int maxEntries) {
         return new LinkedHashMap<>(64, 0.75f, true) {
             private static final long serialVersionUID = 1;
 
             @Override
-            protected boolean removeEldestEntry(Map.Entry<Long, Known> eldest) {
-                return size() > most;
+            protected boolean removeEldestEntry(Map.Entry<Long, CachedAnswer> eldest) {
+                return size() > maxEntries;
             }
         };
     }
 
-    /** What a session does about a number; {@code left} µs are left to its caller. */
-    public Answer ask(long now, long number, long session, long left) {
-        Known known = known(number);
-        if (known != null && now < known.until) {
-            hits++;
-            return new Goes(known.routing, false);
+    /**
+     * Decides for a session that needs the answer for a number; {@code timeLeft} µs remain to its
+     * caller.
+     */
+    public Decision lookUp(long now, long number, long session, long timeLeft) {
+        CachedAnswer cached = cachedAnswer(number);
+        if (cached != null && now < cached.expiresAt) {
+            cacheHits++;
+            return new Proceed(cached.routingNumber, false);
         }
-        boolean stale = known != null && now < known.until + settings.staleFor;
-        Question question = out.get(number);
-        if (question == null && (closed(now) || out.size() >= settings.asked)) {
-            return without(known, stale, closed(now) ? "server closed" : "too many questions");
+        boolean stale = cached != null && now < cached.expiresAt + settings.maxStaleness;
+        Query query = outstandingQueries.get(number);
+        if (query == null && (isPaused(now) || outstandingQueries.size() >= settings.asked)) {
+            return decideWithoutQuery(
+                    cached,
+                    stale,
+                    isPaused(now) ? "queries are paused" : "too many outstanding queries");
         }
-        long wait = Math.min(stale ? STALE_WAIT : settings.budget, (long) (left * settings.share));
-        // Many wait for one question: who comes late waits no longer than the first would.
-        long until =
-                question == null
-                        ? now + wait
-                        : Math.min(now + wait, question.since + settings.budget);
-        if (until - now < LEAST_WAIT) {
-            return without(known, stale, "no time");
+        long wait =
+                Math.min(
+                        stale ? STALE_REFRESH_WAIT_US : settings.budget,
+                        (long) (timeLeft * settings.waitShare));
+        // Sessions share one query: a later session waits no longer than the first one may.
+        long deadline =
+                query == null ? now + wait : Math.min(now + wait, query.sentAt + settings.budget);
+        if (deadline - now < MIN_WAIT_US) {
+            return decideWithoutQuery(cached, stale, "not enough time left");
         }
-        boolean ask = question == null;
-        if (ask) {
-            boolean trial = failures >= FAILURES;
-            trying |= trial;
-            question = new Question(now, trial);
-            out.put(number, question);
-            questions++;
+        boolean sendQuery = query == null;
+        if (sendQuery) {
+            boolean trial = consecutiveFailures >= FAILURE_THRESHOLD;
+            trialOutstanding |= trial;
+            query = new Query(now, trial);
+            outstandingQueries.put(number, query);
+            queriesSent++;
         }
-        question.sessions.add(session);
-        return new Wait(until, ask);
+        query.waitingSessions.add(session);
+        return new Wait(deadline, sendQuery);
     }
 
     /**
-     * The wait of a session is over, by an answer or without one: it goes by what is known and
-     * waits no more.
+     * Decides for a session whose wait is over, with or without an answer; it does not wait again.
      */
-    public Answer resume(long now, long number, long session) {
-        Question question = out.get(number);
-        if (question != null) {
-            question.sessions.remove(session);
+    public Decision resume(long now, long number, long session) {
+        Query query = outstandingQueries.get(number);
+        if (query != null) {
+            query.waitingSessions.remove(session);
         }
-        Known known = known(number);
-        if (known != null && now < known.until) {
-            return new Goes(known.routing, false);
+        CachedAnswer cached = cachedAnswer(number);
+        if (cached != null && now < cached.expiresAt) {
+            return new Proceed(cached.routingNumber, false);
         }
-        return without(
-                known, known != null && now < known.until + settings.staleFor, "no answer in time");
+        return decideWithoutQuery(
+                cached,
+                cached != null && now < cached.expiresAt + settings.maxStaleness,
+                "no answer in time");
     }
 
-    /** A session that waited is over. */
-    public void gone(long number, long session) {
-        Question question = out.get(number);
-        if (question != null) {
-            question.sessions.remove(session);
+    /** Removes a session that has ended from the waiting ones. */
+    public void cancelWait(long number, long session) {
+        Query query = outstandingQueries.get(number);
+        if (query != null) {
+            query.waitingSessions.remove(session);
         }
     }
 
-    /** A question has ended; the sessions given back can go on, in the order in which they came. */
-    public List<Long> ended(long now, long number, Outcome outcome, long routing, long life) {
-        Question question = out.remove(number);
+    /**
+     * Records the result of a query; {@code timeToLive} is the answer's lifetime in µs.
+     *
+     * @return the sessions that waited for it and can continue, in the order of their arrival
+     */
+    public List<Long> ended(
+            long now, long number, Outcome outcome, long routingNumber, long timeToLive) {
+        Query query = outstandingQueries.remove(number);
         if (outcome != Outcome.FAILED) {
-            long lives =
+            long lifetime =
                     Math.max(
-                            LIFE_LEAST,
-                            Math.min(outcome == Outcome.MOVED ? LIFE_MOST : UNKNOWN_MOST, life));
-            moved.remove(number);
-            still.remove(number);
-            (outcome == Outcome.MOVED ? moved : still)
-                    .put(number, new Known(outcome == Outcome.MOVED ? routing : 0, now + lives));
+                            MIN_LIFETIME_US,
+                            Math.min(
+                                    outcome == Outcome.MOVED
+                                            ? MAX_LIFETIME_US
+                                            : MAX_NEGATIVE_LIFETIME_US,
+                                    timeToLive));
+            ported.remove(number);
+            notPorted.remove(number);
+            (outcome == Outcome.MOVED ? ported : notPorted)
+                    .put(
+                            number,
+                            new CachedAnswer(
+                                    outcome == Outcome.MOVED ? routingNumber : 0, now + lifetime));
         }
-        if (question == null) {
+        if (query == null) {
             return List.of();
         }
-        trying &= !question.trial;
-        boolean good = outcome != Outcome.FAILED && now - question.since <= SLOW;
-        if (good) {
-            failures = 0;
-            pause = PAUSE_FIRST;
-            closedUntil = 0;
-        } else if (++failures >= FAILURES && (failures == FAILURES || question.trial)) {
-            closedUntil = now + pause;
-            pause = Math.min(PAUSE_LONGEST, 2 * pause);
+        trialOutstanding &= !query.trial;
+        boolean healthy = outcome != Outcome.FAILED && now - query.sentAt <= SLOW_ANSWER_US;
+        if (healthy) {
+            consecutiveFailures = 0;
+            pause = INITIAL_PAUSE_US;
+            pausedUntil = 0;
+        } else if (++consecutiveFailures >= FAILURE_THRESHOLD
+                && (consecutiveFailures == FAILURE_THRESHOLD || query.trial)) {
+            pausedUntil = now + pause;
+            pause = Math.min(MAX_PAUSE_US, 2 * pause);
         }
-        return new ArrayList<>(question.sessions);
+        return new ArrayList<>(query.waitingSessions);
     }
 
-    /** Whether no question is sent now: the pause lasts, or the one trial after it is out. */
-    public boolean closed(long now) {
-        return failures >= FAILURES && (now < closedUntil || trying);
+    /**
+     * Whether no query may be sent now: the pause after repeated failures lasts, or the single
+     * trial query that follows it is outstanding.
+     */
+    public boolean isPaused(long now) {
+        return consecutiveFailures >= FAILURE_THRESHOLD && (now < pausedUntil || trialOutstanding);
     }
 
-    private Known known(long number) {
-        Known known = moved.get(number);
-        return known != null ? known : still.get(number);
+    private CachedAnswer cachedAnswer(long number) {
+        CachedAnswer cached = ported.get(number);
+        return cached != null ? cached : notPorted.get(number);
     }
 
-    private Answer without(Known known, boolean stale, String reason) {
+    private Decision decideWithoutQuery(CachedAnswer cached, boolean stale, String reason) {
         if (stale) {
-            stales++;
-            return new Goes(known.routing, true);
+            staleAnswers++;
+            return new Proceed(cached.routingNumber, true);
         }
-        donors++;
-        return new Donor(reason);
+        donorFallbacks++;
+        return new UseDonor(reason);
     }
 
     /**
-     * Forgets answers that are of no use any more; asked now and then, as its time grows with what
-     * is known.
+     * Removes answers that are too old to be used. Takes time linear in the size of the cache, so
+     * it is to be called only occasionally.
      */
     public void sweep(long now) {
-        for (Map<Long, Known> each : List.of(moved, still)) {
-            for (Iterator<Known> it = each.values().iterator(); it.hasNext(); ) {
-                if (it.next().until + settings.staleFor < now) {
-                    it.remove();
+        for (Map<Long, CachedAnswer> cache : List.of(ported, notPorted)) {
+            for (Iterator<CachedAnswer> answers = cache.values().iterator(); answers.hasNext(); ) {
+                if (answers.next().expiresAt + settings.maxStaleness < now) {
+                    answers.remove();
                 }
             }
         }
     }
 
-    public int remembered() {
-        return moved.size() + still.size();
+    /** The number of cached answers. */
+    public int cachedCount() {
+        return ported.size() + notPorted.size();
     }
 
-    public int out() {
-        return out.size();
+    /** The number of outstanding queries. */
+    public int outstandingCount() {
+        return outstandingQueries.size();
     }
 
-    /** Answered from memory, questions sent, answered past their lifetime, sent to the donor. */
+    /**
+     * Counts of sessions served by a valid cached answer, queries sent, sessions served by an
+     * expired answer, and sessions routed to the donor.
+     */
     public long[] counts() {
-        return new long[] {hits, questions, stales, donors};
+        return new long[] {cacheHits, queriesSent, staleAnswers, donorFallbacks};
     }
 }
--- a/src/main/java/coralcove/numbers/PrefixTrie.java
+++ b/src/main/java/coralcove/numbers/PrefixTrie.java
@@ -3,14 +3,17 @@
 import java.util.Arrays;
 
 /**
- * Prefixes of numbers and a value above 0 for each; the longest that begins a number wins. A trie
- * with compressed paths in one int array, four ints a node, the children of a node side by side. It
- * never changes: an edit gives a new trie that shares all nodes but those on the way to the change,
- * which it writes behind the others. Readers of older tries are not disturbed; edits come from one
- * thread at a time.
+ * An immutable map from number prefixes to positive values with longest-prefix match. It is a
+ * radix-10 trie with compressed paths in one int array: four ints per node, the children of a node
+ * adjacent. An edit returns a new trie that shares all nodes except those on the path to the
+ * change, which are appended to the array. Older tries stay valid for their readers; only one
+ * thread at a time may edit.
  */
 public final class PrefixTrie {
-    /** What edits write to: the tries of one line share it, and only the newest may write on. */
+    /**
+     * The node array, shared by a trie and the tries edited from it; only the newest of them may
+     * append.
+     */
     private static final class Store {
         int[] cells;
         int used;
@@ -22,57 +25,62 @@
     }
 
     /**
-     * Ints of a node: its first child, which children and how many skipped digits, those digits,
-     * its value.
+     * Ints per node: index of the first child; number of skipped digits and bitmap of children; the
+     * skipped digits; the value, 0 for none.
      */
-    private static final int NODE = 4;
+    private static final int NODE_INTS = 4;
 
-    private static final int SKIPPED = 11;
-    private static final int CHILDREN = (1 << SKIPPED) - 1;
+    /** The number of skipped digits is above the bitmap of children, which has bits 1 to 10. */
+    private static final int SKIP_SHIFT = 11;
 
-    /** Digits that one node skips at most: 28 bits of an int. */
-    private static final int MOST_SKIPPED = 7;
+    private static final int CHILDREN_MASK = (1 << SKIP_SHIFT) - 1;
 
-    /** The part of a store kept free for edits when it is made, and the least, in ints. */
-    private static final int SPARE = 8;
+    /** Digits that one node can skip: 28 bits of an int. */
+    private static final int MAX_SKIPPED_DIGITS = 7;
 
-    private static final int LEAST_SPARE = 1 << 12;
+    /** A new array has at least 1 / SPARE_DIVISOR of its used size free for edits. */
+    private static final int SPARE_DIVISOR = 8;
 
-    /** Ints of a store at most: 2 GiB, some 60 million prefixes. */
-    private static final int MOST_CELLS = 1 << 29;
+    /** The least room for edits in a new array. */
+    private static final int MIN_SPARE_INTS = 1 << 12;
 
-    /**
-     * Share of the store's ints that no longer belong to the newest trie from which it is worth
-     * packing.
-     */
-    private static final double WASTE = 0.3;
+    /** The largest array: 2 GiB, some 60 million prefixes. */
+    private static final int MAX_STORE_INTS = 1 << 29;
+
+    /** Share of the array's ints not used by the newest trie above which it should be packed. */
+    private static final double PACKING_WASTE_SHARE = 0.3;
 
     private final Store store;
     private final int[] cells;
     private final int root;
+
+    /** The store's used size when this trie was made: if it has grown, a newer trie exists. */
     private final int end;
+
     private final int size;
 
-    /** Ints written for older tries only, so far as known. */
-    private final int waste;
+    /** Ints used by older tries only, as far as counted. */
+    private final int wastedInts;
 
-    private PrefixTrie(Store store, int root, int size, int waste) {
+    private PrefixTrie(Store store, int root, int size, int wastedInts) {
         this.store = store;
         this.cells = store.cells;
         this.root = root;
         this.end = store.used;
         this.size = size;
-        this.waste = waste;
+        this.wastedInts = wastedInts;
     }
 
+    /** A trie without prefixes. */
     public static PrefixTrie empty() {
         return of(new long[0], new int[0], 0);
     }
 
     /**
-     * Of the first {@code count} keys ({@link Digits}), which rise strictly, and their values. The
-     * empty prefix is allowed; a key twice or out of order, or a value below 1, is an {@link
-     * IllegalArgumentException}.
+     * Builds a trie from the first {@code count} keys ({@link Digits}), in strictly ascending
+     * order, and their values. The empty prefix is allowed.
+     *
+     * @throws IllegalArgumentException if a key is repeated or out of order, or a value is below 1
      */
     public static PrefixTrie of(long[] keys, int[] values, int count) {
         for (int i = 0; i < count; i++) {
@@ -87,28 +95,35 @@
         }
         Builder builder = new Builder(keys, values, count);
         builder.fill(0, 0, count, 0);
-        int[] cells = Arrays.copyOf(builder.cells, spare(builder.used));
+        int[] cells = Arrays.copyOf(builder.cells, withSpareRoom(builder.used));
         return new PrefixTrie(new Store(cells, builder.used), 0, count, 0);
     }
 
-    private static int spare(int used) {
-        return (int) Math.min(MOST_CELLS, used + (long) Math.max(LEAST_SPARE, used / SPARE));
+    private static int withSpareRoom(int used) {
+        return (int)
+                Math.min(
+                        MAX_STORE_INTS,
+                        used + (long) Math.max(MIN_SPARE_INTS, used / SPARE_DIVISOR));
     }
 
+    /** The number of prefixes. */
     public int size() {
         return size;
     }
 
-    /** Bytes that the nodes take, room for edits included. */
+    /** Memory of the node array in bytes, including the room for edits. */
     public long bytes() {
         return 4L * cells.length;
     }
 
-    public boolean worthPacking() {
-        return waste > WASTE * end;
+    /**
+     * Whether so much of the array belongs only to older tries that {@link #packed} is worthwhile.
+     */
+    public boolean shouldPack() {
+        return wastedInts > PACKING_WASTE_SHARE * end;
     }
 
-    /** The same prefixes without what edits left behind, in a store of its own. */
+    /** A copy with the same prefixes in an array of its own, without the nodes of older tries. */
     public PrefixTrie packed() {
         long[] keys = new long[size];
         int[] values = new int[size];
@@ -121,237 +136,258 @@
         return of(keys, values, size);
     }
 
-    /** The value of the longest prefix of {@code number}, 0 if none begins it. */
+    /** The value of the longest prefix of {@code number}, 0 if no prefix matches. */
     public int find(long number) {
-        return (int) longest(number);
+        return (int) longestPrefix(number);
     }
 
     /**
-     * The longest prefix's length in the upper, its value in the lower 32 bits; 0 if none begins
-     * the number.
+     * The length of the longest matching prefix in the upper 32 bits and its value in the lower; 0
+     * if no prefix matches.
      */
-    public long longest(long number) {
-        int[] all = cells;
+    public long longestPrefix(long number) {
+        int[] nodes = cells;
         int node = root;
-        int at = 0;
+        int depth = 0;
         long best = 0;
         while (true) {
-            int meta = all[node + 1];
-            int skip = meta >>> SKIPPED;
+            int meta = nodes[node + 1];
+            int skip = meta >>> SKIP_SHIFT;
             if (skip > 0) {
-                // A digit past the number's end is 0 and equals none that is skipped.
-                if (Digits.part(number, at, skip) != all[node + 2]) {
+                // Past the number's end slice gives 0, which no skipped digit equals.
+                if (Digits.slice(number, depth, skip) != nodes[node + 2]) {
                     return best;
                 }
-                at += skip;
+                depth += skip;
             }
-            if (all[node + 3] != 0) {
-                best = (long) at << 32 | all[node + 3];
+            if (nodes[node + 3] != 0) {
+                best = (long) depth << 32 | nodes[node + 3];
             }
-            if (at == Digits.MOST) {
+            if (depth == Digits.MAX_LENGTH) {
                 return best;
             }
-            int bit = 1 << Digits.at(number, at);
-            // Bit 0, the end of the number, is never set.
-            if ((meta & CHILDREN & bit) == 0) {
+            int bit = 1 << Digits.digitAt(number, depth);
+            // Bit 0 stands for the end of the number and is never set.
+            if ((meta & CHILDREN_MASK & bit) == 0) {
                 return best;
             }
-            node = all[node] + NODE * Integer.bitCount(meta & bit - 1);
-            at++;
+            node = nodes[node] + NODE_INTS * Integer.bitCount(meta & bit - 1);
+            depth++;
         }
     }
 
-    /** The value of exactly this prefix, 0 if it has none. */
+    /** The value of exactly this prefix, 0 if the trie does not contain it. */
     public int get(long prefix) {
-        long found = longest(prefix);
+        long found = longestPrefix(prefix);
         return found >>> 32 == Digits.length(prefix) ? (int) found : 0;
     }
 
-    /** What {@link #each} calls. */
+    /** Receives each prefix and its value. */
     public interface Visitor {
-        void prefix(long key, int value);
+        void visit(long key, int value);
     }
 
-    /** All prefixes in rising order. */
+    /** Calls the visitor with all prefixes in ascending order. */
     public void each(Visitor visitor) {
         each(root, 0, 0, visitor);
     }
 
     private void each(int node, long key, int at, Visitor visitor) {
         int meta = cells[node + 1];
-        int skip = meta >>> SKIPPED;
-        long here = skip == 0 ? key : key | (long) cells[node + 2] << 4 * (Digits.MOST - at - skip);
+        int skip = meta >>> SKIP_SHIFT;
+        long prefix =
+                skip == 0
+                        ? key
+                        : key | (long) cells[node + 2] << 4 * (Digits.MAX_LENGTH - at - skip);
         int depth = at + skip;
         if (cells[node + 3] != 0) {
-            visitor.prefix(here, cells[node + 3]);
+            visitor.visit(prefix, cells[node + 3]);
         }
         int child = cells[node];
         for (int digit = 1; digit <= 10; digit++) {
             if ((meta & 1 << digit) != 0) {
                 each(
                         child,
-                        here | (long) digit << 4 * (Digits.MOST - depth - 1),
+                        prefix | (long) digit << 4 * (Digits.MAX_LENGTH - depth - 1),
                         depth + 1,
                         visitor);
-                child += NODE;
+                child += NODE_INTS;
             }
         }
     }
 
-    // ---- edits
+    // Edits.
 
-    /** With this value for this prefix, new or in place of the old one. */
+    /** A trie in which this prefix has this value, whether it existed before or not. */
     public PrefixTrie with(long prefix, int value) {
         if (value < 1) {
             throw new IllegalArgumentException("value " + value);
         }
-        return edited(prefix, value);
+        return withEdit(prefix, value);
     }
 
-    /** Without this prefix; the same trie if it is not there. */
+    /** A trie without this prefix; this trie itself if it does not contain the prefix. */
     public PrefixTrie without(long prefix) {
-        return get(prefix) == 0 ? this : edited(prefix, 0);
+        return get(prefix) == 0 ? this : withEdit(prefix, 0);
     }
 
-    private PrefixTrie edited(long prefix, int value) {
-        // Another edit of this trie has written behind it: that line keeps the store, this one gets
-        // its own.
-        Store own = store.used == end ? store : new Store(Arrays.copyOf(cells, spare(end)), end);
-        Edit edit = new Edit(own);
+    private PrefixTrie withEdit(long prefix, int value) {
+        // If another edit of this trie has already appended to the store, this edit gets a copy.
+        Store target =
+                store.used == end
+                        ? store
+                        : new Store(Arrays.copyOf(cells, withSpareRoom(end)), end);
+        Edit edit = new Edit(target);
         int before = get(prefix);
         int[] top = edit.put(root, 0, prefix, Digits.length(prefix), value);
-        int at = edit.write(top == null ? new int[NODE] : top);
-        int change = (value != 0 ? 1 : 0) - (before != 0 ? 1 : 0);
-        return new PrefixTrie(own, at, size + change, waste + edit.left + NODE);
+        int newRoot = edit.append(top == null ? new int[NODE_INTS] : top);
+        int sizeChange = (value != 0 ? 1 : 0) - (before != 0 ? 1 : 0);
+        return new PrefixTrie(
+                target, newRoot, size + sizeChange, wastedInts + edit.replacedInts + NODE_INTS);
     }
 
-    /** One change: new nodes behind the old, from the changed one up to the root. */
+    /** One change: appends new nodes from the changed one up to the root. */
     private static final class Edit {
         private final Store store;
-        private int left;
+        private int replacedInts;
 
         Edit(Store store) {
             this.store = store;
         }
 
-        /** What a node becomes; null where nothing is left of it. */
+        /**
+         * Sets a key's value below a node, or removes the key if {@code value} is 0. Returns the
+         * node's new ints, null if the node is gone.
+         */
         int[] put(int node, int at, long key, int length, int value) {
-            int[] now = Arrays.copyOfRange(store.cells, node, node + NODE);
-            int skip = now[1] >>> SKIPPED;
+            int[] copy = Arrays.copyOfRange(store.cells, node, node + NODE_INTS);
+            int skip = copy[1] >>> SKIP_SHIFT;
             int same = 0;
             while (same < skip
                     && at + same < length
-                    && Digits.at(key, at + same) == (now[2] >>> 4 * (skip - same - 1) & 15)) {
+                    && Digits.digitAt(key, at + same) == (copy[2] >>> 4 * (skip - same - 1) & 15)) {
                 same++;
             }
             if (same < skip) {
-                return value == 0 ? now : split(now, skip, same, at, key, length, value);
+                return value == 0 ? copy : split(copy, skip, same, at, key, length, value);
             }
             int depth = at + skip;
             if (depth == length) {
-                now[3] = value;
-                return tidy(now);
+                copy[3] = value;
+                return collapse(copy);
             }
-            int digit = Digits.at(key, depth);
-            int count = Integer.bitCount(now[1] & CHILDREN);
-            int place = Integer.bitCount(now[1] & (1 << digit) - 1);
-            boolean there = (now[1] & 1 << digit) != 0;
+            int digit = Digits.digitAt(key, depth);
+            int count = Integer.bitCount(copy[1] & CHILDREN_MASK);
+            int position = Integer.bitCount(copy[1] & (1 << digit) - 1);
+            boolean exists = (copy[1] & 1 << digit) != 0;
             int[] child =
-                    there
-                            ? put(now[0] + NODE * place, depth + 1, key, length, value)
+                    exists
+                            ? put(copy[0] + NODE_INTS * position, depth + 1, key, length, value)
                             : leaf(key, depth + 1, length, value);
-            int[] block = new int[NODE * (count + (there ? 0 : 1) - (child == null ? 1 : 0))];
-            System.arraycopy(store.cells, now[0], block, 0, NODE * place);
-            int to = NODE * place;
+            int[] block = new int[NODE_INTS * (count + (exists ? 0 : 1) - (child == null ? 1 : 0))];
+            System.arraycopy(store.cells, copy[0], block, 0, NODE_INTS * position);
+            int to = NODE_INTS * position;
             if (child != null) {
-                System.arraycopy(child, 0, block, to, NODE);
-                to += NODE;
+                System.arraycopy(child, 0, block, to, NODE_INTS);
+                to += NODE_INTS;
             }
-            int from = now[0] + NODE * (place + (there ? 1 : 0));
+            int from = copy[0] + NODE_INTS * (position + (exists ? 1 : 0));
             System.arraycopy(store.cells, from, block, to, block.length - to);
-            left += NODE * count;
-            now[1] = child == null ? now[1] & ~(1 << digit) : now[1] | 1 << digit;
-            now[0] = block.length == 0 ? 0 : write(block);
-            return tidy(now);
+            replacedInts += NODE_INTS * count;
+            copy[1] = child == null ? copy[1] & ~(1 << digit) : copy[1] | 1 << digit;
+            copy[0] = block.length == 0 ? 0 : append(block);
+            return collapse(copy);
         }
 
-        /** A node whose skipped digits part from the key's after {@code same} of them. */
+        /**
+         * Splits a node whose skipped digits differ from the key's after the first {@code same}
+         * ones.
+         */
         private int[] split(
-                int[] now, int skip, int same, int at, long key, int length, int value) {
-            int[] top = new int[NODE];
-            int digit = now[2] >>> 4 * (skip - same - 1) & 15;
+                int[] copy, int skip, int same, int at, long key, int length, int value) {
+            int[] top = new int[NODE_INTS];
+            int digit = copy[2] >>> 4 * (skip - same - 1) & 15;
             int rest = skip - same - 1;
             int[] lower = {
-                now[0], now[1] & CHILDREN | rest << SKIPPED, now[2] & (1 << 4 * rest) - 1, now[3]
+                copy[0],
+                copy[1] & CHILDREN_MASK | rest << SKIP_SHIFT,
+                copy[2] & (1 << 4 * rest) - 1,
+                copy[3]
             };
-            top[2] = now[2] >>> 4 * (skip - same);
-            top[1] = same << SKIPPED | 1 << digit;
+            top[2] = copy[2] >>> 4 * (skip - same);
+            top[1] = same << SKIP_SHIFT | 1 << digit;
             if (at + same == length) {
                 top[3] = value;
-                top[0] = write(lower);
+                top[0] = append(lower);
                 return top;
             }
-            int other = Digits.at(key, at + same);
+            int other = Digits.digitAt(key, at + same);
             int[] leaf = leaf(key, at + same + 1, length, value);
-            int[] block = new int[2 * NODE];
-            System.arraycopy(lower, 0, block, digit < other ? 0 : NODE, NODE);
-            System.arraycopy(leaf, 0, block, digit < other ? NODE : 0, NODE);
+            int[] block = new int[2 * NODE_INTS];
+            System.arraycopy(lower, 0, block, digit < other ? 0 : NODE_INTS, NODE_INTS);
+            System.arraycopy(leaf, 0, block, digit < other ? NODE_INTS : 0, NODE_INTS);
             top[1] |= 1 << other;
-            top[0] = write(block);
+            top[0] = append(block);
             return top;
         }
 
+        /**
+         * A new node for the rest of a key, with nodes below it if the rest is too long to be
+         * skipped by one.
+         */
         private int[] leaf(long key, int at, int length, int value) {
             int rest = length - at;
-            if (rest <= MOST_SKIPPED) {
+            if (rest <= MAX_SKIPPED_DIGITS) {
                 return new int[] {
-                    0, rest << SKIPPED, rest == 0 ? 0 : Digits.part(key, at, rest), value
+                    0, rest << SKIP_SHIFT, rest == 0 ? 0 : Digits.slice(key, at, rest), value
                 };
             }
-            int child = write(leaf(key, at + MOST_SKIPPED + 1, length, value));
+            int child = append(leaf(key, at + MAX_SKIPPED_DIGITS + 1, length, value));
             return new int[] {
                 child,
-                MOST_SKIPPED << SKIPPED | 1 << Digits.at(key, at + MOST_SKIPPED),
-                Digits.part(key, at, MOST_SKIPPED),
+                MAX_SKIPPED_DIGITS << SKIP_SHIFT
+                        | 1 << Digits.digitAt(key, at + MAX_SKIPPED_DIGITS),
+                Digits.slice(key, at, MAX_SKIPPED_DIGITS),
                 0
             };
         }
 
         /**
-         * A node without a value goes if it has no child, and is one with its child if it has one
-         * only.
+         * Simplifies a node without a value: null if it has no child, merged with its child if it
+         * has just one.
          */
-        private int[] tidy(int[] now) {
-            int children = now[1] & CHILDREN;
-            if (now[3] != 0 || Integer.bitCount(children) > 1) {
-                return now;
+        private int[] collapse(int[] copy) {
+            int children = copy[1] & CHILDREN_MASK;
+            if (copy[3] != 0 || Integer.bitCount(children) > 1) {
+                return copy;
             }
             if (children == 0) {
                 return null;
             }
-            int skip = now[1] >>> SKIPPED;
-            int below = store.cells[now[0] + 1] >>> SKIPPED;
-            if (skip + 1 + below > MOST_SKIPPED) {
-                return now;
+            int skip = copy[1] >>> SKIP_SHIFT;
+            int below = store.cells[copy[0] + 1] >>> SKIP_SHIFT;
+            if (skip + 1 + below > MAX_SKIPPED_DIGITS) {
+                return copy;
             }
             int digit = Integer.numberOfTrailingZeros(children);
-            left += NODE;
+            replacedInts += NODE_INTS;
             return new int[] {
-                store.cells[now[0]],
-                store.cells[now[0] + 1] & CHILDREN | skip + 1 + below << SKIPPED,
-                (now[2] << 4 | digit) << 4 * below | store.cells[now[0] + 2],
-                store.cells[now[0] + 3]
+                store.cells[copy[0]],
+                store.cells[copy[0] + 1] & CHILDREN_MASK | skip + 1 + below << SKIP_SHIFT,
+                (copy[2] << 4 | digit) << 4 * below | store.cells[copy[0] + 2],
+                store.cells[copy[0] + 3]
             };
         }
 
-        int write(int[] block) {
+        /** Appends nodes to the array and returns their index. */
+        int append(int[] block) {
             if (store.used + block.length > store.cells.length) {
-                if (store.used + block.length > MOST_CELLS) {
+                if (store.used + block.length > MAX_STORE_INTS) {
                     throw new IllegalStateException(
-                            "a table of more than " + MOST_CELLS / NODE + " nodes");
+                            "a table of more than " + MAX_STORE_INTS / NODE_INTS + " nodes");
                 }
-                // Older tries keep the array they know.
-                store.cells = Arrays.copyOf(store.cells, spare(store.used + block.length));
+                // Older tries still refer to the previous array.
+                store.cells = Arrays.copyOf(store.cells, withSpareRoom(store.used + block.length));
             }
             System.arraycopy(block, 0, store.cells, store.used, block.length);
             store.used += block.length;
@@ -360,26 +396,30 @@
     }
 
     /**
-     * Builds from sorted keys: the children of a node are given their places before they are
-     * filled.
+     * Builds a trie from sorted keys; adjacent space for a node's children is reserved before they
+     * are filled.
      */
     private static final class Builder {
         private final long[] keys;
         private final int[] values;
         private int[] cells;
-        private int used = NODE;
+        private int used = NODE_INTS;
 
         Builder(long[] keys, int[] values, int count) {
             this.keys = keys;
             this.values = values;
-            cells = new int[Math.max(64, (int) Math.min(MOST_CELLS, count * 6L))];
+            cells = new int[Math.max(64, (int) Math.min(MAX_STORE_INTS, count * 6L))];
         }
 
+        /** Fills a node from the keys in from..to, whose first {@code at} digits lead to it. */
         void fill(int node, int from, int to, int at) {
             if (from == to) {
                 return;
             }
-            int skip = Math.min(MOST_SKIPPED, Digits.common(keys[from], keys[to - 1]) - at);
+            int skip =
+                    Math.min(
+                            MAX_SKIPPED_DIGITS,
+                            Digits.commonPrefixLength(keys[from], keys[to - 1]) - at);
             int depth = at + skip;
             int first = from;
             if (Digits.length(keys[from]) == depth) {
@@ -387,28 +427,33 @@
                 first++;
             }
             int children = 0;
-            for (int i = first; i < to; i = end(i, to, depth)) {
-                children |= 1 << Digits.at(keys[i], depth);
+            for (int i = first; i < to; i = groupEnd(i, to, depth)) {
+                children |= 1 << Digits.digitAt(keys[i], depth);
             }
             int child = used;
-            used += NODE * Integer.bitCount(children);
+            used += NODE_INTS * Integer.bitCount(children);
             if (used > cells.length) {
-                cells = Arrays.copyOf(cells, (int) Math.min(MOST_CELLS, used * 3L / 2));
+                cells = Arrays.copyOf(cells, (int) Math.min(MAX_STORE_INTS, used * 3L / 2));
             }
             cells[node] = children == 0 ? 0 : child;
-            cells[node + 1] = skip << SKIPPED | children;
-            cells[node + 2] = skip == 0 ? 0 : Digits.part(keys[from], at, skip);
+            cells[node + 1] = skip << SKIP_SHIFT | children;
+            cells[node + 2] = skip == 0 ? 0 : Digits.slice(keys[from], at, skip);
             for (int i = first; i < to; ) {
-                int end = end(i, to, depth);
+                int end = groupEnd(i, to, depth);
                 fill(child, i, end, depth + 1);
-                child += NODE;
+                child += NODE_INTS;
                 i = end;
             }
         }
 
-        /** Past the last key in from..to that has the same digit at {@code depth} as the first. */
-        private int end(int from, int to, int depth) {
-            long past = Digits.head(keys[from], depth + 1) + (1L << 4 * (Digits.MOST - depth - 1));
+        /**
+         * The index after the last key in from..to that has the same digit at {@code depth} as the
+         * first.
+         */
+        private int groupEnd(int from, int to, int depth) {
+            long past =
+                    Digits.prefix(keys[from], depth + 1)
+                            + (1L << 4 * (Digits.MAX_LENGTH - depth - 1));
             int found = Arrays.binarySearch(keys, from, to, past);
             return found < 0 ? -found - 1 : found;
         }
--- a/src/main/java/coralcove/numbers/Search.java
+++ b/src/main/java/coralcove/numbers/Search.java
@@ -7,233 +7,249 @@
 import java.util.function.Supplier;
 
 /**
- * One session's way from what was dialled to a far end, by the one table it began with. Asked for
- * the next step; a step that waits is taken again when the answer came or the wait is over. What it
- * found once stays: a retry goes to the same far end, though hours or tables have changed
- * meanwhile.
+ * Number analysis of one session: finds the far end for a dialled number by the table with which
+ * the session began. The caller asks for the next step; after a {@link Wait} it calls {@link
+ * #resume} when the answer has arrived or the wait has timed out. The result is final: a retry is
+ * routed to the same far end even if opening hours or tables have changed since.
  */
 public final class Search {
-    /** What is to be done. */
+    /** What the caller has to do next. */
     public sealed interface Step permits Route, Refused, Wait {}
 
     /**
-     * The far end of the number that counts in the end; {@code until} is when hours may change the
-     * answer.
+     * Route to this far end; {@code number} is the number after porting, {@code until} when opening
+     * hours may next change the result, in µs since 1970.
      */
     public record Route(int farEnd, String number, long until) implements Step {}
 
-    /** The final answer: status and reason, and the new number of a 410, "" with others. */
+    /**
+     * Refuse the call with this status and reason; {@code number} is the new number of a 410, ""
+     * for other statuses.
+     */
     public record Refused(int status, String reason, String number) implements Step {}
 
     /**
-     * Wait until then at most, for this number; {@code ask} tells that the question must be sent
-     * now.
+     * Wait for the portability server's answer about a number, until {@code until} at most; {@code
+     * ask} if the caller must send the query now.
      */
     public record Wait(long until, long number, boolean ask) implements Step {}
 
     /**
-     * Questions to the portability server a session, at most: a number ported twice is real, more
-     * is a loop.
+     * Portability queries per session: a number ported twice occurs in practice, a longer chain is
+     * a loop.
      */
-    private static final int MOST_QUESTIONS = 3;
+    private static final int MAX_QUERIES = 3;
 
     private final long session;
     private final String dialled;
     private final int service;
-    private final long limit;
+    private final long deadline;
     private NumberTable table;
     private long number;
 
-    /**
-     * The donor of the number that was dialled, to which a circle leads back, and of the last
-     * number found.
-     */
-    private int donor = -1;
+    /** The donor of the first ported number, used for loops; -1 for none yet. */
+    private int firstDonor = -1;
 
-    private int holder = -1;
-    private long asked;
-    private final Set<Long> seen = new HashSet<>();
+    /** The donor of the latest ported number; -1 for none yet. */
+    private int lastDonor = -1;
 
-    /**
-     * Put into words only when they are asked for: sessions are searched for, and hardly ever
-     * explained.
-     */
-    private final List<Supplier<String>> steps = new ArrayList<>();
+    /** The number whose portability is being looked up, 0 for none. */
+    private long queriedNumber;
+
+    private final Set<Long> queriedNumbers = new HashSet<>();
 
-    private Step found;
+    /** Formatted only on request, as most sessions are never explained. */
+    private final List<Supplier<String>> explanation = new ArrayList<>();
 
-    /** {@code limit} is the moment by which the caller must have its answer, in µs. */
-    public Search(NumberTable table, long session, String dialled, int service, long limit) {
+    private Step result;
+
+    /** {@code deadline} is the time by which the caller must have its final answer, in µs. */
+    public Search(NumberTable table, long session, String dialled, int service, long deadline) {
         this.table = table;
         this.session = session;
         this.dialled = dialled;
         this.service = service;
-        this.limit = limit;
+        this.deadline = deadline;
     }
 
+    /** The version of the table in use. */
     public long version() {
         return table.version();
     }
 
-    /** Why it goes where it goes, one line a step. */
+    /** How the result came about, one line per step. */
     public List<String> steps() {
-        return steps.stream().map(Supplier::get).toList();
+        return explanation.stream().map(Supplier::get).toList();
     }
 
-    /** Whether the far end or the refusal is known. */
+    /** Whether there is a final result. */
     public boolean over() {
-        return found != null;
+        return result != null;
     }
 
     /**
-     * The table it began with was let go before it had an answer: it begins again with this one.
+     * Starts again with another table, because the one in use was discarded before there was a
+     * result.
      */
-    public void restart(NumberTable now) {
-        table = now;
+    public void restart(NumberTable newTable) {
+        table = newTable;
         number = 0;
-        asked = 0;
-        donor = -1;
-        seen.clear();
-        steps.add(() -> "table " + now.version() + " instead");
+        queriedNumber = 0;
+        firstDonor = -1;
+        queriedNumbers.clear();
+        explanation.add(() -> "restarted with table " + newTable.version());
     }
 
-    /** The next step; the same one for good once there is a route or a refusal. */
-    public Step next(long now, Porting porting) {
-        if (found != null) {
-            return found;
+    /** The next step; once there is a route or a refusal, always that one. */
+    public Step next(long now, Porting portability) {
+        if (result != null) {
+            return result;
         }
         if (number == 0) {
-            NumberTable by = table;
+            NumberTable usedTable = table;
             try {
-                number = table.number(dialled);
+                number = table.toNumber(dialled);
             } catch (IllegalArgumentException e) {
-                return refuse(
+                return reject(
                         484, "Address Incomplete", "dialled " + dialled + " " + e.getMessage());
             }
-            long meant = number;
-            steps.add(
+            long normalized = number;
+            explanation.add(
                     () ->
                             "dialled "
                                     + dialled
-                                    + (by.rule(dialled) == null ? "" : ", rule " + by.rule(dialled))
+                                    + (usedTable.ruleFor(dialled) == null
+                                            ? ""
+                                            : ", rule " + usedTable.ruleFor(dialled))
                                     + ": number "
-                                    + Digits.text(meant));
+                                    + Digits.text(normalized));
         }
-        return asked != 0 ? questioned(now, porting) : looked(now, porting);
+        return queriedNumber != 0
+                ? lookUpPortedNumber(now, portability)
+                : lookUpPrefix(now, portability);
     }
 
-    /** The wait is over, by an answer or without one. */
-    public Step resume(long now, Porting porting) {
-        if (found != null || asked == 0) {
-            return next(now, porting);
+    /** The next step after a wait that has ended with or without an answer. */
+    public Step resume(long now, Porting portability) {
+        if (result != null || queriedNumber == 0) {
+            return next(now, portability);
         }
-        return goOn(now, porting, porting.resume(now, asked, session));
+        return apply(now, portability, portability.resume(now, queriedNumber, session));
     }
 
-    /** The session is over: whatever waits for it is told. */
-    public void gone(Porting porting) {
-        if (found == null && asked != 0) {
-            porting.gone(asked, session);
+    /** Ends the analysis, as the session has ended: stops waiting for the portability server. */
+    public void gone(Porting portability) {
+        if (result == null && queriedNumber != 0) {
+            portability.cancelWait(queriedNumber, session);
         }
     }
 
-    private Step looked(long now, Porting porting) {
-        long longest = table.trie().longest(number);
-        if (longest == 0) {
-            return refuse(404, "Not Found", "no prefix of " + Digits.text(number));
+    private Step lookUpPrefix(long now, Porting portability) {
+        long match = table.trie().longestPrefix(number);
+        if (match == 0) {
+            return reject(404, "Not Found", "no prefix of " + Digits.text(number));
         }
-        Destination to = table.destination((int) longest);
-        long prefix = Digits.head(number, (int) (longest >>> 32));
-        steps.add(() -> "prefix " + (prefix == 0 ? "*" : Digits.text(prefix)) + ": " + to.text());
-        return follow(now, porting, to, Hours.NEVER);
+        Destination destination = table.destination((int) match);
+        long prefix = Digits.prefix(number, (int) (match >>> 32));
+        explanation.add(
+                () ->
+                        "prefix "
+                                + (prefix == 0 ? "*" : Digits.text(prefix))
+                                + ": "
+                                + destination.text());
+        return follow(now, portability, destination, OpeningHours.NEVER);
     }
 
-    private Step follow(long now, Porting porting, Destination to, long until) {
-        if (to instanceof Destination.FarEnd far) {
+    private Step follow(long now, Porting portability, Destination destination, long until) {
+        if (destination instanceof Destination.FarEnd far) {
             if (!far.services().isEmpty() && !far.services().contains(service)) {
-                return refuse(403, "Forbidden", "service " + service + " is not carried to it");
+                return reject(
+                        403, "Forbidden", "service " + service + " is not carried to this far end");
             }
-            steps.add(() -> "far end " + far.number());
-            found = new Route(far.number(), Digits.text(number), until);
-            return found;
+            explanation.add(() -> "far end " + far.number());
+            result = new Route(far.number(), Digits.text(number), until);
+            return result;
         }
-        if (to instanceof Destination.Changed changed) {
-            found = new Refused(410, "Gone", changed.to());
-            return found;
+        if (destination instanceof Destination.Changed changed) {
+            result = new Refused(410, "Gone", changed.to());
+            return result;
         }
-        if (to instanceof Destination.Blocked) {
-            return refuse(403, "Forbidden", "blocked");
+        if (destination instanceof Destination.Blocked) {
+            return reject(403, "Forbidden", "blocked");
         }
-        if (to instanceof Destination.Ported ported) {
-            donor = donor < 0 ? ported.donor() : donor;
-            holder = ported.donor();
-            if (!seen.add(number) || seen.size() > MOST_QUESTIONS) {
-                holder = donor;
-                return donor(
-                        seen.size() > MOST_QUESTIONS ? "ported too often" : "ported in a circle");
+        if (destination instanceof Destination.Ported ported) {
+            firstDonor = firstDonor < 0 ? ported.donor() : firstDonor;
+            lastDonor = ported.donor();
+            if (!queriedNumbers.add(number) || queriedNumbers.size() > MAX_QUERIES) {
+                lastDonor = firstDonor;
+                return routeToDonor(
+                        queriedNumbers.size() > MAX_QUERIES
+                                ? "number ported too many times"
+                                : "porting loop");
             }
-            asked = number;
-            return questioned(now, porting);
+            queriedNumber = number;
+            return lookUpPortedNumber(now, portability);
         }
-        if (to instanceof Destination.ByHours hours) {
-            return byHours(now, porting, hours);
+        if (destination instanceof Destination.ByHours hours) {
+            return byHours(now, portability, hours);
         }
-        return refuse(404, "Not Found", "unallocated");
+        return reject(404, "Not Found", "unallocated");
     }
 
-    private Step byHours(long now, Porting porting, Destination.ByHours hours) {
-        long until = Hours.NEVER;
-        for (Destination.Choice choice : hours.choices()) {
-            Hours calendar = table.calendars().get(choice.calendar());
-            until = Math.min(until, calendar.change(now));
-            if (calendar.open(now)) {
-                steps.add(() -> "calendar " + choice.calendar() + " is open");
-                return follow(now, porting, choice.to(), until);
+    private Step byHours(long now, Porting portability, Destination.ByHours hours) {
+        long until = OpeningHours.NEVER;
+        for (Destination.CalendarRoute route : hours.routes()) {
+            OpeningHours calendar = table.calendars().get(route.calendar());
+            until = Math.min(until, calendar.nextChange(now));
+            if (calendar.isOpen(now)) {
+                explanation.add(() -> "calendar " + route.calendar() + " is open");
+                return follow(now, portability, route.destination(), until);
             }
         }
         if (hours.otherwise() == null) {
-            return refuse(480, "Temporarily Unavailable", "no calendar is open");
+            return reject(480, "Temporarily Unavailable", "no calendar is open");
         }
-        steps.add(() -> "no calendar is open");
-        return follow(now, porting, hours.otherwise(), until);
+        explanation.add(() -> "no calendar is open");
+        return follow(now, portability, hours.otherwise(), until);
     }
 
-    private Step questioned(long now, Porting porting) {
-        return goOn(now, porting, porting.ask(now, asked, session, limit - now));
+    private Step lookUpPortedNumber(long now, Porting portability) {
+        return apply(
+                now, portability, portability.lookUp(now, queriedNumber, session, deadline - now));
     }
 
-    private Step goOn(long now, Porting porting, Porting.Answer answer) {
-        if (answer instanceof Porting.Wait wait) {
-            return new Wait(wait.until(), asked, wait.ask());
+    private Step apply(long now, Porting portability, Porting.Decision decision) {
+        if (decision instanceof Porting.Wait wait) {
+            return new Wait(wait.deadline(), queriedNumber, wait.sendQuery());
         }
-        if (answer instanceof Porting.Donor none) {
-            return donor(none.reason());
+        if (decision instanceof Porting.UseDonor useDonor) {
+            return routeToDonor(useDonor.reason());
         }
-        Porting.Goes goes = (Porting.Goes) answer;
-        asked = 0;
-        if (goes.routing() == 0) {
-            return donor("has not moved");
+        Porting.Proceed proceed = (Porting.Proceed) decision;
+        queriedNumber = 0;
+        if (proceed.routingNumber() == 0) {
+            return routeToDonor("not ported");
         }
-        number = goes.routing();
-        steps.add(
+        number = proceed.routingNumber();
+        explanation.add(
                 () ->
                         "ported: routing number "
-                                + Digits.text(goes.routing())
-                                + (goes.stale() ? ", past its lifetime" : ""));
-        return looked(now, porting);
+                                + Digits.text(proceed.routingNumber())
+                                + (proceed.stale() ? ", from an expired answer" : ""));
+        return lookUpPrefix(now, portability);
     }
 
-    private Step donor(String reason) {
-        asked = 0;
-        int to = holder;
-        steps.add(() -> reason + ": donor, far end " + to);
-        found = new Route(holder, Digits.text(number), Hours.NEVER);
-        return found;
+    private Step routeToDonor(String reason) {
+        queriedNumber = 0;
+        int donor = lastDonor;
+        explanation.add(() -> reason + ": donor, far end " + donor);
+        result = new Route(lastDonor, Digits.text(number), OpeningHours.NEVER);
+        return result;
     }
 
-    private Step refuse(int status, String reason, String why) {
-        steps.add(() -> why + ": " + status);
-        found = new Refused(status, reason, "");
-        return found;
+    private Step reject(int status, String reason, String explanation) {
+        this.explanation.add(() -> explanation + ": " + status);
+        result = new Refused(status, reason, "");
+        return result;
     }
 }
--- a/src/main/java/coralcove/numbers/Tables.java
+++ b/src/main/java/coralcove/numbers/Tables.java
@@ -7,72 +7,81 @@
 import java.util.Map;
 
 /**
- * Which table is in service, and which old ones are still needed: a session keeps the table it
- * began with until it ends. At most a stated number is kept; past it the oldest goes, and its
- * sessions that have no far end yet begin again with the table in service, while those that have
- * one keep it. One thread owns it.
+ * The number table in service and the older versions still in use: a session uses the table it
+ * began with until it ends. At most a given number of tables is retained; past that the oldest is
+ * discarded. Its sessions that have no far end yet start again with the table in service, while
+ * those that have one keep it. Not thread-safe.
  */
 public final class Tables {
-    private static final class Kept {
+    /** A table and how many sessions use it. */
+    private static final class RetainedTable {
         final NumberTable table;
-        int sessions;
+        int sessionCount;
 
-        Kept(NumberTable table) {
+        RetainedTable(NumberTable table) {
             this.table = table;
         }
     }
 
-    private final int most;
-    private final Map<Long, Kept> kept = new LinkedHashMap<>();
-    private Kept current;
+    private final int maxTables;
+    private final Map<Long, RetainedTable> retained = new LinkedHashMap<>();
+    private RetainedTable current;
 
-    /** Keeps at most {@code most} tables, the one in service counted. */
-    public Tables(int most, NumberTable first) {
-        if (most < 1) {
-            throw new IllegalArgumentException("at least the table in service is kept");
+    /** Retains at most {@code maxTables} tables, including the one in service. */
+    public Tables(int maxTables, NumberTable first) {
+        if (maxTables < 1) {
+            throw new IllegalArgumentException("the maximum number of tables must be at least 1");
         }
-        this.most = most;
-        current = new Kept(first);
-        kept.put(first.version(), current);
+        this.maxTables = maxTables;
+        current = new RetainedTable(first);
+        retained.put(first.version(), current);
     }
 
+    /** The table in service. */
     public NumberTable current() {
         return current.table;
     }
 
-    /** Tables kept, the one in service counted. */
+    /** The number of tables retained, including the one in service. */
     public int count() {
-        return kept.size();
+        return retained.size();
     }
 
-    /** Sessions that hold a table. */
-    public int sessions() {
-        return kept.values().stream().mapToInt(k -> k.sessions).sum();
+    /** The number of sessions that use a retained table. */
+    public int sessionCount() {
+        return retained.values().stream().mapToInt(each -> each.sessionCount).sum();
     }
 
-    /** A session begins, with the table in service. */
+    /** Registers a new session as a user of the table in service, which is returned. */
     public NumberTable enter() {
-        current.sessions++;
+        current.sessionCount++;
         return current.table;
     }
 
-    /** A session that began with this version has ended. */
+    /**
+     * Ends a session's use of the table with this version; an old table without users is discarded.
+     */
     public void leave(long version) {
-        Kept it = kept.get(version);
-        if (it != null && --it.sessions == 0 && it != current) {
-            kept.remove(version);
+        RetainedTable entry = retained.get(version);
+        if (entry != null && --entry.sessionCount == 0 && entry != current) {
+            retained.remove(version);
         }
     }
 
-    /** Whether a session may go on with this version. */
-    public boolean has(long version) {
-        return kept.containsKey(version);
+    /**
+     * Whether the table with this version is still retained, so that its sessions may continue with
+     * it.
+     */
+    public boolean isRetained(long version) {
+        return retained.containsKey(version);
     }
 
     /**
-     * Puts a table in service; the versions given back are let go although sessions hold them. A
-     * version that is not after the one in service is an {@link IllegalArgumentException}, and
-     * nothing changes.
+     * Puts a table in service.
+     *
+     * @return the versions that were discarded although sessions still use them
+     * @throws IllegalArgumentException if the version is not higher than the one in service;
+     *     nothing changes then
      */
     public List<Long> replace(NumberTable table) {
         if (table.version() <= current.table.version()) {
@@ -83,17 +92,17 @@
                             + current.table.version()
                             + ", which is in service");
         }
-        if (current.sessions == 0) {
-            kept.remove(current.table.version());
+        if (current.sessionCount == 0) {
+            retained.remove(current.table.version());
         }
-        current = new Kept(table);
-        kept.put(table.version(), current);
-        List<Long> gone = new ArrayList<>();
-        for (Iterator<Long> oldest = kept.keySet().iterator();
-                kept.size() > most && oldest.hasNext(); ) {
-            gone.add(oldest.next());
+        current = new RetainedTable(table);
+        retained.put(table.version(), current);
+        List<Long> discarded = new ArrayList<>();
+        for (Iterator<Long> oldest = retained.keySet().iterator();
+                retained.size() > maxTables && oldest.hasNext(); ) {
+            discarded.add(oldest.next());
             oldest.remove();
         }
-        return gone;
+        return discarded;
     }
 }
--- a/src/main/java/coralcove/numbers/file/TableReader.java
+++ b/src/main/java/coralcove/numbers/file/TableReader.java
@@ -2,8 +2,8 @@
 
 import coralcove.numbers.Destination;
 import coralcove.numbers.Digits;
-import coralcove.numbers.Hours;
 import coralcove.numbers.NumberTable;
+import coralcove.numbers.OpeningHours;
 import coralcove.numbers.PrefixTrie;
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -23,12 +23,12 @@
 import java.util.function.IntPredicate;
 
 /**
- * Reads a table of numbers, or the changes to one, from a text file of one statement a line;
- * docs/numbers.md has them all. The last line counts the prefixes or changes, so that a file cut
- * short is seen. A bad file names its line.
+ * Reads a number table, or a set of changes to one, from a text file with one statement per line
+ * (docs/numbers.md). The last line states the number of prefixes or changes, so that a truncated
+ * file is detected. Errors name the line.
  */
 public final class TableReader {
-    /** A file that is no table; the message begins with file and line. */
+    /** Thrown for a file that is not valid; the message begins with file and line. */
     public static final class Bad extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -37,92 +37,104 @@
         }
     }
 
-    /** The changes of one file: from which version to which. */
+    /** The changes of one file, which turn version {@code after} into version {@code version}. */
     public record Changes(long after, long version, List<NumberTable.Change> list) {}
 
-    /** Characters of a line at most. */
-    private static final int LONGEST_LINE = 1000;
+    /** Characters per line. */
+    private static final int MAX_LINE_LENGTH = 1000;
 
-    /** Prefixes at most, as many as the trie's array can hold with room for edits. */
-    private static final int MOST_PREFIXES = 20_000_000;
+    /** As many prefixes as the trie's array can hold with room for edits. */
+    private static final int MAX_PREFIXES = 20_000_000;
 
-    private static final int MOST_FAR_END = 65_535;
-    private static final int MOST_SERVICE = 63;
+    private static final int MAX_FAR_END = 65_535;
+    private static final int MAX_SERVICE = 63;
 
     private final String file;
-    private final IntPredicate known;
-    private int line;
+    private final IntPredicate knownFarEnds;
+
+    /** The number of the line read last, from 1. */
+    private int lineNumber;
+
     private final Set<LocalDate> holidays = new HashSet<>();
-    private final Map<String, Hours> calendars = new LinkedHashMap<>();
-    private final Map<Destination, Integer> values = new HashMap<>();
-    private final Map<String, Destination> read = new HashMap<>();
+    private final Map<String, OpeningHours> calendars = new LinkedHashMap<>();
+
+    /** The trie value of service distinct destination, from 1 in the order of first use. */
+    private final Map<Destination, Integer> destinationValues = new HashMap<>();
 
-    private TableReader(String file, IntPredicate known) {
+    /** Destinations already parsed, by their text. */
+    private final Map<String, Destination> destinationsByText = new HashMap<>();
+
+    private TableReader(String file, IntPredicate knownFarEnds) {
         this.file = file;
-        this.known = known;
+        this.knownFarEnds = knownFarEnds;
     }
 
-    /** A whole table; {@code known} tells which far ends the directory has. */
-    public static NumberTable table(Path path, IntPredicate known) throws IOException, Bad {
+    /** Reads a complete table; {@code knownFarEnds} accepts the far ends that may be used. */
+    public static NumberTable table(Path path, IntPredicate knownFarEnds) throws IOException, Bad {
         try (BufferedReader in = Files.newBufferedReader(path)) {
-            return table(path.getFileName().toString(), in, known);
+            return table(path.getFileName().toString(), in, knownFarEnds);
         }
     }
 
-    public static NumberTable table(String file, BufferedReader in, IntPredicate known)
+    /** As {@link #table(Path, IntPredicate)}, with a file name for error messages. */
+    public static NumberTable table(String file, BufferedReader in, IntPredicate knownFarEnds)
             throws IOException, Bad {
-        return new TableReader(file, known).table(in);
+        return new TableReader(file, knownFarEnds).table(in);
     }
 
-    /** Changes to be made to {@code base}. */
-    public static Changes changes(Path path, NumberTable base, IntPredicate known)
+    /** Reads changes to {@code base}, whose calendars they may use. */
+    public static Changes changes(Path path, NumberTable base, IntPredicate knownFarEnds)
             throws IOException, Bad {
         try (BufferedReader in = Files.newBufferedReader(path)) {
-            return changes(path.getFileName().toString(), in, base, known);
+            return changes(path.getFileName().toString(), in, base, knownFarEnds);
         }
     }
 
+    /**
+     * As {@link #changes(Path, NumberTable, IntPredicate)}, with a file name for error messages.
+     */
     public static Changes changes(
-            String file, BufferedReader in, NumberTable base, IntPredicate known)
+            String file, BufferedReader in, NumberTable base, IntPredicate knownFarEnds)
             throws IOException, Bad {
-        TableReader reader = new TableReader(file, known);
+        TableReader reader = new TableReader(file, knownFarEnds);
         reader.calendars.putAll(base.calendars());
         return reader.changes(in);
     }
 
     private NumberTable table(BufferedReader in) throws IOException, Bad {
-        String[] first = words(next(in));
-        if (first.length != 2 || !first[0].equals("table")) {
-            throw bad("begins with 'table VERSION'");
+        String[] header = words(nextStatement(in));
+        if (header.length != 2 || !header[0].equals("table")) {
+            throw invalid("begins with 'table VERSION'");
         }
-        long version = whole(first[1], 1, Long.MAX_VALUE);
-        List<NumberTable.Rule> rules = new ArrayList<>();
+        long version = parseInteger(header[1], 1, Long.MAX_VALUE);
+        List<NumberTable.DialingRule> rules = new ArrayList<>();
         long[] keys = new long[1024];
-        int[] found = new int[1024];
+        int[] values = new int[1024];
         int[] lines = new int[1024];
         int count = 0;
         while (true) {
-            String text = next(in);
-            char c = text.charAt(0);
-            if (c >= '0' && c <= '9' || c == '*') {
-                if (count == MOST_PREFIXES) {
-                    throw bad("more than " + MOST_PREFIXES + " prefixes");
+            String text = nextStatement(in);
+            char first = text.charAt(0);
+            if (first >= '0' && first <= '9' || first == '*') {
+                if (count == MAX_PREFIXES) {
+                    throw invalid("more than " + MAX_PREFIXES + " prefixes");
                 }
                 if (count == keys.length) {
                     keys = Arrays.copyOf(keys, 2 * count);
-                    found = Arrays.copyOf(found, 2 * count);
+                    values = Arrays.copyOf(values, 2 * count);
                     lines = Arrays.copyOf(lines, 2 * count);
                 }
                 int space = text.indexOf(' ');
-                keys[count] = prefix(space < 0 ? text : text.substring(0, space));
-                found[count] = value(space < 0 ? "" : text.substring(space + 1).strip());
-                lines[count++] = line;
+                keys[count] = parsePrefix(space < 0 ? text : text.substring(0, space));
+                values[count] =
+                        destinationValue(space < 0 ? "" : text.substring(space + 1).strip());
+                lines[count++] = lineNumber;
                 continue;
             }
             String[] words = words(text);
             if (words[0].equals("end")) {
-                if (words.length != 2 || whole(words[1], 0, MOST_PREFIXES) != count) {
-                    throw bad(
+                if (words.length != 2 || parseInteger(words[1], 0, MAX_PREFIXES) != count) {
+                    throw invalid(
                             "counts "
                                     + text.substring(3).strip()
                                     + " prefixes where there are "
@@ -130,130 +142,141 @@
                 }
                 break;
             }
-            head(words, text, rules);
+            parseDeclaration(words, text, rules);
         }
-        nothingBehind(in);
+        requireEndOfFile(in);
         return new NumberTable(
                 version,
                 List.copyOf(rules),
                 Map.copyOf(calendars),
-                sorted(keys, found, lines, count),
-                destinations(),
-                values.size() + 1);
+                buildTrie(keys, values, lines, count),
+                destinationArray(),
+                destinationValues.size() + 1);
     }
 
-    private void head(String[] words, String text, List<NumberTable.Rule> rules) throws Bad {
+    private void parseDeclaration(String[] words, String text, List<NumberTable.DialingRule> rules)
+            throws Bad {
         switch (words[0]) {
             case "holidays" -> {
                 for (String day : Arrays.asList(words).subList(1, words.length)) {
                     try {
                         holidays.add(LocalDate.parse(day));
                     } catch (DateTimeException e) {
-                        throw bad(day + " is no date");
+                        throw invalid(day + " is no date");
                     }
                 }
             }
-            case "calendar" -> calendar(words, text);
-            case "rule" -> rules.add(rule(words));
-            default -> throw bad("'" + words[0] + "' is no statement");
+            case "calendar" -> parseCalendar(words, text);
+            case "rule" -> rules.add(parseRule(words));
+            default -> throw invalid("'" + words[0] + "' is no statement");
         }
     }
 
-    private void calendar(String[] words, String text) throws Bad {
+    private void parseCalendar(String[] words, String text) throws Bad {
         if (words.length < 4) {
-            throw bad("a calendar is 'calendar NAME ZONE HOURS'");
+            throw invalid("a calendar is 'calendar NAME ZONE HOURS'");
         }
         if (calendars.containsKey(words[1])) {
-            throw bad("calendar " + words[1] + " is there twice");
+            throw invalid("calendar " + words[1] + " is there twice");
         }
-        int at =
+        int column =
                 text.indexOf(words[2], text.indexOf(words[1], 8) + words[1].length())
                         + words[2].length();
-        while (text.charAt(at) == ' ') {
-            at++;
+        while (text.charAt(column) == ' ') {
+            column++;
         }
         try {
             calendars.put(
-                    words[1], HoursReader.read(text.substring(at), ZoneId.of(words[2]), holidays));
-        } catch (HoursReader.Bad e) {
-            throw bad("column " + (at + e.column()) + ": " + e.reason());
+                    words[1],
+                    OpeningHoursParser.parse(
+                            text.substring(column), ZoneId.of(words[2]), holidays));
+        } catch (OpeningHoursParser.InvalidHoursException e) {
+            throw invalid("column " + (column + e.column()) + ": " + e.reason());
         } catch (DateTimeException e) {
-            throw bad(words[2] + " is no time zone");
+            throw invalid(words[2] + " is no time zone");
         }
     }
 
-    /** "rule 010 -> +" or "rule 5-8 digits -> +8111". */
-    private NumberTable.Rule rule(String[] words) throws Bad {
+    /** Parses "rule 010 -> +" or "rule 5-8 digits -> +8111". */
+    private NumberTable.DialingRule parseRule(String[] words) throws Bad {
         int arrow = Arrays.asList(words).indexOf("->");
-        String put = arrow == words.length - 2 ? words[arrow + 1] : "";
-        if (!put.matches("\\+?\\d{0,15}") || put.isEmpty() || arrow < 2 || arrow > 3) {
-            throw bad("a rule is 'rule BEGINS -> PUT' or 'rule 5-8 digits -> PUT'");
+        String replacement = arrow == words.length - 2 ? words[arrow + 1] : "";
+        if (!replacement.matches("\\+?\\d{0,15}")
+                || replacement.isEmpty()
+                || arrow < 2
+                || arrow > 3) {
+            throw invalid("a rule is 'rule BEGINS -> PUT' or 'rule 5-8 digits -> PUT'");
         }
         if (arrow == 2 && words[1].matches("\\d{1,15}")) {
-            return new NumberTable.Rule(words[1], 0, 0, put);
+            return new NumberTable.DialingRule(words[1], 0, 0, replacement);
         }
         String[] bounds = words[1].split("-");
         if (arrow != 3 || !words[2].equals("digits") || bounds.length != 2) {
-            throw bad("a rule is 'rule BEGINS -> PUT' or 'rule 5-8 digits -> PUT'");
+            throw invalid("a rule is 'rule BEGINS -> PUT' or 'rule 5-8 digits -> PUT'");
         }
-        int least = (int) whole(bounds[0], 1, Digits.MOST);
-        return new NumberTable.Rule(null, least, (int) whole(bounds[1], least, Digits.MOST), put);
+        int minDigits = (int) parseInteger(bounds[0], 1, Digits.MAX_LENGTH);
+        return new NumberTable.DialingRule(
+                null,
+                minDigits,
+                (int) parseInteger(bounds[1], minDigits, Digits.MAX_LENGTH),
+                replacement);
     }
 
     private Changes changes(BufferedReader in) throws IOException, Bad {
-        String[] first = words(next(in));
-        if (first.length != 4 || !first[0].equals("changes") || !first[2].equals("after")) {
-            throw bad("begins with 'changes VERSION after VERSION'");
+        String[] header = words(nextStatement(in));
+        if (header.length != 4 || !header[0].equals("changes") || !header[2].equals("after")) {
+            throw invalid("begins with 'changes VERSION after VERSION'");
         }
-        long version = whole(first[1], 1, Long.MAX_VALUE);
-        long after = whole(first[3], 1, version - 1);
-        List<NumberTable.Change> list = new ArrayList<>();
+        long version = parseInteger(header[1], 1, Long.MAX_VALUE);
+        long baseVersion = parseInteger(header[3], 1, version - 1);
+        List<NumberTable.Change> changes = new ArrayList<>();
         Set<Long> seen = new HashSet<>();
         while (true) {
-            String text = next(in);
+            String text = nextStatement(in);
             String[] words = words(text);
             if (words[0].equals("end")) {
-                if (words.length != 2 || whole(words[1], 0, MOST_PREFIXES) != list.size()) {
-                    throw bad(
+                if (words.length != 2
+                        || parseInteger(words[1], 0, MAX_PREFIXES) != changes.size()) {
+                    throw invalid(
                             "counts "
                                     + text.substring(3).strip()
                                     + " changes where there are "
-                                    + list.size());
+                                    + changes.size());
                 }
-                nothingBehind(in);
-                return new Changes(after, version, list);
+                requireEndOfFile(in);
+                return new Changes(baseVersion, version, changes);
             }
             if (words.length < 2 || !words[0].equals("put") && !words[0].equals("drop")) {
-                throw bad("'" + words[0] + "' is no statement");
+                throw invalid("'" + words[0] + "' is no statement");
             }
-            long key = prefix(words[1]);
+            long key = parsePrefix(words[1]);
             if (!seen.add(key)) {
-                throw bad("prefix " + words[1] + " is there twice");
+                throw invalid("prefix " + words[1] + " is there twice");
             }
             String rest =
                     text.substring(text.indexOf(words[1], words[0].length()) + words[1].length())
                             .strip();
             if (words[0].equals("drop") && !rest.isEmpty()) {
-                throw bad("drop takes nothing behind the prefix");
+                throw invalid("drop takes nothing behind the prefix");
             }
-            list.add(
+            changes.add(
                     new NumberTable.Change(
-                            key, words[0].equals("drop") ? null : destination(rest, true)));
+                            key, words[0].equals("drop") ? null : parseDestination(rest, true)));
         }
     }
 
-    // ---- lines and words
+    // Lines and words.
 
-    /** The next line that says something, its comment cut off. */
-    private String next(BufferedReader in) throws IOException, Bad {
+    /** The next line that is not blank, without its comment. */
+    private String nextStatement(BufferedReader in) throws IOException, Bad {
         while (true) {
             String text = in.readLine();
-            line++;
+            lineNumber++;
             if (text == null) {
-                throw bad("the file is cut short: it has no 'end' line");
+                throw invalid("the file is cut short: it has no 'end' line");
             }
-            if (text.length() > LONGEST_LINE) {
-                throw bad("is longer than " + LONGEST_LINE + " characters");
+            if (text.length() > MAX_LINE_LENGTH) {
+                throw invalid("is longer than " + MAX_LINE_LENGTH + " characters");
             }
             int comment = text.indexOf('#');
             text = (comment < 0 ? text : text.substring(0, comment)).strip();
@@ -263,11 +286,11 @@
         }
     }
 
-    private void nothingBehind(BufferedReader in) throws IOException, Bad {
+    private void requireEndOfFile(BufferedReader in) throws IOException, Bad {
         for (String text = in.readLine(); text != null; text = in.readLine()) {
-            line++;
+            lineNumber++;
             if (!text.isBlank()) {
-                throw bad("something stands behind the end");
+                throw invalid("something stands behind the end");
             }
         }
     }
@@ -276,72 +299,73 @@
         return text.split("\\s+");
     }
 
-    private Bad bad(String reason) {
-        return new Bad(file, line, reason);
+    private Bad invalid(String reason) {
+        return new Bad(file, lineNumber, reason);
     }
 
-    private long whole(String text, long least, long most) throws Bad {
+    private long parseInteger(String text, long min, long max) throws Bad {
         try {
             long value = Long.parseLong(text);
-            if (value >= least && value <= most) {
+            if (value >= min && value <= max) {
                 return value;
             }
         } catch (NumberFormatException e) {
-            // Told below, with the bounds.
+            // Reported below together with the bounds.
         }
-        throw bad(text + " is no whole number from " + least + " to " + most);
+        throw invalid(text + " is no whole number from " + min + " to " + max);
     }
 
-    private long prefix(String text) throws Bad {
+    private long parsePrefix(String text) throws Bad {
         try {
             return text.equals("*") ? 0 : Digits.pack(text);
         } catch (IllegalArgumentException e) {
-            throw bad("prefix " + text + " " + e.getMessage());
+            throw invalid("prefix " + text + " " + e.getMessage());
         }
     }
 
-    // ---- destinations
-
-    private int value(String text) throws Bad {
-        Destination to = read.get(text);
-        if (to == null) {
-            to = destination(text, true);
-            // Texts that come again are read once; those of changed numbers each come once and
-            // would fill the map.
-            if (!(to instanceof Destination.Changed)) {
-                read.put(text, to);
+    // Destinations.
+
+    /** The trie value of the destination with this text. */
+    private int destinationValue(String text) throws Bad {
+        Destination destination = destinationsByText.get(text);
+        if (destination == null) {
+            destination = parseDestination(text, true);
+            // Repeated texts are parsed once. Texts of changed numbers rarely repeat and would only
+            // fill the map.
+            if (!(destination instanceof Destination.Changed)) {
+                destinationsByText.put(text, destination);
             }
         }
-        Integer value = values.get(to);
+        Integer value = destinationValues.get(destination);
         if (value == null) {
-            value = values.size() + 1;
-            values.put(to, value);
+            value = destinationValues.size() + 1;
+            destinationValues.put(destination, value);
         }
         return value;
     }
 
-    private Destination[] destinations() {
-        Destination[] all = new Destination[values.size() + 1];
-        values.forEach((destination, value) -> all[value] = destination);
-        return all;
+    private Destination[] destinationArray() {
+        Destination[] array = new Destination[destinationValues.size() + 1];
+        destinationValues.forEach((destination, value) -> array[value] = destination);
+        return array;
     }
 
-    private Destination destination(String text, boolean hours) throws Bad {
+    private Destination parseDestination(String text, boolean hoursAllowed) throws Bad {
         String[] words = words(text);
         switch (words[0]) {
             case "to" -> {
                 if (words.length != 2 && (words.length != 4 || !words[2].equals("services"))) {
-                    throw bad("'to FAR_END' or 'to FAR_END services 0,1'");
+                    throw invalid("'to FAR_END' or 'to FAR_END services 0,1'");
                 }
                 List<Integer> services = new ArrayList<>();
-                for (String each : words.length == 2 ? new String[0] : words[3].split(",")) {
-                    services.add((int) whole(each, 0, MOST_SERVICE));
+                for (String service : words.length == 2 ? new String[0] : words[3].split(",")) {
+                    services.add((int) parseInteger(service, 0, MAX_SERVICE));
                 }
-                return new Destination.FarEnd(farEnd(words[1]), List.copyOf(services));
+                return new Destination.FarEnd(parseFarEnd(words[1]), List.copyOf(services));
             }
             case "unallocated", "blocked" -> {
                 if (words.length != 1) {
-                    throw bad("nothing stands behind " + words[0]);
+                    throw invalid("nothing stands behind " + words[0]);
                 }
                 return words[0].equals("blocked")
                         ? new Destination.Blocked()
@@ -349,83 +373,83 @@
             }
             case "changed" -> {
                 if (words.length != 2 || !words[1].matches("\\+?\\d{1,15}")) {
-                    throw bad("'changed NUMBER'");
+                    throw invalid("'changed NUMBER'");
                 }
                 return new Destination.Changed(words[1]);
             }
             case "ported" -> {
                 if (words.length != 2) {
-                    throw bad("'ported DONOR'");
+                    throw invalid("'ported DONOR'");
                 }
-                return new Destination.Ported(farEnd(words[1]));
+                return new Destination.Ported(parseFarEnd(words[1]));
             }
             case "hours" -> {
-                if (!hours) {
-                    throw bad("hours within hours");
+                if (!hoursAllowed) {
+                    throw invalid("hours within hours");
                 }
-                return byHours(text.substring("hours".length()).strip());
+                return parseByHours(text.substring("hours".length()).strip());
             }
-            default -> throw bad("'" + words[0] + "' is no destination");
+            default -> throw invalid("'" + words[0] + "' is no destination");
         }
     }
 
-    /** "office to 7; night to 9; else unallocated". */
-    private Destination byHours(String text) throws Bad {
-        List<Destination.Choice> choices = new ArrayList<>();
+    /** Parses "office to 7; night to 9; else unallocated". */
+    private Destination parseByHours(String text) throws Bad {
+        List<Destination.CalendarRoute> routes = new ArrayList<>();
         Destination otherwise = null;
         for (String part : text.split(";")) {
             String[] words = part.strip().split("\\s+", 2);
             if (words.length != 2 || otherwise != null) {
-                throw bad("'hours CALENDAR DESTINATION; ... else DESTINATION'");
+                throw invalid("'hours CALENDAR DESTINATION; ... else DESTINATION'");
             }
-            Destination to = destination(words[1], false);
+            Destination destination = parseDestination(words[1], false);
             if (words[0].equals("else")) {
-                otherwise = to;
+                otherwise = destination;
             } else if (!calendars.containsKey(words[0])) {
-                throw bad("there is no calendar " + words[0] + " above");
+                throw invalid("there is no calendar " + words[0] + " above");
             } else {
-                choices.add(new Destination.Choice(words[0], to));
+                routes.add(new Destination.CalendarRoute(words[0], destination));
             }
         }
-        return new Destination.ByHours(List.copyOf(choices), otherwise);
+        return new Destination.ByHours(List.copyOf(routes), otherwise);
     }
 
-    private int farEnd(String text) throws Bad {
-        int number = (int) whole(text, 0, MOST_FAR_END);
-        if (!known.test(number)) {
-            throw bad("far end " + number + " is not in the directory");
+    private int parseFarEnd(String text) throws Bad {
+        int number = (int) parseInteger(text, 0, MAX_FAR_END);
+        if (!knownFarEnds.test(number)) {
+            throw invalid("far end " + number + " is not in the directory");
         }
         return number;
     }
 
-    // ---- order
+    // Sorting.
 
-    /** Files come in any order; most are sorted already. */
-    private PrefixTrie sorted(long[] keys, int[] found, int[] lines, int count) throws Bad {
+    /** Builds the trie from prefixes in any order; most files are sorted already. */
+    private PrefixTrie buildTrie(long[] keys, int[] values, int[] lines, int count) throws Bad {
         boolean sorted = true;
         for (int i = 1; sorted && i < count; i++) {
             sorted = keys[i] > keys[i - 1];
         }
         if (sorted) {
-            return PrefixTrie.of(keys, found, count);
+            return PrefixTrie.of(keys, values, count);
         }
         Integer[] order = new Integer[count];
         Arrays.setAll(order, i -> i);
         Arrays.sort(order, (a, b) -> Long.compare(keys[a], keys[b]));
-        long[] rising = new long[count];
-        int[] values = new int[count];
+        long[] sortedKeys = new long[count];
+        int[] sortedValues = new int[count];
         for (int i = 0; i < count; i++) {
-            rising[i] = keys[order[i]];
-            values[i] = found[order[i]];
-            if (i > 0 && rising[i] == rising[i - 1]) {
-                line = Math.max(lines[order[i]], lines[order[i - 1]]);
-                throw bad(
+            sortedKeys[i] = keys[order[i]];
+            sortedValues[i] = values[order[i]];
+            if (i > 0 && sortedKeys[i] == sortedKeys[i - 1]) {
+                lineNumber = Math.max(lines[order[i]], lines[order[i - 1]]);
+                throw invalid(
                         "prefix "
-                                + (rising[i] == 0 ? "*" : Digits.text(rising[i]))
+                                + (sortedKeys[i] == 0 ? "*" : Digits.text(sortedKeys[i]))
                                 + " is there twice, first in line "
                                 + Math.min(lines[order[i]], lines[order[i - 1]]));
             }
         }
-        return PrefixTrie.of(rising, values, count);
+        return PrefixTrie.of(sortedKeys, sortedValues, count);
     }
 }
--- a/src/main/java/coralcove/numbers/file/TableWatch.java
+++ b/src/main/java/coralcove/numbers/file/TableWatch.java
@@ -9,46 +9,53 @@
 import java.util.function.IntPredicate;
 
 /**
- * Looks at a table's file, and at the file of changes if there is one, and makes the next table
- * when one has been written anew. It is asked on a thread that serves no sessions; a bad file is
- * told, and the table before stays.
+ * Polls a number table's file, and optionally a file of changes, and builds the next table when one
+ * of them has been rewritten. To be polled on a thread that serves no sessions. A file that is not
+ * valid is reported, and the previous table stays.
  */
 public final class TableWatch {
-    private final Path table;
-    private final Path changes;
-    private final IntPredicate known;
-    private final Consumer<String> trouble;
-    private FileTime tableAt;
-    private FileTime changesAt;
+    private final Path tableFile;
+    private final Path changesFile;
+    private final IntPredicate knownFarEnds;
+    private final Consumer<String> problemListener;
+    private FileTime tableModifiedAt;
+    private FileTime changesModifiedAt;
     private NumberTable newest;
 
-    /** {@code changes} may be null. */
-    public TableWatch(Path table, Path changes, IntPredicate known, Consumer<String> trouble) {
-        this.table = table;
-        this.changes = changes;
-        this.known = known;
-        this.trouble = trouble;
+    /**
+     * {@code changesFile} may be null; {@code problemListener} receives a message for each file
+     * that is refused.
+     */
+    public TableWatch(
+            Path tableFile,
+            Path changesFile,
+            IntPredicate knownFarEnds,
+            Consumer<String> problemListener) {
+        this.tableFile = tableFile;
+        this.changesFile = changesFile;
+        this.knownFarEnds = knownFarEnds;
+        this.problemListener = problemListener;
     }
 
-    /** The first table; it must be good. */
+    /** Reads the first table, which must be valid. */
     public NumberTable first() throws IOException, TableReader.Bad {
-        tableAt = time(table);
-        changesAt = time(changes);
-        newest = TableReader.table(table, known);
+        tableModifiedAt = modificationTime(tableFile);
+        changesModifiedAt = modificationTime(changesFile);
+        newest = TableReader.table(tableFile, knownFarEnds);
         return newest;
     }
 
-    /** A newer table if a file has changed and is good, null otherwise. */
+    /** A newer table if a file has changed and is valid, null otherwise. */
     public NumberTable next() {
-        NumberTable before = newest;
+        NumberTable previous = newest;
         try {
-            FileTime at = time(table);
-            if (at != null && !at.equals(tableAt)) {
-                tableAt = at;
-                NumberTable read = TableReader.table(table, known);
+            FileTime tableTime = modificationTime(tableFile);
+            if (tableTime != null && !tableTime.equals(tableModifiedAt)) {
+                tableModifiedAt = tableTime;
+                NumberTable read = TableReader.table(tableFile, knownFarEnds);
                 if (read.version() <= newest.version()) {
-                    trouble.accept(
-                            table
+                    problemListener.accept(
+                            tableFile
                                     + ": version "
                                     + read.version()
                                     + " is not after "
@@ -57,13 +64,13 @@
                     newest = read;
                 }
             }
-            FileTime edited = time(changes);
-            if (edited != null && !edited.equals(changesAt)) {
-                changesAt = edited;
-                TableReader.Changes read = TableReader.changes(changes, newest, known);
+            FileTime changesTime = modificationTime(changesFile);
+            if (changesTime != null && !changesTime.equals(changesModifiedAt)) {
+                changesModifiedAt = changesTime;
+                TableReader.Changes read = TableReader.changes(changesFile, newest, knownFarEnds);
                 if (read.after() != newest.version()) {
-                    trouble.accept(
-                            changes
+                    problemListener.accept(
+                            changesFile
                                     + ": made for version "
                                     + read.after()
                                     + ", in service is "
@@ -73,12 +80,12 @@
                 }
             }
         } catch (IOException | TableReader.Bad e) {
-            trouble.accept(e.getMessage());
+            problemListener.accept(e.getMessage());
         }
-        return newest == before ? null : newest;
+        return newest == previous ? null : newest;
     }
 
-    private static FileTime time(Path path) throws IOException {
+    private static FileTime modificationTime(Path path) throws IOException {
         return path != null && Files.exists(path) ? Files.getLastModifiedTime(path) : null;
     }
 }
--- a/src/test/java/coralcove/numbers/HoursTest.java
+++ b/src/test/java/coralcove/numbers/OpeningHoursTest.java
@@ -4,7 +4,7 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import coralcove.Kept;
-import coralcove.numbers.file.HoursReader;
+import coralcove.numbers.file.OpeningHoursParser;
 import java.time.Instant;
 import java.time.LocalDate;
 import java.time.LocalDateTime;
@@ -17,7 +17,7 @@
 import net.jqwik.api.constraints.LongRange;
 import org.junit.jupiter.api.Test;
 
-class HoursTest {
+class OpeningHoursTest {
     private static final Set<LocalDate> HOLIDAYS =
             Set.of(LocalDate.of(2026, 12, 23), LocalDate.of(2027, 1, 1));
     private static final List<String> TEXTS =
@@ -40,25 +40,25 @@
                     "Australia/Lord_Howe",
                     "America/New_York");
 
-    private static Hours hours(String text, String zone) {
+    private static OpeningHours hours(String text, String zone) {
         try {
-            return HoursReader.read(text, ZoneId.of(zone), HOLIDAYS);
-        } catch (HoursReader.Bad e) {
+            return OpeningHoursParser.parse(text, ZoneId.of(zone), HOLIDAYS);
+        } catch (OpeningHoursParser.InvalidHoursException e) {
             throw new AssertionError(text + ": " + e.getMessage(), e);
         }
     }
 
-    private static long at(String zone, String local) {
+    private static long micros(String zone, String local) {
         return LocalDateTime.parse(local).atZone(ZoneId.of(zone)).toEpochSecond() * 1_000_000;
     }
 
     /**
-     * Both clock changes in Berlin, a span past midnight, a holiday, and a span in the hour that
-     * does not exist.
+     * Both clock changes in Berlin, a span past midnight, a holiday, and a span in the skipped
+     * hour.
      */
     @Test
-    void opensAndClosesAtTheseMoments() {
-        StringBuilder told = new StringBuilder();
+    void listsOpeningAndClosingTimes() {
+        StringBuilder trace = new StringBuilder();
         String[][] cases = {
             {"Europe/Berlin", "2026-03-27T12:00:00", "22:00-06:00", "6"},
             {"Europe/Berlin", "2026-03-28T12:00:00", "02:15-02:45", "4"},
@@ -68,66 +68,66 @@
             {"Asia/Tokyo", "2026-12-31T12:00:00", "always except holidays", "2"},
             {"Asia/Tokyo", "2026-12-31T12:00:00", "mo-su", "1"}
         };
-        for (String[] each : cases) {
-            Hours hours = hours(each[2], each[0]);
-            long now = at(each[0], each[1]);
-            told.append(each[2])
+        for (String[] testCase : cases) {
+            OpeningHours hours = hours(testCase[2], testCase[0]);
+            long now = micros(testCase[0], testCase[1]);
+            trace.append(testCase[2])
                     .append(", ")
-                    .append(each[0])
+                    .append(testCase[0])
                     .append(", from ")
-                    .append(each[1])
+                    .append(testCase[1])
                     .append('\n');
-            for (int i = Integer.parseInt(each[3]); i > 0; i--) {
-                long next = hours.change(now);
-                told.append("  ")
+            for (int i = Integer.parseInt(testCase[3]); i > 0; i--) {
+                long next = hours.nextChange(now);
+                trace.append("  ")
                         .append(
-                                next == Hours.NEVER
+                                next == OpeningHours.NEVER
                                         ? "never changes"
                                         : Instant.ofEpochSecond(next / 1_000_000)
-                                                        .atZone(ZoneId.of(each[0]))
+                                                        .atZone(ZoneId.of(testCase[0]))
                                                         .toLocalDateTime()
                                                 + " "
                                                 + Instant.ofEpochSecond(next / 1_000_000)
-                                                + (hours.open(next) ? " opens" : " closes"))
+                                                + (hours.isOpen(next) ? " opens" : " closes"))
                         .append('\n');
                 now = next;
             }
         }
-        assertThat(told.toString()).isEqualTo(Kept.trace("hours"));
+        assertThat(trace.toString()).isEqualTo(Kept.trace("hours"));
     }
 
     /**
-     * The next change against a look at every quarter of an hour, all year round and over the clock
+     * Compares the next change with a check every quarter of an hour, over a year with its clock
      * changes.
      */
     @Property(tries = 400, seed = "5")
-    void nothingChangesBeforeTheNextChange(
+    void stateIsConstantUntilTheNextChange(
             @ForAll @IntRange(max = 9) int text,
             @ForAll @IntRange(max = 4) int zone,
             @ForAll @LongRange(max = 365L * 24 * 60) long minute) {
-        Hours hours = hours(TEXTS.get(text), ZONES.get(zone));
-        long now = at("Asia/Tokyo", "2026-02-01T00:00:00") + minute * 60_000_000;
-        long change = hours.change(now);
-        boolean open = hours.open(now);
+        OpeningHours hours = hours(TEXTS.get(text), ZONES.get(zone));
+        long now = micros("Asia/Tokyo", "2026-02-01T00:00:00") + minute * 60_000_000;
+        long change = hours.nextChange(now);
+        boolean open = hours.isOpen(now);
         assertThat(change).isGreaterThan(now);
         long step = 15 * 60_000_000L;
         for (long t = now - now % step + step;
                 t < Math.min(change, now + 9 * 86_400_000_000L);
                 t += step) {
-            assertThat(hours.open(t))
+            assertThat(hours.isOpen(t))
                     .as(
                             "%s in %s at %s",
                             TEXTS.get(text), ZONES.get(zone), Instant.ofEpochSecond(t / 1_000_000))
                     .isEqualTo(open);
         }
-        if (change != Hours.NEVER) {
-            assertThat(hours.open(change)).isNotEqualTo(open);
+        if (change != OpeningHours.NEVER) {
+            assertThat(hours.isOpen(change)).isNotEqualTo(open);
         }
     }
 
     @Test
-    void errorsPointAtTheColumn() {
-        StringBuilder told = new StringBuilder();
+    void errorsNameTheColumn() {
+        StringBuilder trace = new StringBuilder();
         for (String text :
                 List.of(
                         "mo-fr 9:00-17:30",
@@ -141,14 +141,14 @@
                         "",
                         "always; ; mo",
                         "mo 09:00-17:30 sa")) {
-            assertThatThrownBy(() -> HoursReader.read(text, ZoneId.of("UTC"), Set.of()))
+            assertThatThrownBy(() -> OpeningHoursParser.parse(text, ZoneId.of("UTC"), Set.of()))
                     .satisfies(
                             e ->
-                                    told.append(text)
+                                    trace.append(text)
                                             .append(": ")
                                             .append(e.getMessage())
                                             .append('\n'));
         }
-        assertThat(told.toString()).isEqualTo(Kept.trace("bad-hours"));
+        assertThat(trace.toString()).isEqualTo(Kept.trace("bad-hours"));
     }
 }
--- a/src/test/java/coralcove/numbers/PrefixTrieTest.java
+++ b/src/test/java/coralcove/numbers/PrefixTrieTest.java
@@ -12,13 +12,14 @@
 import net.jqwik.api.constraints.LongRange;
 import org.junit.jupiter.api.Test;
 
-/** The trie against a plain map: the longest prefix is looked for by cutting the number shorter. */
+/** Compares the trie with a map in which the longest prefix is found by shortening the number. */
 class PrefixTrieTest {
-    private record Version(PrefixTrie trie, TreeMap<String, Integer> plain) {}
+    /** A trie and a map that must have the same contents. */
+    private record Version(PrefixTrie trie, TreeMap<String, Integer> reference) {}
 
-    private static int longest(TreeMap<String, Integer> plain, String number) {
+    private static int longest(TreeMap<String, Integer> reference, String number) {
         for (int length = number.length(); length >= 0; length--) {
-            Integer value = plain.get(number.substring(0, length));
+            Integer value = reference.get(number.substring(0, length));
             if (value != null) {
                 return value;
             }
@@ -26,78 +27,81 @@
         return 0;
     }
 
-    /** Few digits, so that prefixes of prefixes, splits and joins come often; lengths up to 15. */
-    private static String digits(SplittableRandom chance, int most) {
+    /**
+     * Random digits from a small alphabet, so that nested prefixes, splits and merges are frequent.
+     */
+    private static String randomDigits(SplittableRandom random, int maxLength) {
         StringBuilder text = new StringBuilder();
-        int alphabet = 1 + chance.nextInt(3);
-        for (int i = chance.nextInt(most + 1); i > 0; i--) {
+        int alphabet = 1 + random.nextInt(3);
+        for (int i = random.nextInt(maxLength + 1); i > 0; i--) {
             text.append(
                     (char)
                             ('0'
-                                    + (chance.nextInt(20) == 0
-                                            ? chance.nextInt(10)
-                                            : 3 * chance.nextInt(alphabet))));
+                                    + (random.nextInt(20) == 0
+                                            ? random.nextInt(10)
+                                            : 3 * random.nextInt(alphabet))));
         }
         return text.toString();
     }
 
-    private static void equal(Version version, SplittableRandom chance) {
+    private static void assertSameContents(Version version, SplittableRandom random) {
         for (int i = 0; i < 60; i++) {
-            String number = digits(chance, 15);
+            String number = randomDigits(random, 15);
             assertThat(version.trie.find(Digits.pack(number)))
                     .as(number)
-                    .isEqualTo(longest(version.plain, number));
+                    .isEqualTo(longest(version.reference, number));
         }
-        List<String> all = new ArrayList<>();
-        version.trie.each((key, value) -> all.add(Digits.text(key) + "=" + value));
-        List<String> wanted = new ArrayList<>();
-        version.plain.forEach((key, value) -> wanted.add(key + "=" + value));
-        assertThat(all).isEqualTo(wanted);
-        assertThat(version.trie.size()).isEqualTo(version.plain.size());
+        List<String> actual = new ArrayList<>();
+        version.trie.each((key, value) -> actual.add(Digits.text(key) + "=" + value));
+        List<String> expected = new ArrayList<>();
+        version.reference.forEach((key, value) -> expected.add(key + "=" + value));
+        assertThat(actual).isEqualTo(expected);
+        assertThat(version.trie.size()).isEqualTo(version.reference.size());
     }
 
     @Property(tries = 300, seed = "11")
-    void anyEditsGiveWhatAPlainMapGivesAndOldTriesStayAsTheyWere(
+    void editedTriesMatchAReferenceMapAndOldTriesAreUnchanged(
             @ForAll @LongRange(min = 0) long seed) {
-        SplittableRandom chance = new SplittableRandom(seed);
-        TreeMap<String, Integer> plain = new TreeMap<>();
-        for (int i = chance.nextInt(40); i > 0; i--) {
-            plain.put(digits(chance, 15), 1 + chance.nextInt(1000));
+        SplittableRandom random = new SplittableRandom(seed);
+        TreeMap<String, Integer> reference = new TreeMap<>();
+        for (int i = random.nextInt(40); i > 0; i--) {
+            reference.put(randomDigits(random, 15), 1 + random.nextInt(1000));
         }
-        long[] keys = plain.keySet().stream().mapToLong(Digits::pack).toArray();
-        int[] values = plain.values().stream().mapToInt(v -> v).toArray();
+        long[] keys = reference.keySet().stream().mapToLong(Digits::pack).toArray();
+        int[] values = reference.values().stream().mapToInt(v -> v).toArray();
         List<Version> versions = new ArrayList<>();
-        versions.add(new Version(PrefixTrie.of(keys, values, keys.length), new TreeMap<>(plain)));
+        versions.add(
+                new Version(PrefixTrie.of(keys, values, keys.length), new TreeMap<>(reference)));
         for (int i = 0; i < 60; i++) {
-            // Mostly the newest is edited, now and then an older one: a second line from there.
-            Version from =
+            // Mostly the newest version is edited, sometimes an older one, which starts a branch.
+            Version base =
                     versions.get(
-                            chance.nextInt(8) == 0
-                                    ? chance.nextInt(versions.size())
+                            random.nextInt(8) == 0
+                                    ? random.nextInt(versions.size())
                                     : versions.size() - 1);
-            TreeMap<String, Integer> next = new TreeMap<>(from.plain);
-            boolean drop = chance.nextInt(3) == 0 && !next.isEmpty();
+            TreeMap<String, Integer> edited = new TreeMap<>(base.reference);
+            boolean drop = random.nextInt(3) == 0 && !edited.isEmpty();
             String prefix =
-                    drop && chance.nextInt(4) > 0
-                            ? new ArrayList<>(next.keySet()).get(chance.nextInt(next.size()))
-                            : digits(chance, 15);
+                    drop && random.nextInt(4) > 0
+                            ? new ArrayList<>(edited.keySet()).get(random.nextInt(edited.size()))
+                            : randomDigits(random, 15);
             PrefixTrie trie;
             if (drop) {
-                next.remove(prefix);
-                trie = from.trie.without(Digits.pack(prefix));
+                edited.remove(prefix);
+                trie = base.trie.without(Digits.pack(prefix));
             } else {
-                next.put(prefix, 1 + i);
-                trie = from.trie.with(Digits.pack(prefix), 1 + i);
+                edited.put(prefix, 1 + i);
+                trie = base.trie.with(Digits.pack(prefix), 1 + i);
             }
-            versions.add(new Version(chance.nextInt(10) == 0 ? trie.packed() : trie, next));
+            versions.add(new Version(random.nextInt(10) == 0 ? trie.packed() : trie, edited));
         }
         for (Version version : versions) {
-            equal(version, chance);
+            assertSameContents(version, random);
         }
     }
 
     @Test
-    void refusesWhatIsOutOfOrderOrNoNumber() {
+    void refusesUnsortedKeysAndInvalidNumbers() {
         assertThatThrownBy(
                         () ->
                                 PrefixTrie.of(
@@ -112,15 +116,15 @@
     }
 
     @Test
-    void manyEditsAreWorthPackingAndPackingGivesRoomBack() {
+    void manyEditsCallForPackingAndPackingRemovesTheWaste() {
         PrefixTrie trie = PrefixTrie.empty();
         int edits = 0;
-        while (!trie.worthPacking()) {
+        while (!trie.shouldPack()) {
             trie = trie.with(Digits.pack(Integer.toString(1000 + edits % 500)), 1 + edits++);
         }
         assertThat(edits).isLessThan(5000);
         PrefixTrie packed = trie.packed();
-        assertThat(packed.worthPacking()).isFalse();
+        assertThat(packed.shouldPack()).isFalse();
         assertThat(packed.size()).isEqualTo(trie.size());
     }
 }
--- a/src/test/java/coralcove/numbers/file/TableReaderTest.java
+++ b/src/test/java/coralcove/numbers/file/TableReaderTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 
 class TableReaderTest {
-    static final String GOOD =
+    static final String VALID =
             """
             table 17
             # the two far ends of the island
@@ -36,25 +36,25 @@
     }
 
     @Test
-    void readsAWholeTable() throws Exception {
-        NumberTable table = read(GOOD);
-        StringBuilder told = new StringBuilder("version " + table.version() + '\n');
+    void readsACompleteTable() throws Exception {
+        NumberTable table = read(VALID);
+        StringBuilder trace = new StringBuilder("version " + table.version() + '\n');
         for (String dialled :
                 List.of("+81 11 2345", "011-12345", "010 81 113 1", "12345", "8190123", "4711")) {
-            long number = table.number(dialled);
-            told.append(dialled)
+            long number = table.toNumber(dialled);
+            trace.append(dialled)
                     .append(" -> ")
                     .append(Digits.text(number))
                     .append(' ')
                     .append(table.destination(table.trie().find(number)))
                     .append('\n');
         }
-        assertThat(told.toString()).isEqualTo(Kept.trace("numbers-table"));
+        assertThat(trace.toString()).isEqualTo(Kept.trace("numbers-table"));
     }
 
     @Test
-    void changesMakeTheNextTableAndLeaveTheOldOne() throws Exception {
-        NumberTable table = read(GOOD);
+    void changesCreateTheNextTableAndLeaveTheOldOneUnchanged() throws Exception {
+        NumberTable table = read(VALID);
         TableReader.Changes changes =
                 TableReader.changes(
                         "c",
@@ -82,12 +82,12 @@
     }
 
     /**
-     * Each bad file is refused with its line, also one cut short, one with a prefix twice and an
-     * unknown far end.
+     * Each malformed file is refused with its line, including truncated files, repeated prefixes
+     * and unknown far ends.
      */
     @Test
-    void aBadFileNamesItsLine() {
-        StringBuilder told = new StringBuilder();
+    void malformedFileIsRefusedWithItsLine() {
+        StringBuilder trace = new StringBuilder();
         String[][] changes = {
             {"end 7\n", ""},
             {"end 7", "end 8"},
@@ -112,9 +112,9 @@
             {"changed +81114", "changed"}
         };
         for (String[] change : changes) {
-            assertThat(GOOD).contains(change[0]);
-            assertThatThrownBy(() -> read(GOOD.replace(change[0], change[1])))
-                    .satisfies(e -> told.append(e.getMessage()).append('\n'));
+            assertThat(VALID).contains(change[0]);
+            assertThatThrownBy(() -> read(VALID.replace(change[0], change[1])))
+                    .satisfies(e -> trace.append(e.getMessage()).append('\n'));
         }
         for (String text :
                 List.of(
@@ -128,10 +128,10 @@
                                     TableReader.changes(
                                             "c",
                                             new BufferedReader(new StringReader(text)),
-                                            read(GOOD),
+                                            read(VALID),
                                             n -> true))
-                    .satisfies(e -> told.append(e.getMessage()).append('\n'));
+                    .satisfies(e -> trace.append(e.getMessage()).append('\n'));
         }
-        assertThat(told.toString()).isEqualTo(Kept.trace("bad-numbers"));
+        assertThat(trace.toString()).isEqualTo(Kept.trace("bad-numbers"));
     }
 }
