--- a/src/main/java/coralcove/exchange/Arrival.java
+++ b/src/main/java/coralcove/exchange/Arrival.java
@@ -1,17 +1,18 @@
 package coralcove.exchange;
 
 /**
- * One caller's first try: when, of which service, to which far end and number, and how long it
- * would hold, µs. {@code dialled} is what the caller dials where the router finds the far end by
- * itself, "" where it is told it.
+ * A caller's first attempt: its time, the service, the far end and called number, and the hold time
+ * of the call; times in µs. {@code dialled} is the dialled string if the router has to find the far
+ * end by number analysis, "" if the INVITE names it.
  */
 public record Arrival(long at, int service, int farEnd, long number, long hold, String dialled) {
+    /** An arrival whose INVITE names the far end. */
     public Arrival(long at, int service, int farEnd, long number, long hold) {
         this(at, service, farEnd, number, hold, "");
     }
 
-    /** The same caller, its times counted from {@code zero}. */
-    public Arrival after(long zero) {
-        return new Arrival(zero + at, service, farEnd, number, hold, dialled);
+    /** The same arrival, its time shifted by {@code offset} µs. */
+    public Arrival after(long offset) {
+        return new Arrival(offset + at, service, farEnd, number, hold, dialled);
     }
 }
--- a/src/main/java/coralcove/exchange/ExchangeCore.java
+++ b/src/main/java/coralcove/exchange/ExchangeCore.java
@@ -25,44 +25,45 @@
 import java.util.random.RandomGenerator;
 
 /**
- * A stand-in exchange: a processor that all its signalling passes, its lines, its callers. It
- * carries its call router's INVITEs on to the next router, answers for its own lines, and has the
- * faults a day asks for.
+ * A simulated exchange: a processor through which all its signalling passes, its lines and its
+ * callers. It forwards its call router's INVITEs to the next router, answers calls to its own
+ * lines, and injects the faults that a scenario asks for.
  */
 public final class ExchangeCore extends AgentCore {
-    /** µs between two REGISTERs to the directory. */
-    private static final long REGISTER_EVERY = 1_000_000;
+    /** Interval between REGISTERs to the directory. */
+    private static final long REGISTER_INTERVAL_US = 1_000_000;
 
-    private static final Object REGISTERED = "registered";
+    /** Marks the transactions of REGISTERs whose answer is read. */
+    private static final Object REGISTER_OWNER = "registered";
 
-    /** Load columns are smoothed over this many µs. */
-    private static final double UTIL_SPAN = 1_000_000;
+    /** The utilization reported to probes is smoothed over this time. */
+    private static final double UTILIZATION_WINDOW_US = 1_000_000;
 
-    /** A call carried on: the leg from the own router and the leg to the next one. */
-    private static final class Relay {
-        final Call in;
-        final int to;
-        Call out;
+    /** A forwarded call: the leg from the local router and the leg to the next one. */
+    private static final class ForwardedCall {
+        final Call inbound;
+        final int nextExchange;
+        Call outbound;
 
-        Relay(Call in, int to) {
-            this.in = in;
-            this.to = to;
+        ForwardedCall(Call inbound, int nextExchange) {
+            this.inbound = inbound;
+            this.nextExchange = nextExchange;
         }
     }
 
-    /** A call at the own lines. */
-    private record Line(Call call, long number, boolean hot) {}
+    /** A call to a line of this exchange; {@code limitedLines} if its number has few lines. */
+    private record LocalCall(Call call, long number, boolean limitedLines) {}
 
-    /** One caller, from its first try to its last. */
+    /** One caller, from the first attempt to the last. */
     private static final class Caller {
         final Arrival arrival;
         final ExchangeSettings.Service service;
         Call call;
-        int tries;
-        long tryAt;
-        double earned;
-        Timers.Timer patience;
-        boolean up;
+        int attempts;
+        long attemptedAt;
+        double valueServed;
+        Timers.Timer abandonTimer;
+        boolean established;
 
         Caller(Arrival arrival, ExchangeSettings.Service service) {
             this.arrival = arrival;
@@ -72,82 +73,95 @@
 
     private final ExchangeSettings settings;
     private final Processor processor;
-    private final RandomGenerator chance;
+    private final RandomGenerator random;
     private final ArrayDeque<Arrival> arrivals;
     private final Stats stats;
     private final TreeMap<Integer, Integer> groups;
     private final Map<Long, Integer> busyLines = new HashMap<>();
-    private final Set<Relay> relays = new LinkedHashSet<>();
-    private final Set<Line> lines = new LinkedHashSet<>();
-    private final Set<Caller> up = new LinkedHashSet<>();
-    private final ArrayDeque<Long> coldSetUps = new ArrayDeque<>();
-    private final Notifier groupNews;
+    private final Set<ForwardedCall> forwardedCalls = new LinkedHashSet<>();
+    private final Set<LocalCall> localCalls = new LinkedHashSet<>();
+    private final Set<Caller> establishedCallers = new LinkedHashSet<>();
+    private final ArrayDeque<Long> setUpsWhileCold = new ArrayDeque<>();
+    private final Notifier groupNotifier;
     private long groupVersion;
 
-    /** Directories that have not answered a REGISTER of this start yet. */
-    private final Set<Hop> unknown = new LinkedHashSet<>();
+    /** Directories that have not yet answered a REGISTER with the current start number. */
+    private final Set<Hop> unacknowledgedDirectories = new LinkedHashSet<>();
 
     private Timers.Timer nextRegister;
 
-    /** What it says of itself, its number of this start, and the signs of life in it. */
+    /** The state sent in REGISTERs: ready, draining or left. */
     private String phase = "ready";
 
-    private long start;
-    private long beat;
-    private double loseAnswers;
-    private boolean fallen;
-    private long sessionIds;
-    private long lastWorked;
-    private long lastLooked;
-    private double util;
+    /** The number of this start, which is higher after each restart. */
+    private long startNumber;
 
-    /** {@code arrivals} in order of time; those before the start are passed over. */
+    /** REGISTER rounds since the start number was last changed. */
+    private long heartbeat;
+
+    private double answerLossShare;
+    private boolean collapsed;
+    private long sessionIdCount;
+    private long lastBusyTime;
+    private long lastSampledAt;
+    private double utilization;
+
+    /** {@code arrivals} are in order of time; those before the start are skipped. */
     public ExchangeCore(ExchangeSettings settings, List<Arrival> arrivals, Stats stats) {
-        super(settings.self(), settings.start());
+        super(settings.self(), settings.startTag());
         this.settings = settings;
         this.arrivals = new ArrayDeque<>(arrivals);
         this.stats = stats;
-        chance = new SplittableRandom(settings.seed());
-        groups = new TreeMap<>(settings.groups());
-        groupNews = new Notifier(agent, timers, "trunk-groups", settings.start(), this::groups);
-        unknown.addAll(settings.directories());
-        ExchangeSettings.Rules rules = settings.rules();
-        processor = new Processor(timers, settings.since(), rules.coldFrom(), rules.warmUp());
+        random = new SplittableRandom(settings.seed());
+        groups = new TreeMap<>(settings.groupCircuits());
+        groupNotifier =
+                new Notifier(agent, timers, "trunk-groups", settings.startTag(), this::groupState);
+        unacknowledgedDirectories.addAll(settings.directories());
+        ExchangeSettings.Rules rules = settings.coldStart();
+        processor =
+                new Processor(
+                        timers,
+                        settings.coldStartedAt(),
+                        rules.coldCapacityShare(),
+                        rules.warmUpTime());
     }
 
-    public boolean fallen() {
-        return fallen;
+    /**
+     * Whether it collapsed under too many set-ups while cold; it ignores all input from then on.
+     */
+    public boolean collapsed() {
+        return collapsed;
     }
 
-    // ---- driven from outside
+    // Start, input and registration.
 
     @Override
     public void start(long now, Out out) {
         while (!arrivals.isEmpty() && arrivals.peek().at() < now) {
             arrivals.poll();
         }
-        start = settings.since() > 0 ? settings.since() : now;
+        startNumber = settings.coldStartedAt() > 0 ? settings.coldStartedAt() : now;
         register(now, out);
-        nextArrival();
+        scheduleNextArrival();
     }
 
     @Override
     public void receive(long now, Hop from, SipMessage message, Out out) {
-        if (!fallen) {
+        if (!collapsed) {
             agent.receive(now, from, message, out);
         }
     }
 
     private void register(long now, Out out) {
-        if (fallen) {
+        if (collapsed) {
             return;
         }
-        beat++;
+        heartbeat++;
         for (Hop directory : settings.directories()) {
             String age =
-                    settings.since() == 0
+                    settings.coldStartedAt() == 0
                             ? "-"
-                            : Long.toString(Math.max(0, now - settings.since()));
+                            : Long.toString(Math.max(0, now - settings.coldStartedAt()));
             SipMessage register = agent.request("REGISTER", SipUri.text("", directory));
             register.add(
                     "X-Exchange",
@@ -157,115 +171,121 @@
                             + " "
                             + phase
                             + " "
-                            + start
+                            + startNumber
                             + " "
-                            + beat
+                            + heartbeat
                             + " "
                             + age
                             + " "
-                            + settings.edge());
-            if (unknown.remove(directory)) {
-                agent.send(now, register, directory, REGISTERED, out);
+                            + settings.routerAddress());
+            if (unacknowledgedDirectories.remove(directory)) {
+                agent.send(now, register, directory, REGISTER_OWNER, out);
             } else {
                 agent.sendOnce(register, directory, out);
             }
         }
         if (!phase.equals("left")) {
             timers.cancel(nextRegister);
-            nextRegister = timers.set(now + REGISTER_EVERY, this::register);
+            nextRegister = timers.set(now + REGISTER_INTERVAL_US, this::register);
         }
     }
 
     /**
-     * A directory knows a later number of a start: this one's clock went back, and it takes a
-     * number past that.
+     * If a directory knows a later start number, the clock has gone back: this start takes a number
+     * after that one.
      */
-    private void registered(ClientTx tx, SipMessage response) {
+    private void registerAnswered(ClientTx tx, SipMessage response) {
         if (response == null) {
-            unknown.add(tx.to());
-        } else if (response.number("X-Start", -1) >= start) {
-            start = response.number("X-Start", -1) + 1;
-            beat = 0;
-            unknown.addAll(settings.directories());
+            unacknowledgedDirectories.add(tx.to());
+        } else if (response.number("X-Start", -1) >= startNumber) {
+            startNumber = response.number("X-Start", -1) + 1;
+            heartbeat = 0;
+            unacknowledgedDirectories.addAll(settings.directories());
         }
     }
 
-    // ---- faults
+    // Faults.
 
+    /** Multiplies all service times of the processor. */
     public void slow(double factor) {
-        processor.slow(factor);
+        processor.slowDown(factor);
     }
 
+    /** Stalls the processor until a time. */
     public void stall(long now, long until) {
         processor.stall(now, until);
     }
 
-    public void hang(boolean on) {
-        processor.hang(on);
+    /** While hung, the processor accepts work but never does it. */
+    public void hang(boolean hung) {
+        processor.setHung(hung);
     }
 
-    /** The share of answers that get lost from now on. */
+    /** Sets the share of calls to local lines that are never answered. */
     public void loseAnswers(double share) {
-        loseAnswers = share;
+        answerLossShare = share;
     }
 
+    /** Announces to the directories that the exchange is draining. */
     public void drain(long now, Out out) {
         phase = "draining";
         register(now, out);
     }
 
-    /** Tells the directories that it ends. */
+    /** Announces to the directories that the exchange is leaving. */
     public void leave(long now, Out out) {
         phase = "left";
         register(now, out);
     }
 
-    /** Cuts every call that touches this exchange, as its processor stops. */
+    /** Cuts off all calls through this exchange, as happens when its processor stops. */
     public void cutAll(long now, Out out) {
-        for (Relay relay : List.copyOf(relays)) {
-            cut(now, relay, out);
+        for (ForwardedCall forwarded : List.copyOf(forwardedCalls)) {
+            cutOff(now, forwarded, out);
         }
         String reason = Outcomes.reason(Outcomes.CUT, "cut");
-        lines.forEach(line -> agent.bye(now, line.call, reason, out));
-        lines.clear();
-        for (Caller caller : up) {
-            cutOff(caller);
+        localCalls.forEach(localCall -> agent.bye(now, localCall.call, reason, out));
+        localCalls.clear();
+        for (Caller caller : establishedCallers) {
+            countCutOff(caller);
             agent.bye(now, caller.call, reason, out);
         }
-        up.clear();
+        establishedCallers.clear();
     }
 
     /**
-     * Sets a group's circuits; calls that it carries out of here are cut with {@code share} when it
-     * shrinks.
+     * Sets the circuits of the trunk group to an exchange. Each established outgoing call on it is
+     * cut off with probability {@code share}, for the case that the group has lost circuits.
      */
     public void group(long now, int number, int circuits, double share, Out out) {
         groups.put(number, circuits);
-        for (Relay relay : List.copyOf(relays)) {
-            if (relay.to == number && relay.in.stands() && chance.nextDouble() < share) {
-                cut(now, relay, out);
+        for (ForwardedCall forwarded : List.copyOf(forwardedCalls)) {
+            if (forwarded.nextExchange == number
+                    && forwarded.inbound.stands()
+                    && random.nextDouble() < share) {
+                cutOff(now, forwarded, out);
             }
         }
         groupVersion++;
-        groupNews.changed(now, groups(now).tag(), number + " " + circuits + "\n", out);
+        groupNotifier.changed(now, groupState(now).tag(), number + " " + circuits + "\n", out);
     }
 
-    private void cut(long now, Relay relay, Out out) {
-        if (relay.in.stands()) {
-            relays.remove(relay);
+    private void cutOff(long now, ForwardedCall forwarded, Out out) {
+        if (forwarded.inbound.stands()) {
+            forwardedCalls.remove(forwarded);
             String reason = Outcomes.reason(Outcomes.CUT, "cut");
-            agent.bye(now, relay.in, reason, out);
-            agent.bye(now, relay.out, reason, out);
+            agent.bye(now, forwarded.inbound, reason, out);
+            agent.bye(now, forwarded.outbound, reason, out);
         }
     }
 
-    private Notifier.State groups(long now) {
+    private Notifier.State groupState(long now) {
         StringBuilder body = new StringBuilder();
         groups.forEach((number, size) -> body.append(number).append(' ').append(size).append('\n'));
-        return new Notifier.State(settings.start() + "." + groupVersion, body.toString());
+        return new Notifier.State(settings.startTag() + "." + groupVersion, body.toString());
     }
 
-    // ---- calls from the own router
+    // Calls from the local router and from other routers.
 
     @Override
     public void invited(long now, Call call, Hop from, Out out) {
@@ -276,19 +296,19 @@
             agent.reject(now, call, 400, "Bad Request", out);
             return;
         }
-        boolean own = call.invite().header("Route") == null;
-        if (own && headers.origin() >= 0) {
-            countCold(now, out);
+        boolean forLocalLines = call.invite().header("Route") == null;
+        if (forLocalLines && headers.origin() >= 0) {
+            checkColdOverload(now, out);
         }
-        ExchangeSettings.Work work = settings.work();
-        long wait = processor.queued(now);
-        if (wait > work.queueLimit()) {
-            long named = work.tellsWait() ? wait - work.queueLimit() / 2 : 0;
-            processor.work(
+        ExchangeSettings.Work times = settings.processingTimes();
+        long wait = processor.queueingDelay(now);
+        if (wait > times.queueLimit()) {
+            long retryAfter = times.tellsWait() ? wait - times.queueLimit() / 2 : 0;
+            processor.enqueue(
                     now,
-                    work.refuse(),
+                    times.refuse(),
                     (at, o) -> {
-                        int cause = own ? Outcomes.PROCESSOR_FULL : Outcomes.OWN_EXCHANGE;
+                        int cause = forLocalLines ? Outcomes.PROCESSOR_FULL : Outcomes.OWN_EXCHANGE;
                         agent.reject(
                                 at,
                                 call,
@@ -298,50 +318,56 @@
                                 "Reason",
                                 Outcomes.reason(cause, "processor full"),
                                 "Retry-After",
-                                Outcomes.retryAfter(named));
+                                Outcomes.retryAfter(retryAfter));
                     });
             return;
         }
-        long repeats = 0;
-        for (long gap = work.resend(); gap > 0 && gap < wait; gap *= 2) {
-            repeats++;
+        long retransmissions = 0;
+        for (long interval = times.resend(); interval > 0 && interval < wait; interval *= 2) {
+            retransmissions++;
         }
-        processor.work(
+        processor.enqueue(
                 now,
-                work.setUp() + repeats * work.repeat(),
+                times.setUp() + retransmissions * times.repeat(),
                 (at, o) -> {
-                    // A set-up that was given up while it waited is dropped.
+                    // A set-up that was cancelled while it was queued is dropped.
                     if (call.trying()) {
-                        if (own) {
-                            ring(at, call, headers, o);
+                        if (forLocalLines) {
+                            answerLocally(at, call, headers, o);
                         } else {
-                            carryOn(at, call, headers, at - now, o);
+                            forward(at, call, headers, at - now, o);
                         }
                     }
                 });
     }
 
-    /** Rule 4: set-ups from all routers within a window, against what a cold processor can do. */
-    private void countCold(long now, Out out) {
-        if (!processor.cold(now)) {
+    /**
+     * Collapses if the set-ups from all routers within a window exceed what the cold processor can
+     * bear (rule 4).
+     */
+    private void checkColdOverload(long now, Out out) {
+        if (!processor.isCold(now)) {
             return;
         }
-        ExchangeSettings.Rules rules = settings.rules();
-        coldSetUps.add(now);
-        while (coldSetUps.peek() <= now - rules.fallWindow()) {
-            coldSetUps.poll();
+        ExchangeSettings.Rules rules = settings.coldStart();
+        setUpsWhileCold.add(now);
+        while (setUpsWhileCold.peek() <= now - rules.overloadWindow()) {
+            setUpsWhileCold.poll();
         }
-        double can = processor.capacity(now) * rules.fallWindow() / settings.work().setUp();
-        if (coldSetUps.size() > rules.fallMultiple() * can) {
-            fallen = true;
-            out.log("fell-over", "", coldSetUps.size() + " set-ups");
+        double bearable =
+                processor.capacity(now)
+                        * rules.overloadWindow()
+                        / settings.processingTimes().setUp();
+        if (setUpsWhileCold.size() > rules.overloadMultiple() * bearable) {
+            collapsed = true;
+            out.log("fell-over", "", setUpsWhileCold.size() + " set-ups");
         }
     }
 
-    private void ring(long now, Call call, CallHeaders headers, Out out) {
+    private void answerLocally(long now, Call call, CallHeaders headers, Out out) {
         long number = Long.parseLong(headers.number().isEmpty() ? "0" : headers.number());
-        boolean hot = number > 0 && number < 100;
-        if (hot && busyLines.getOrDefault(number, 0) >= settings.hotLines()) {
+        boolean limitedLines = number > 0 && number < 100;
+        if (limitedLines && busyLines.getOrDefault(number, 0) >= settings.linesPerLimitedNumber()) {
             agent.reject(
                     now,
                     call,
@@ -352,28 +378,30 @@
                     Outcomes.reason(Outcomes.LINES_BUSY, "lines busy"));
             return;
         }
-        if (hot) {
+        if (limitedLines) {
             busyLines.merge(number, 1, Integer::sum);
         }
-        Line line = new Line(call, number, hot);
-        call.owner(line);
-        lines.add(line);
-        if (chance.nextDouble() < loseAnswers) {
+        LocalCall localCall = new LocalCall(call, number, limitedLines);
+        call.owner(localCall);
+        localCalls.add(localCall);
+        if (random.nextDouble() < answerLossShare) {
             out.log("answer-lost", call.sessionId(), "");
             return;
         }
-        processor.work(
-                now, settings.work().answer(), (at, o) -> agent.answer(at, call, call.invite(), o));
+        processor.enqueue(
+                now,
+                settings.processingTimes().answer(),
+                (at, o) -> agent.answer(at, call, call.invite(), o));
     }
 
-    private void freeLine(Line line) {
-        lines.remove(line);
-        if (line.hot) {
-            busyLines.merge(line.number, -1, Integer::sum);
+    private void releaseLine(LocalCall localCall) {
+        localCalls.remove(localCall);
+        if (localCall.limitedLines) {
+            busyLines.merge(localCall.number, -1, Integer::sum);
         }
     }
 
-    private void carryOn(long now, Call call, CallHeaders headers, long waited, Out out) {
+    private void forward(long now, Call call, CallHeaders headers, long queueingDelay, Out out) {
         SipUri route = SipUri.of(call.invite().header("Route"));
         if (route == null) {
             agent.reject(now, call, 400, "Route", out);
@@ -386,37 +414,40 @@
                 invite,
                 headers,
                 settings.number(),
-                Math.max(0, headers.left() - waited),
+                Math.max(0, headers.left() - queueingDelay),
                 call.sessionId());
-        Relay relay =
-                new Relay(
+        ForwardedCall forwarded =
+                new ForwardedCall(
                         call,
                         route.user().matches("\\d{1,5}") ? Integer.parseInt(route.user()) : -1);
-        call.owner(relay);
-        relays.add(relay);
-        relay.out = agent.invite(now, invite, route.hop(), relay, out);
+        call.owner(forwarded);
+        forwardedCalls.add(forwarded);
+        forwarded.outbound = agent.invite(now, invite, route.hop(), forwarded, out);
     }
 
     @Override
     public void progressed(long now, Call call, SipMessage response, Out out) {
-        // A ringing tells the router nothing that it needs.
+        // Provisional responses are not forwarded: the router does not need them.
     }
 
     @Override
     public void answered(long now, Call call, SipMessage response, Out out) {
         if (call.owner() instanceof Caller caller) {
-            processor.work(now, settings.work().answer(), (at, o) -> stands(at, caller, call, o));
+            processor.enqueue(
+                    now,
+                    settings.processingTimes().answer(),
+                    (at, o) -> callEstablished(at, caller, call, o));
             return;
         }
-        Relay relay = (Relay) call.owner();
-        processor.work(
+        ForwardedCall forwarded = (ForwardedCall) call.owner();
+        processor.enqueue(
                 now,
-                settings.work().answer(),
+                settings.processingTimes().answer(),
                 (at, o) -> {
-                    if (relay.in.trying()) {
-                        agent.answer(at, relay.in, response, o);
-                    } else if (!relay.in.stands()) {
-                        agent.bye(at, relay.out, null, o);
+                    if (forwarded.inbound.trying()) {
+                        agent.answer(at, forwarded.inbound, response, o);
+                    } else if (!forwarded.inbound.stands()) {
+                        agent.bye(at, forwarded.outbound, null, o);
                     }
                 });
     }
@@ -424,41 +455,42 @@
     @Override
     public void rejected(long now, Call call, SipMessage response, Agent.Lost lost, Out out) {
         if (call.owner() instanceof Caller caller) {
-            refused(now, caller, call, response, out);
+            attemptFailed(now, caller, call, response, out);
             return;
         }
-        Relay relay = (Relay) call.owner();
-        relays.remove(relay);
+        ForwardedCall forwarded = (ForwardedCall) call.owner();
+        forwardedCalls.remove(forwarded);
         Refusal refusal = Refusal.of(response, lost, "Reason", "Retry-After", "X-Circuits");
-        agent.reject(now, relay.in, refusal.status(), refusal.reason(), out, refusal.fields());
+        agent.reject(
+                now, forwarded.inbound, refusal.status(), refusal.reason(), out, refusal.fields());
     }
 
     @Override
     public void cancelled(long now, Call call, Out out) {
-        if (call.owner() instanceof Relay relay) {
-            relays.remove(relay);
-            if (relay.out.trying()) {
-                agent.cancel(now, relay.out, out);
+        if (call.owner() instanceof ForwardedCall forwarded) {
+            forwardedCalls.remove(forwarded);
+            if (forwarded.outbound.trying()) {
+                agent.cancel(now, forwarded.outbound, out);
             }
-        } else if (call.owner() instanceof Line line) {
-            freeLine(line);
+        } else if (call.owner() instanceof LocalCall localCall) {
+            releaseLine(localCall);
         }
     }
 
     @Override
     public void hungUp(long now, Call call, SipMessage bye, Out out) {
-        processor.work(now, settings.work().release(), Processor::nothing);
+        processor.enqueue(now, settings.processingTimes().release(), Processor::noAction);
         if (call.owner() instanceof Caller caller) {
-            if (up.remove(caller)) {
-                cutOff(caller);
+            if (establishedCallers.remove(caller)) {
+                countCutOff(caller);
             }
-        } else if (call.owner() instanceof Line line) {
-            freeLine(line);
-        } else if (call.owner() instanceof Relay relay) {
-            relays.remove(relay);
+        } else if (call.owner() instanceof LocalCall localCall) {
+            releaseLine(localCall);
+        } else if (call.owner() instanceof ForwardedCall forwarded) {
+            forwardedCalls.remove(forwarded);
             String reason = bye == null ? null : bye.header("Reason");
-            Call other = call == relay.in ? relay.out : relay.in;
-            if (other.trying() && other == relay.out) {
+            Call other = call == forwarded.inbound ? forwarded.outbound : forwarded.inbound;
+            if (other.trying() && other == forwarded.outbound) {
                 agent.cancel(now, other, out);
             }
             agent.bye(now, other, reason, out);
@@ -467,7 +499,7 @@
 
     @Override
     public void changing(long now, Call call, SipMessage invite, Out out) {
-        if (!(call.owner() instanceof Relay relay)) {
+        if (!(call.owner() instanceof ForwardedCall forwarded)) {
             agent.answerChange(
                     now,
                     call,
@@ -478,7 +510,7 @@
                     out);
             return;
         }
-        Call other = call == relay.in ? relay.out : relay.in;
+        Call other = call == forwarded.inbound ? forwarded.outbound : forwarded.inbound;
         if (!agent.change(
                 now, other, invite.header("Content-Type", "application/sdp"), invite.body(), out)) {
             agent.answerChange(now, call, 491, "Request Pending", "", new byte[0], out);
@@ -487,10 +519,10 @@
 
     @Override
     public void changed(long now, Call call, SipMessage response, Out out) {
-        if (call.owner() instanceof Relay relay) {
+        if (call.owner() instanceof ForwardedCall forwarded) {
             agent.answerChange(
                     now,
-                    call == relay.in ? relay.out : relay.in,
+                    call == forwarded.inbound ? forwarded.outbound : forwarded.inbound,
                     response.status(),
                     response.reason(),
                     response.header("Content-Type", "application/sdp"),
@@ -499,16 +531,16 @@
         }
     }
 
-    // ---- the own callers
+    // Local callers.
 
-    private void nextArrival() {
+    private void scheduleNextArrival() {
         Arrival next = arrivals.poll();
         if (next != null) {
             timers.set(
                     next.at(),
                     (at, out) -> {
-                        nextArrival();
-                        if (!fallen) {
+                        scheduleNextArrival();
+                        if (!collapsed) {
                             dial(
                                     at,
                                     new Caller(next, settings.services().get(next.service())),
@@ -519,65 +551,65 @@
     }
 
     private void dial(long now, Caller caller, Out out) {
-        caller.tries++;
-        caller.tryAt = now;
-        long limit = limit(caller, now);
-        if (processor.queued(now) > settings.work().queueLimit()) {
+        caller.attempts++;
+        caller.attemptedAt = now;
+        long timeout = attemptTimeout(caller, now);
+        if (processor.queueingDelay(now) > settings.processingTimes().queueLimit()) {
             stats.turnedAway++;
-            processor.work(now, settings.work().refuse(), Processor::nothing);
-            redial(now, caller, 0, "own processor full");
+            processor.enqueue(now, settings.processingTimes().refuse(), Processor::noAction);
+            redialOrGiveUp(now, caller, 0, "own processor full");
             return;
         }
-        caller.patience = timers.set(now + limit, (at, o) -> giveUp(at, caller, o));
-        processor.work(
+        caller.abandonTimer = timers.set(now + timeout, (at, o) -> abandon(at, caller, o));
+        processor.enqueue(
                 now,
-                settings.work().look(),
+                settings.processingTimes().look(),
                 (at, o) -> {
-                    if (at < caller.tryAt + limit) {
-                        ask(at, caller, limit - (at - caller.tryAt), o);
+                    if (at < caller.attemptedAt + timeout) {
+                        sendInvite(at, caller, timeout - (at - caller.attemptedAt), o);
                     }
                 });
     }
 
     /**
-     * How long this try may take: a share of the service's limit, and what is left since the first
-     * try.
+     * How long this attempt may take: a share of the service's timer limit, at most the time left
+     * of the limit since the first attempt.
      */
-    private long limit(Caller caller, long now) {
-        long share = (long) (settings.callers().tryShare() * caller.service.limit());
-        return Math.min(share, caller.arrival.at() + caller.service.limit() - now);
+    private long attemptTimeout(Caller caller, long now) {
+        long share = (long) (settings.callerModel().attemptShare() * caller.service.timerLimit());
+        return Math.min(share, caller.arrival.at() + caller.service.timerLimit() - now);
     }
 
-    private void ask(long now, Caller caller, long left, Out out) {
+    private void sendInvite(long now, Caller caller, long timeLeft, Out out) {
         Arrival arrival = caller.arrival;
         stats.sessions++;
-        boolean dials = !arrival.dialled().isEmpty();
-        String number = dials ? arrival.dialled() : Long.toString(arrival.number());
-        SipMessage invite = agent.request("INVITE", SipUri.text(number, settings.edge()));
-        boolean redial = settings.callers().marksRedials() && caller.tries > 1;
+        boolean needsNumberAnalysis = !arrival.dialled().isEmpty();
+        String number = needsNumberAnalysis ? arrival.dialled() : Long.toString(arrival.number());
+        SipMessage invite = agent.request("INVITE", SipUri.text(number, settings.routerAddress()));
+        boolean redial = settings.callerModel().marksRedials() && caller.attempts > 1;
         CallHeaders headers =
                 new CallHeaders(
                         arrival.service(),
                         caller.service.value(),
-                        caller.service.width(),
+                        caller.service.circuits(),
                         redial,
                         false,
-                        dials ? -1 : arrival.farEnd(),
+                        needsNumberAnalysis ? -1 : arrival.farEnd(),
                         -1,
-                        left,
+                        timeLeft,
                         number);
-        CallHeaders.write(invite, headers, -1, left, sessionId());
-        caller.call = agent.invite(now, invite, settings.edge(), caller, out);
+        CallHeaders.write(invite, headers, -1, timeLeft, sessionId());
+        caller.call = agent.invite(now, invite, settings.routerAddress(), caller, out);
     }
 
-    /** RFC 7989: 32 hexadecimal digits, from the seed. */
+    /** A session id of 32 hexadecimal digits (RFC 7989), reproducible from the seed. */
     private String sessionId() {
-        sessionIds++;
-        return String.format("%08x%08x%016x", settings.number(), sessionIds, chance.nextLong());
+        sessionIdCount++;
+        return String.format("%08x%08x%016x", settings.number(), sessionIdCount, random.nextLong());
     }
 
-    private void giveUp(long now, Caller caller, Out out) {
-        if (caller.up) {
+    private void abandon(long now, Caller caller, Out out) {
+        if (caller.established) {
             return;
         }
         stats.gaveUp++;
@@ -587,60 +619,63 @@
             agent.bye(now, caller.call, null, out);
         }
         caller.call = null;
-        redial(now, caller, 0, "gave up");
+        redialOrGiveUp(now, caller, 0, "gave up");
     }
 
-    private void stands(long now, Caller caller, Call call, Out out) {
+    private void callEstablished(long now, Caller caller, Call call, Out out) {
         if (caller.call != call || !call.stands()) {
             return;
         }
-        timers.cancel(caller.patience);
-        caller.up = true;
-        up.add(caller);
-        stats.stands(caller.arrival);
+        timers.cancel(caller.abandonTimer);
+        caller.established = true;
+        establishedCallers.add(caller);
+        stats.callEstablished(caller.arrival);
         stats.finalAnswers++;
-        long took = now - caller.arrival.at();
+        long setUpTime = now - caller.arrival.at();
         stats.setUp.recordValue(
-                Math.min(now - caller.tryAt, stats.setUp.getHighestTrackableValue()));
-        caller.earned =
+                Math.min(now - caller.attemptedAt, stats.setUp.getHighestTrackableValue()));
+        caller.valueServed =
                 caller.service.value()
-                        * (took <= caller.service.target() ? 1 : caller.service.lateValue());
-        stats.served(caller.arrival, caller.earned);
-        if (caller.earned < caller.service.value()) {
-            stats.lost(Stats.LATE, caller.service.value() - caller.earned);
+                        * (setUpTime <= caller.service.postDialTarget()
+                                ? 1
+                                : caller.service.lateValue());
+        stats.addServedValue(caller.arrival, caller.valueServed);
+        if (caller.valueServed < caller.service.value()) {
+            stats.addLostValue(Stats.LATE, caller.service.value() - caller.valueServed);
         }
         timers.set(
                 now + caller.arrival.hold(),
                 (at, o) -> {
                     if (call.stands()) {
-                        up.remove(caller);
-                        processor.work(
+                        establishedCallers.remove(caller);
+                        processor.enqueue(
                                 at,
-                                settings.work().release(),
-                                (then, p) -> agent.bye(then, call, null, p));
+                                settings.processingTimes().release(),
+                                (releasedAt, releaseOut) ->
+                                        agent.bye(releasedAt, call, null, releaseOut));
                     }
                 });
     }
 
-    private void cutOff(Caller caller) {
-        if (!caller.up) {
+    private void countCutOff(Caller caller) {
+        if (!caller.established) {
             return;
         }
         stats.cut++;
-        stats.served(caller.arrival, -caller.earned);
-        stats.lost(Stats.CUT, caller.earned);
-        caller.earned = 0;
+        stats.addServedValue(caller.arrival, -caller.valueServed);
+        stats.addLostValue(Stats.CUT_OFF, caller.valueServed);
+        caller.valueServed = 0;
     }
 
-    private void refused(long now, Caller caller, Call call, SipMessage response, Out out) {
+    private void attemptFailed(long now, Caller caller, Call call, SipMessage response, Out out) {
         if (caller.call != call) {
             return;
         }
-        timers.cancel(caller.patience);
+        timers.cancel(caller.abandonTimer);
         caller.call = null;
         if (response == null) {
             stats.gaveUp++;
-            redial(now, caller, 0, "gave up");
+            redialOrGiveUp(now, caller, 0, "gave up");
             return;
         }
         stats.finalAnswers++;
@@ -651,68 +686,79 @@
         } else {
             stats.terminated++;
         }
-        redial(now, caller, Outcomes.retryAfter(response), busy ? "busy-replied" : "terminated");
+        redialOrGiveUp(
+                now, caller, Outcomes.retryAfter(response), busy ? "busy-replied" : "terminated");
     }
 
     /**
-     * Calls again if the caller's habits and time allow; {@code why} is what became of this try.
+     * Redials if the caller model and the remaining time allow it, otherwise counts the value as
+     * lost. {@code outcome} is the outcome of this attempt, {@code retryAfter} the wait asked for
+     * in the answer, 0 for none.
      */
-    private void redial(long now, Caller caller, long named, String why) {
-        ExchangeSettings.Callers habits = settings.callers();
-        if (caller.tries > habits.redials()) {
-            stats.lost(why, caller.service.value());
+    private void redialOrGiveUp(long now, Caller caller, long retryAfter, String outcome) {
+        ExchangeSettings.Callers model = settings.callerModel();
+        if (caller.attempts > model.maxRedials()) {
+            stats.addLostValue(outcome, caller.service.value());
             return;
         }
-        long backoff = (habits.backoff() << (caller.tries - 1)) * (50 + chance.nextInt(101)) / 100;
-        long wait = named > 0 && chance.nextDouble() < habits.honour() ? named : backoff;
-        if (now + wait < caller.arrival.at() + caller.service.limit()) {
+        long backoff =
+                (model.backoff() << (caller.attempts - 1)) * (50 + random.nextInt(101)) / 100;
+        long wait =
+                retryAfter > 0 && random.nextDouble() < model.retryAfterCompliance()
+                        ? retryAfter
+                        : backoff;
+        if (now + wait < caller.arrival.at() + caller.service.timerLimit()) {
             timers.set(now + wait, (at, o) -> dial(at, caller, o));
         } else {
-            stats.lost(why, caller.service.value());
+            stats.addLostValue(outcome, caller.service.value());
         }
     }
 
-    // ---- other requests
+    // Other requests.
 
     @Override
     public void request(long now, ServerTx tx, Hop from, Out out) {
         SipMessage request = tx.request();
         switch (request.method()) {
             case "OPTIONS" ->
-                    processor.work(
+                    processor.enqueue(
                             now,
-                            settings.work().probe(),
+                            settings.processingTimes().probe(),
                             (at, o) ->
                                     agent.respond(
                                             at,
                                             tx,
-                                            agent.reply(tx, 200, "OK").add("X-Load", load(at)),
+                                            agent.reply(tx, 200, "OK")
+                                                    .add("X-Load", loadHeader(at)),
                                             o));
-            case "SUBSCRIBE" -> groupNews.subscribe(now, tx, out);
+            case "SUBSCRIBE" -> groupNotifier.subscribe(now, tx, out);
             default -> agent.respond(now, tx, agent.reply(tx, 405, "Method Not Allowed"), out);
         }
     }
 
-    /** "-1,-1,util,queue": free circuits and size are the asker's to know. */
-    private String load(long now) {
-        double span = Math.max(1, now - lastLooked);
-        double busy = Math.min(1, (processor.worked() - lastWorked) / span);
-        util += Math.min(1, span / UTIL_SPAN) * (busy - util);
-        lastLooked = now;
-        lastWorked = processor.worked();
+    /**
+     * "-1,-1,utilization,queue length": the querying router knows the free circuits and the group
+     * size itself.
+     */
+    private String loadHeader(long now) {
+        double elapsed = Math.max(1, now - lastSampledAt);
+        double busyShare = Math.min(1, (processor.busyTime() - lastBusyTime) / elapsed);
+        utilization += Math.min(1, elapsed / UTILIZATION_WINDOW_US) * (busyShare - utilization);
+        lastSampledAt = now;
+        lastBusyTime = processor.busyTime();
         return String.format(
                 java.util.Locale.ROOT,
                 "-1,-1,%.3f,%d",
-                util,
-                processor.queued(now) / settings.work().setUp());
+                utilization,
+                processor.queueingDelay(now) / settings.processingTimes().setUp());
     }
 
     @Override
     public void replied(long now, ClientTx tx, SipMessage response, Out out) {
-        if (tx.owner() == REGISTERED) {
-            registered(tx, response);
+        if (tx.owner() == REGISTER_OWNER) {
+            registerAnswered(tx, response);
         } else {
-            groupNews.replied(tx, response);
+            groupNotifier.replied(tx, response);
         }
     }
 }
--- a/src/main/java/coralcove/exchange/Processor.java
+++ b/src/main/java/coralcove/exchange/Processor.java
@@ -4,70 +4,86 @@
 import coralcove.sip.Timers;
 
 /**
- * A stand-in's processor: one line, first come first served. Work takes longer while it is slow or
- * cold; a stall or a hang holds everything up. Times in µs.
+ * The processor of a simulated exchange: a single-server queue, first in, first out. Service times
+ * are longer while the processor is slowed down or cold. A stall delays all work, and a hung
+ * processor drops it. Times in µs.
  */
 final class Processor {
     private final Timers timers;
-    private final long since;
-    private final double coldFrom;
-    private final long warmUp;
+    private final long startedAt;
+    private final double coldCapacityShare;
+    private final long warmUpTime;
+
+    /** When all work accepted so far is done. */
     private long busyUntil;
-    private double slow = 1;
+
+    private double slowdownFactor = 1;
     private boolean hung;
-    private long worked;
 
-    Processor(Timers timers, long since, double coldFrom, long warmUp) {
+    /** Total service time of all work accepted so far. */
+    private long busyTime;
+
+    /**
+     * {@code startedAt} is when it was started cold, 0 if it is warm; capacity rises linearly from
+     * {@code coldCapacityShare} to 1 within {@code warmUpTime}.
+     */
+    Processor(Timers timers, long startedAt, double coldCapacityShare, long warmUpTime) {
         this.timers = timers;
-        this.since = since;
-        this.coldFrom = coldFrom;
-        this.warmUp = Math.max(1, warmUp);
+        this.startedAt = startedAt;
+        this.coldCapacityShare = coldCapacityShare;
+        this.warmUpTime = Math.max(1, warmUpTime);
     }
 
-    /** The part of its work that it can do now: 1 once it is warm. */
+    /** The share of the full capacity that is available now: 1 once it is warm. */
     double capacity(long now) {
-        if (since <= 0 || now - since >= warmUp) {
+        if (startedAt <= 0 || now - startedAt >= warmUpTime) {
             return 1;
         }
-        return coldFrom + (1 - coldFrom) * (now - since) / warmUp;
+        return coldCapacityShare + (1 - coldCapacityShare) * (now - startedAt) / warmUpTime;
     }
 
-    boolean cold(long now) {
+    boolean isCold(long now) {
         return capacity(now) < 1;
     }
 
-    long queued(long now) {
+    /** How long work enqueued now would wait before it is served. */
+    long queueingDelay(long now) {
         return Math.max(0, busyUntil - now);
     }
 
-    void work(long now, long cost, Timers.Task then) {
+    /** Enqueues work of {@code cost} µs at full capacity; {@code whenDone} runs when it is done. */
+    void enqueue(long now, long cost, Timers.Task whenDone) {
         if (hung) {
             return;
         }
-        long takes = (long) Math.ceil(cost * slow / capacity(now));
-        worked += takes;
-        busyUntil = Math.max(now, busyUntil) + takes;
-        timers.set(busyUntil, then);
+        long serviceTime = (long) Math.ceil(cost * slowdownFactor / capacity(now));
+        busyTime += serviceTime;
+        busyUntil = Math.max(now, busyUntil) + serviceTime;
+        timers.set(busyUntil, whenDone);
     }
 
+    /** Serves nothing before {@code until}. */
     void stall(long now, long until) {
         busyUntil = Math.max(Math.max(now, busyUntil), until);
     }
 
-    void slow(double factor) {
-        slow = factor;
+    /** Multiplies the service time of work enqueued from now on. */
+    void slowDown(double factor) {
+        slowdownFactor = factor;
     }
 
-    /** Takes everything and does nothing of it. */
-    void hang(boolean on) {
-        hung = on;
+    /** While hung, work is accepted but never done. */
+    void setHung(boolean isHung) {
+        hung = isHung;
     }
 
-    long worked() {
-        return worked;
+    /** Total service time of all work accepted so far. */
+    long busyTime() {
+        return busyTime;
     }
 
-    static void nothing(long now, Out out) {
-        // Work whose end nobody waits for.
+    /** For work after which nothing happens. */
+    static void noAction(long now, Out out) {
+        // Nothing follows.
     }
 }
--- a/src/main/java/coralcove/exchange/Stats.java
+++ b/src/main/java/coralcove/exchange/Stats.java
@@ -4,77 +4,107 @@
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
 
-/** What the callers of one exchange saw; kept outside the stand-in, so that it outlives a death. */
+/**
+ * What the callers of one simulated exchange experienced. Kept outside the exchange, so that it
+ * survives the exchange's crash.
+ */
 public final class Stats {
-    private static final long LONGEST = 60_000_000;
+    /** The longest delay that the histogram distinguishes. */
+    private static final long MAX_SET_UP_US = 60_000_000;
 
+    /** INVITEs sent to the call router. */
     public long sessions;
+
     public long finalAnswers;
+
+    /** Calls that were established. */
     public long stood;
+
     public long busyReplied;
     public long terminated;
+
+    /** Attempts that the caller abandoned before a final answer. */
     public long gaveUp;
+
+    /** Attempts rejected by the local exchange because its processor was overloaded. */
     public long turnedAway;
+
+    /** Established calls that were cut off before the caller hung up. */
     public long cut;
+
+    /** Value of the calls that were established, without those cut off. */
     public double valueServed;
 
-    /** µs from a caller's try to its call standing, as it saw it. */
-    public final Histogram setUp = new Histogram(LONGEST, 3);
+    /** µs from an attempt to the established call, as seen by the caller. */
+    public final Histogram setUp = new Histogram(MAX_SET_UP_US, 3);
 
-    /**
-     * Value served by service, and by the second of the callers' first tries (of all time, so that
-     * days can be laid beside).
-     */
+    /** Value served, by service. */
     public final Map<Integer, Double> servedByService = new TreeMap<>();
 
+    /** Value served, by the second of the caller's first attempt. */
     public final Map<Long, Double> servedBySecond = new TreeMap<>();
 
-    /** Calls that stood, by service and the second of the caller's first try. */
-    private final Map<Integer, TreeMap<Long, Integer>> standing = new TreeMap<>();
+    /** Established calls, by service and the second of the caller's first attempt. */
+    private final Map<Integer, TreeMap<Long, Integer>> establishedBySecond = new TreeMap<>();
 
     /**
-     * Value not served by what became of the caller's last try; {@link #LATE} and {@link #CUT} are
-     * parts of calls that stood.
+     * Value not served, by the outcome of the caller's last attempt; {@link #LATE} and {@link
+     * #CUT_OFF} are shares of established calls.
      */
     public final Map<String, Double> lost = new TreeMap<>();
 
     public static final String LATE = "late";
-    public static final String CUT = "cut";
-    private static final long SECOND = 1_000_000;
+    public static final String CUT_OFF = "cut";
+    private static final long MICROS_PER_SECOND = 1_000_000;
 
-    /** A call stood, or ({@code value} below 0) what it had earned is lost again. */
-    void served(Arrival arrival, double value) {
+    /**
+     * Adds the value of an established call; a negative value takes it back when the call is cut
+     * off.
+     */
+    void addServedValue(Arrival arrival, double value) {
         valueServed += value;
         servedByService.merge(arrival.service(), value, Double::sum);
-        servedBySecond.merge(arrival.at() / SECOND, value, Double::sum);
+        servedBySecond.merge(arrival.at() / MICROS_PER_SECOND, value, Double::sum);
     }
 
-    void stands(Arrival arrival) {
+    /** Counts an established call. */
+    void callEstablished(Arrival arrival) {
         stood++;
-        standing.computeIfAbsent(arrival.service(), s -> new TreeMap<>())
-                .merge(arrival.at() / SECOND, 1, Integer::sum);
+        establishedBySecond
+                .computeIfAbsent(arrival.service(), s -> new TreeMap<>())
+                .merge(arrival.at() / MICROS_PER_SECOND, 1, Integer::sum);
     }
 
-    /** Calls of a service that stood whose callers first tried in second {@code from} or later. */
+    /**
+     * Established calls of a service whose callers made their first attempt in second {@code from}
+     * or later.
+     */
     public long standing(int service, long from) {
-        return standing.getOrDefault(service, new TreeMap<>()).tailMap(from).values().stream()
+        return establishedBySecond
+                .getOrDefault(service, new TreeMap<>())
+                .tailMap(from)
+                .values()
+                .stream()
                 .mapToLong(n -> n)
                 .sum();
     }
 
-    void lost(String why, double value) {
-        lost.merge(why, value, Double::sum);
+    /** Adds value lost for a reason. */
+    void addLostValue(String reason, double value) {
+        lost.merge(reason, value, Double::sum);
     }
 
+    /** Adds all figures of another exchange. */
     public void add(Stats other) {
         other.servedByService.forEach(
                 (key, value) -> servedByService.merge(key, value, Double::sum));
         other.servedBySecond.forEach((key, value) -> servedBySecond.merge(key, value, Double::sum));
-        other.standing.forEach(
+        other.establishedBySecond.forEach(
                 (service, seconds) ->
                         seconds.forEach(
                                 (second, count) ->
-                                        standing.computeIfAbsent(service, s -> new TreeMap<>())
+                                        establishedBySecond
+                                                .computeIfAbsent(service, s -> new TreeMap<>())
                                                 .merge(second, count, Integer::sum)));
         other.lost.forEach((key, value) -> lost.merge(key, value, Double::sum));
         sessions += other.sessions;
--- a/src/test/java/coralcove/exchange/ProcessorTest.java
+++ b/src/test/java/coralcove/exchange/ProcessorTest.java
@@ -8,28 +8,30 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** A stand-in's processor against the wait of a single server (Pollaczek-Khinchine). */
+/**
+ * Compares the simulated processor's queueing delay with the M/G/1 formula (Pollaczek-Khinchine).
+ */
 class ProcessorTest {
     @Test
-    void waitsAsOneServerDoes() {
-        for (double use : new double[] {0.3, 0.6, 0.85}) {
-            SplittableRandom chance = new SplittableRandom(7);
+    void meanWaitMatchesTheSingleServerQueue() {
+        for (double utilization : new double[] {0.3, 0.6, 0.85}) {
+            SplittableRandom random = new SplittableRandom(7);
             Processor processor = new Processor(new Timers(), 0, 1, 1);
-            // Three kinds of work, 300, 1,000 and 4,000 µs.
-            long[] costs = {300, 1000, 4000};
+            // Three service times, in µs.
+            long[] serviceTimes = {300, 1000, 4000};
             double mean = (300 + 1000 + 4000) / 3.0;
-            double square = (300.0 * 300 + 1000.0 * 1000 + 4000.0 * 4000) / 3;
-            double rate = use / mean;
+            double meanSquare = (300.0 * 300 + 1000.0 * 1000 + 4000.0 * 4000) / 3;
+            double rate = utilization / mean;
             long now = 1;
-            double waited = 0;
-            int count = 400_000;
-            for (int i = 0; i < count; i++) {
-                now += Math.max(1, Math.round(-Math.log(1 - chance.nextDouble()) / rate));
-                waited += processor.queued(now);
-                processor.work(now, costs[chance.nextInt(3)], Processor::nothing);
+            double totalWait = 0;
+            int arrivals = 400_000;
+            for (int i = 0; i < arrivals; i++) {
+                now += Math.max(1, Math.round(-Math.log(1 - random.nextDouble()) / rate));
+                totalWait += processor.queueingDelay(now);
+                processor.enqueue(now, serviceTimes[random.nextInt(3)], Processor::noAction);
             }
-            double theory = Queue.wait(rate, mean, square);
-            assertThat(waited / count).isCloseTo(theory, within(0.04 * theory));
+            double expected = Queue.wait(rate, mean, meanSquare);
+            assertThat(totalWait / arrivals).isCloseTo(expected, within(0.04 * expected));
         }
     }
 }
