--- a/src/main/java/coralcove/directory/DirectoryCore.java
+++ b/src/main/java/coralcove/directory/DirectoryCore.java
@@ -13,80 +13,91 @@
 import java.util.Map;
 
 /**
- * The stand-in exchange directory: exchanges register with it, routers subscribe to it, and its
- * news is late. It knows only whether a processor runs. Its epoch is drawn at its start; until it
- * has been up for longer than a silence it says of its lists that they are learning, since it
- * cannot know who is missing.
+ * The simulated exchange directory: exchanges register with it, routers subscribe to it, and its
+ * notifications are delayed. It knows only whether a processor is running. Its epoch is new at each
+ * start; until it has been up for longer than the silence time-out it marks its lists as learning,
+ * because it cannot know which exchanges are missing.
  */
 public final class DirectoryCore extends CallFreeCore {
-    /** Its settings in µs: how late news of a drain or an end, of silence, and of a start is. */
-    public record Late(long notice, long silence, long add) {}
-
-    /** Exchanges it lists at most; a REGISTER past that is answered 503. */
-    private static final int MOST = 10_000;
-
-    /** µs past a silence until it knows all that run: two of their signs of life. */
-    private static final long LEARNT_AFTER = 2_000_000;
-
-    private static final class Entry {
+    /**
+     * Delays in µs until subscribers are notified: {@code drainOrLeave} after an exchange announced
+     * it, {@code silenceTimeout} after the last REGISTER of a silent exchange, and {@code addition}
+     * after a start.
+     */
+    public record Late(long drainOrLeave, long silenceTimeout, long addition) {}
+
+    /** Exchanges listed; a REGISTER past that is answered 503. */
+    private static final int MAX_EXCHANGES = 10_000;
+
+    /**
+     * Time after the silence time-out until all running exchanges are known: two REGISTER
+     * intervals.
+     */
+    private static final long LEARNING_MARGIN_US = 2_000_000;
+
+    /** What an exchange registered, and what subscribers were last notified of. */
+    private static final class RegisteredExchange {
         final long id;
         int number;
-        long start = -1;
-        long beat;
+        long startNumber = -1;
+        long heartbeat;
         String phase = "";
 
-        /** On this clock; {@link Listing#LONG_AGO} for long ago. */
-        long since;
+        /** When it was started, by the directory's clock; {@link Listing#LONG_AGO} if long ago. */
+        long startedAt;
 
         String address = "";
-        long heard;
-        long toldStart = -1;
-        String toldPhase = "";
-        String toldAddress = "";
+        long lastHeardAt;
+        long notifiedStartNumber = -1;
+        String notifiedPhase = "";
+        String notifiedAddress = "";
 
-        Entry(long id) {
+        RegisteredExchange(long id) {
             this.id = id;
         }
 
-        String line(long now) {
+        /** The exchange's line in a list, as subscribers know it. */
+        String format(long now) {
             return ListingText.text(
                     id,
                     number,
-                    toldPhase,
-                    toldStart,
-                    start == toldStart ? beat : 0,
-                    since == Listing.LONG_AGO ? since : Math.max(0, now - since),
-                    toldAddress);
+                    notifiedPhase,
+                    notifiedStartNumber,
+                    startNumber == notifiedStartNumber ? heartbeat : 0,
+                    startedAt == Listing.LONG_AGO ? startedAt : Math.max(0, now - startedAt),
+                    notifiedAddress);
         }
     }
 
-    private final Hop self;
-    private final Late late;
+    private final Hop address;
+    private final Late delays;
     private final String epoch;
     private final Notifier notifier;
-    private final Map<Long, Entry> entries = new LinkedHashMap<>();
+    private final Map<Long, RegisteredExchange> exchanges = new LinkedHashMap<>();
     private long version = 1;
     private boolean learning = true;
 
-    /** {@code start} is its epoch too: small letters and digits, unlike any other start's. */
-    public DirectoryCore(Hop self, Late late, String start) {
-        super(self, start);
-        this.self = self;
-        this.late = late;
-        epoch = start;
-        notifier = new Notifier(agent, timers, "exchanges", start, this::state);
+    /**
+     * {@code startTag} is also the epoch: lower-case letters and digits, different for each start.
+     */
+    public DirectoryCore(Hop address, Late delays, String startTag) {
+        super(address, startTag);
+        this.address = address;
+        this.delays = delays;
+        epoch = startTag;
+        notifier = new Notifier(agent, timers, "exchanges", startTag, this::state);
     }
 
     @Override
     public void start(long now, Out out) {
-        out.log("directory", "", self + " epoch " + epoch);
-        timers.set(now + late.silence + LEARNT_AFTER, this::learnt);
+        out.log("directory", "", address + " epoch " + epoch);
+        timers.set(now + delays.silenceTimeout + LEARNING_MARGIN_US, this::endLearning);
     }
 
-    private void learnt(long now, Out out) {
+    private void endLearning(long now, Out out) {
         learning = false;
         version++;
-        out.log("learnt", "", entries.size() + " exchanges");
+        out.log("learnt", "", exchanges.size() + " exchanges");
         Notifier.State state = state(now);
         notifier.changed(now, state.tag(), state.text(), out);
     }
@@ -99,13 +110,16 @@
                                 version,
                                 learning ? Listing.Kind.LEARNING : Listing.Kind.WHOLE,
                                 0));
-        entries.values().stream()
-                .filter(e -> e.toldPhase.equals("ready") || e.toldPhase.equals("draining"))
-                .forEach(e -> body.append(e.line(now)).append('\n'));
-        return new Notifier.State(tag(), body.toString());
+        exchanges.values().stream()
+                .filter(
+                        each ->
+                                each.notifiedPhase.equals("ready")
+                                        || each.notifiedPhase.equals("draining"))
+                .forEach(each -> body.append(each.format(now)).append('\n'));
+        return new Notifier.State(versionTag(), body.toString());
     }
 
-    private String tag() {
+    private String versionTag() {
         return epoch + "." + version;
     }
 
@@ -119,7 +133,10 @@
         }
     }
 
-    /** X-Exchange: a line as it tells them; an exchange says ready, draining or left of itself. */
+    /**
+     * Handles a REGISTER, whose X-Exchange header has the format of a list's line; an exchange
+     * reports itself as ready, draining or left.
+     */
     private void register(long now, ServerTx tx, Out out) {
         Listing.Line line;
         try {
@@ -128,93 +145,97 @@
             agent.respond(now, tx, agent.reply(tx, 400, "Bad Request"), out);
             return;
         }
-        if (line.life().silent() || entries.size() >= MOST && !entries.containsKey(line.id())) {
+        if (line.life().silent()
+                || exchanges.size() >= MAX_EXCHANGES && !exchanges.containsKey(line.id())) {
             agent.respond(
                     now, tx, agent.reply(tx, line.life().silent() ? 400 : 503, "Not taken"), out);
             return;
         }
-        Entry entry = entries.computeIfAbsent(line.id(), Entry::new);
+        RegisteredExchange exchange = exchanges.computeIfAbsent(line.id(), RegisteredExchange::new);
         SipMessage reply = agent.reply(tx, 200, "OK");
-        boolean over =
-                line.life().start() < entry.start
-                        || line.life().start() == entry.start
-                                && entry.phase.equals("left")
+        boolean outdated =
+                line.life().start() < exchange.startNumber
+                        || line.life().start() == exchange.startNumber
+                                && exchange.phase.equals("left")
                                 && !line.life().left();
-        if (over) {
-            // Its clock went back, or it said farewell: it must take a newer number of its start to
-            // be believed.
-            reply.add("X-Start", Long.toString(entry.start));
+        if (outdated) {
+            // Its clock went back, or it had left: it must register with a higher start number.
+            reply.add("X-Start", Long.toString(exchange.startNumber));
         }
         agent.respond(now, tx, reply, out);
-        if (!over) {
-            heard(now, entry, line);
+        if (!outdated) {
+            applyRegistration(now, exchange, line);
         }
     }
 
-    private void heard(long now, Entry entry, Listing.Line line) {
-        boolean first = entry.start < 0;
-        boolean newer = line.life().start() > entry.start;
-        if (!newer && line.life().beat() <= entry.beat) {
-            // Doubled or late on its way.
+    private void applyRegistration(long now, RegisteredExchange exchange, Listing.Line line) {
+        boolean first = exchange.startNumber < 0;
+        boolean newer = line.life().start() > exchange.startNumber;
+        if (!newer && line.life().beat() <= exchange.heartbeat) {
+            // A duplicate, or delayed in the network.
             return;
         }
         String phase = line.life().left() ? "left" : line.life().drains() ? "draining" : "ready";
-        boolean news =
-                newer || !phase.equals(entry.phase) || !line.life().address().equals(entry.address);
+        boolean changed =
+                newer
+                        || !phase.equals(exchange.phase)
+                        || !line.life().address().equals(exchange.address);
         if (newer) {
-            entry.start = line.life().start();
-            entry.since = line.age() == Listing.LONG_AGO ? line.age() : now - line.age();
+            exchange.startNumber = line.life().start();
+            exchange.startedAt = line.age() == Listing.LONG_AGO ? line.age() : now - line.age();
         }
-        entry.number = line.life().number();
-        entry.beat = line.life().beat();
-        entry.phase = phase;
-        entry.address = line.life().address();
-        entry.heard = now;
-        if (news) {
-            // The network's first lists are there from the start; what starts later is news, and
-            // late.
+        exchange.number = line.life().number();
+        exchange.heartbeat = line.life().beat();
+        exchange.phase = phase;
+        exchange.address = line.life().address();
+        exchange.lastHeardAt = now;
+        if (changed) {
+            // Exchanges of the initial network are listed at once, later starts only after a delay.
             long wait =
                     first && line.age() == Listing.LONG_AGO
                             ? 0
-                            : phase.equals("ready") ? late.add : late.notice;
-            long start = entry.start;
-            timers.set(now + wait, (at, o) -> tell(at, entry, start, phase, o));
+                            : phase.equals("ready") ? delays.addition : delays.drainOrLeave;
+            long startNumber = exchange.startNumber;
+            timers.set(now + wait, (at, o) -> notifyChange(at, exchange, startNumber, phase, o));
         }
-        timers.set(now + late.silence, (at, o) -> silent(at, entry, o));
+        timers.set(now + delays.silenceTimeout, (at, o) -> checkSilence(at, exchange, o));
     }
 
-    private void silent(long now, Entry entry, Out out) {
-        if (now - entry.heard >= late.silence
-                && !entry.phase.equals("left")
-                && !entry.phase.equals("silent")) {
-            entry.phase = "silent";
-            tell(now, entry, entry.start, entry.phase, out);
+    private void checkSilence(long now, RegisteredExchange exchange, Out out) {
+        if (now - exchange.lastHeardAt >= delays.silenceTimeout
+                && !exchange.phase.equals("left")
+                && !exchange.phase.equals("silent")) {
+            exchange.phase = "silent";
+            notifyChange(now, exchange, exchange.startNumber, exchange.phase, out);
         }
     }
 
-    private void tell(long now, Entry entry, long start, String phase, Out out) {
-        if (start < entry.toldStart
-                || start == entry.toldStart
-                        && phase.equals(entry.toldPhase)
-                        && entry.address.equals(entry.toldAddress)) {
+    private void notifyChange(
+            long now, RegisteredExchange exchange, long startNumber, String phase, Out out) {
+        if (startNumber < exchange.notifiedStartNumber
+                || startNumber == exchange.notifiedStartNumber
+                        && phase.equals(exchange.notifiedPhase)
+                        && exchange.address.equals(exchange.notifiedAddress)) {
             return;
         }
-        entry.toldStart = start;
-        entry.toldPhase = phase;
-        entry.toldAddress = entry.address;
-        long before = version++;
-        String line = entry.line(now);
+        exchange.notifiedStartNumber = startNumber;
+        exchange.notifiedPhase = phase;
+        exchange.notifiedAddress = exchange.address;
+        long previousVersion = version++;
+        String line = exchange.format(now);
         out.log("change", "", line);
         notifier.changed(
                 now,
-                tag(),
-                ListingText.head(epoch, version, Listing.Kind.CHANGES, before) + line + "\n",
+                versionTag(),
+                ListingText.head(epoch, version, Listing.Kind.CHANGES, previousVersion)
+                        + line
+                        + "\n",
                 out);
     }
 
     @Override
     public void replied(long now, ClientTx tx, SipMessage response, Out out) {
-        // A router that missed a change sees the gap at the next one and asks anew.
+        // A router that missed a change notices the gap at the next one and subscribes again.
         notifier.replied(tx, response);
     }
 }
--- a/src/main/java/coralcove/directory/DirectoryFile.java
+++ b/src/main/java/coralcove/directory/DirectoryFile.java
@@ -5,8 +5,9 @@
 import coralcove.config.Toml;
 import coralcove.sip.Hop;
 
-/** Reads the stand-in directory's settings file. */
+/** The settings file of the simulated directory. */
 public record DirectoryFile(Hop listen, DirectoryCore.Late late) {
+    /** Reads a settings file. */
     public static DirectoryFile of(Toml toml) throws BadConfig {
         Toml.Table directory = toml.table("directory");
         DirectoryFile file =
