--- a/src/main/java/coralcove/numbers/NumberTable.java
+++ b/src/main/java/coralcove/numbers/NumberTable.java
@@ -51,12 +51,13 @@
      * Indexed by the trie's values; entries from {@link #destinationsEnd} on belong to newer
      * tables.
      */
-    private final Destination[] destinations;
+    private final Destination[] destinationsByValue;
 
     private final int destinationsEnd;
 
     /**
-     * {@code destinations} is indexed by the trie's values, from 1 to {@code destinationsEnd - 1}.
+     * {@code destinations} is indexed by the trie's values; those below {@code destinationsEnd}
+     * belong to this table.
      */
     public NumberTable(
             long version,
@@ -69,7 +70,7 @@
         this.rules = rules;
         this.calendars = calendars;
         this.trie = trie;
-        this.destinations = destinations;
+        this.destinationsByValue = destinations;
         this.destinationsEnd = destinationsEnd;
     }
 
@@ -96,7 +97,7 @@
 
     /** The destination that belongs to a value of the trie. */
     public Destination destination(int value) {
-        return destinations[value];
+        return destinationsByValue[value];
     }
 
     /** The rule that applies to a dialled string, null if none does. */
@@ -155,7 +156,7 @@
         // Copied rather than appended to the shared array: a few thousand references at most,
         // unless nearly every prefix has a destination of its own.
         Destination[] newDestinations =
-                Arrays.copyOf(destinations, destinationsEnd + changes.size());
+                Arrays.copyOf(destinationsByValue, destinationsEnd + changes.size());
         int used = destinationsEnd;
         for (Change change : changes) {
             if (change.destination == null) {
--- a/src/main/java/coralcove/numbers/Search.java
+++ b/src/main/java/coralcove/numbers/Search.java
@@ -247,8 +247,8 @@
         return result;
     }
 
-    private Step reject(int status, String reason, String explanation) {
-        this.explanation.add(() -> explanation + ": " + status);
+    private Step reject(int status, String reason, String detail) {
+        explanation.add(() -> detail + ": " + status);
         result = new Refused(status, reason, "");
         return result;
     }
--- a/src/test/java/coralcove/numbers/file/TableFileWatcherTest.java
+++ b/src/test/java/coralcove/numbers/file/TableFileWatcherTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-class TableWatchTest {
+class TableFileWatcherTest {
     private long lastModified = 1_000_000;
 
     private void write(Path path, String text) throws Exception {
