--- a/src/main/java/coralcove/dns/BadDns.java
+++ b/src/main/java/coralcove/dns/BadDns.java
@@ -1,6 +1,6 @@
 package coralcove.dns;
 
-/** Bytes that are no DNS message; the message says why. */
+/** Thrown for bytes that are not a valid DNS message or record; the message gives the reason. */
 public final class BadDns extends Exception {
     private static final long serialVersionUID = 1;
 
--- a/src/main/java/coralcove/dns/DnsMessage.java
+++ b/src/main/java/coralcove/dns/DnsMessage.java
@@ -8,22 +8,23 @@
 import java.util.Locale;
 
 /**
- * A DNS message (RFC 1035 section 4), read and written. Names are kept as text in lower case
- * without the last dot; only what a stub resolver looks at is understood, other record data stays
- * bytes.
+ * A DNS message (RFC 1035 section 4) with its encoder and decoder. Names are held as text in lower
+ * case without the final dot. Only the fields that a stub resolver needs are decoded; the data of
+ * most records remains bytes. {@code questionName} and {@code questionType} are the single entry of
+ * the question section.
  */
 public record DnsMessage(
         int id,
         boolean response,
         boolean truncated,
-        int code,
-        String name,
-        int type,
-        List<Resource> answers,
-        List<Resource> authority,
-        List<Resource> additional) {
-    /** One record; {@code life} in seconds. */
-    public record Resource(String name, int type, long life, byte[] data) {}
+        int responseCode,
+        String questionName,
+        int questionType,
+        List<ResourceRecord> answers,
+        List<ResourceRecord> authority,
+        List<ResourceRecord> additional) {
+    /** A resource record; {@code ttl} in seconds. Names in the data are not compressed. */
+    public record ResourceRecord(String name, int type, long ttl, byte[] data) {}
 
     public static final int SOA = 6;
     public static final int CNAME = 5;
@@ -33,25 +34,25 @@
     public static final int NAPTR = 35;
     public static final int NO_ERROR = 0;
     public static final int SERVER_FAILURE = 2;
-    public static final int NO_SUCH_NAME = 3;
-    private static final int INTERNET = 1;
+    public static final int NAME_ERROR = 3;
+    private static final int CLASS_IN = 1;
 
-    /** Octets of a name and of a label at most (RFC 1035 section 2.3.4). */
-    private static final int LONGEST_NAME = 255;
+    /** Limits on the octets of a name and of a label (RFC 1035 section 2.3.4). */
+    private static final int MAX_NAME_LENGTH = 255;
 
-    private static final int LONGEST_LABEL = 63;
+    private static final int MAX_LABEL_LENGTH = 63;
 
     /**
-     * Records read of one message at most: past it the message is taken for an attack on the
-     * reader.
+     * Maximum number of records in a message; a message with more is treated as an attack and
+     * rejected.
      */
-    private static final int MOST_RECORDS = 400;
+    private static final int MAX_RECORDS = 400;
 
-    /** Seconds: lives with the top bit set count as 0 (RFC 2181 section 8). */
-    private static final long LIFE_MOST = 0x7fff_ffffL;
+    /** TTLs with the top bit set count as 0 (RFC 2181 section 8). */
+    private static final long MAX_TTL_SECONDS = 0x7fff_ffffL;
 
-    /** A question, recursion desired. */
-    public static DnsMessage question(int id, String name, int type) {
+    /** A query with recursion desired. */
+    public static DnsMessage query(int id, String name, int type) {
         return new DnsMessage(
                 id,
                 false,
@@ -64,52 +65,79 @@
                 List.of());
     }
 
-    /** The answer to this question. */
-    public DnsMessage answer(
-            int withCode, List<Resource> withAnswers, List<Resource> withAuthority) {
+    /** A response to this query. */
+    public DnsMessage reply(
+            int replyCode, List<ResourceRecord> replyAnswers, List<ResourceRecord> replyAuthority) {
         return new DnsMessage(
-                id, true, false, withCode, name, type, withAnswers, withAuthority, List.of());
+                id,
+                true,
+                false,
+                replyCode,
+                questionName,
+                questionType,
+                replyAnswers,
+                replyAuthority,
+                List.of());
     }
 
-    /** The same with these beside. */
-    public DnsMessage with(List<Resource> beside) {
+    /** A copy of this message with these records in its additional section. */
+    public DnsMessage withAdditional(List<ResourceRecord> additionalRecords) {
         return new DnsMessage(
-                id, response, truncated, code, name, type, answers, authority, beside);
+                id,
+                response,
+                truncated,
+                responseCode,
+                questionName,
+                questionType,
+                answers,
+                authority,
+                additionalRecords);
     }
 
-    /** The same without records, to be asked again over TCP (RFC 1035 section 4.2.1). */
-    public DnsMessage cut() {
-        return new DnsMessage(id, true, true, code, name, type, List.of(), List.of(), List.of());
+    /**
+     * A truncated response without records, which makes the client query again over TCP (RFC 1035
+     * section 4.2.1).
+     */
+    public DnsMessage asTruncated() {
+        return new DnsMessage(
+                id,
+                true,
+                true,
+                responseCode,
+                questionName,
+                questionType,
+                List.of(),
+                List.of(),
+                List.of());
     }
 
-    // ---- written
-
-    public byte[] bytes() {
+    /** The wire format of this message. Names are not compressed. */
+    public byte[] encode() {
         Writer out = new Writer();
-        out.two(id);
-        out.two(
+        out.uint16(id);
+        out.uint16(
                 (response ? 0x8000 : 0)
                         | (truncated ? 0x0200 : 0)
                         | 0x0100
                         | (response ? 0x0080 : 0)
-                        | code);
-        out.two(1);
-        out.two(answers.size());
-        out.two(authority.size());
-        out.two(additional.size());
-        out.name(name);
-        out.two(type);
-        out.two(INTERNET);
-        answers.forEach(out::resource);
-        authority.forEach(out::resource);
-        additional.forEach(out::resource);
+                        | responseCode);
+        out.uint16(1);
+        out.uint16(answers.size());
+        out.uint16(authority.size());
+        out.uint16(additional.size());
+        out.name(questionName);
+        out.uint16(questionType);
+        out.uint16(CLASS_IN);
+        answers.forEach(out::resourceRecord);
+        authority.forEach(out::resourceRecord);
+        additional.forEach(out::resourceRecord);
         return out.bytes.toByteArray();
     }
 
     private static final class Writer {
         final ByteArrayOutputStream bytes = new ByteArrayOutputStream(128);
 
-        void two(int value) {
+        void uint16(int value) {
             bytes.write(value >> 8);
             bytes.write(value);
         }
@@ -123,37 +151,36 @@
             bytes.write(0);
         }
 
-        void resource(Resource it) {
-            name(it.name);
-            two(it.type);
-            two(INTERNET);
-            two((int) (it.life >> 16));
-            two((int) it.life);
-            two(it.data.length);
-            bytes.writeBytes(it.data);
+        void resourceRecord(ResourceRecord resource) {
+            name(resource.name);
+            uint16(resource.type);
+            uint16(CLASS_IN);
+            uint16((int) (resource.ttl >> 16));
+            uint16((int) resource.ttl);
+            uint16(resource.data.length);
+            bytes.writeBytes(resource.data);
         }
     }
 
-    // ---- read
-
-    public static DnsMessage read(byte[] bytes) throws BadDns {
+    /** Decodes a message of one question of class IN. */
+    public static DnsMessage decode(byte[] bytes) throws BadDns {
         Reader in = new Reader(bytes);
-        int id = in.two();
-        int flags = in.two();
-        int questions = in.two();
-        int answers = in.two();
-        int authority = in.two();
-        int additional = in.two();
+        int id = in.uint16();
+        int flags = in.uint16();
+        int questions = in.uint16();
+        int answers = in.uint16();
+        int authority = in.uint16();
+        int additional = in.uint16();
         if (questions != 1) {
-            throw new BadDns(questions + " questions");
+            throw new BadDns("message with " + questions + " questions");
         }
-        if (answers + authority + additional > MOST_RECORDS) {
-            throw new BadDns(answers + authority + additional + " records");
+        if (answers + authority + additional > MAX_RECORDS) {
+            throw new BadDns("message with " + (answers + authority + additional) + " records");
         }
         String name = in.name();
-        int type = in.two();
-        if (in.two() != INTERNET) {
-            throw new BadDns("a class that is not IN");
+        int type = in.uint16();
+        if (in.uint16() != CLASS_IN) {
+            throw new BadDns("question class is not IN");
         }
         return new DnsMessage(
                 id,
@@ -162,142 +189,147 @@
                 flags & 15,
                 name,
                 type,
-                in.resources(answers),
-                in.resources(authority),
-                in.resources(additional));
+                in.resourceRecords(answers),
+                in.resourceRecords(authority),
+                in.resourceRecords(additional));
     }
 
     private static final class Reader {
         private final byte[] bytes;
-        private int at;
+        private int position;
 
         Reader(byte[] bytes) {
             this.bytes = bytes;
         }
 
-        int one() throws BadDns {
-            if (at >= bytes.length) {
-                throw new BadDns("cut short at byte " + at);
+        int uint8() throws BadDns {
+            if (position >= bytes.length) {
+                throw new BadDns("message truncated at byte " + position);
             }
-            return bytes[at++] & 255;
+            return bytes[position++] & 255;
         }
 
-        int two() throws BadDns {
-            return one() << 8 | one();
+        int uint16() throws BadDns {
+            return uint8() << 8 | uint8();
         }
 
         /**
-         * A name; a pointer leads only to what stands before it, so that none goes round in a
-         * circle.
+         * Reads a name. A compression pointer must point before the start of the name or the
+         * previous pointer target, so that pointers cannot form a loop.
          */
         String name() throws BadDns {
             StringBuilder name = new StringBuilder();
-            int back = -1;
-            int before = at;
+            int endOfName = -1;
+            int lowestPosition = position;
             while (true) {
-                int length = one();
+                int length = uint8();
                 if (length == 0) {
                     break;
                 }
                 if (length >= 0xc0) {
-                    int to = (length & 0x3f) << 8 | one();
-                    if (to >= before) {
-                        throw new BadDns("a pointer to byte " + to + " that is not before it");
+                    int target = (length & 0x3f) << 8 | uint8();
+                    if (target >= lowestPosition) {
+                        throw new BadDns(
+                                "compression pointer to byte "
+                                        + target
+                                        + " does not point backwards");
                     }
-                    back = back < 0 ? at : back;
-                    before = to;
-                    at = to;
+                    endOfName = endOfName < 0 ? position : endOfName;
+                    lowestPosition = target;
+                    position = target;
                     continue;
                 }
-                if (length > LONGEST_LABEL || at + length > bytes.length) {
-                    throw new BadDns("a label of " + length + " bytes at byte " + at);
+                if (length > MAX_LABEL_LENGTH || position + length > bytes.length) {
+                    throw new BadDns(
+                            "label of " + length + " bytes at byte " + position + " is too long");
                 }
-                if (name.length() + length + 1 > LONGEST_NAME) {
-                    throw new BadDns("a name of more than " + LONGEST_NAME + " bytes");
+                if (name.length() + length + 1 > MAX_NAME_LENGTH) {
+                    throw new BadDns("name longer than " + MAX_NAME_LENGTH + " bytes");
                 }
                 name.append(name.length() == 0 ? "" : ".");
                 name.append(
-                        new String(bytes, at, length, StandardCharsets.ISO_8859_1)
+                        new String(bytes, position, length, StandardCharsets.ISO_8859_1)
                                 .toLowerCase(Locale.ROOT));
-                at += length;
+                position += length;
             }
-            at = back < 0 ? at : back;
+            position = endOfName < 0 ? position : endOfName;
             return name.toString();
         }
 
-        /** Record data; names in it that may point back into the message are written out. */
-        byte[] data(int type, int length) throws BadDns {
-            int end = at + length;
-            int before = type == SRV ? 6 : 0;
-            if (type != CNAME && type != SRV || length < before + 1) {
-                byte[] data = Arrays.copyOfRange(bytes, at, end);
-                at = end;
+        /** Reads record data; compressed names in it are expanded. */
+        byte[] recordData(int type, int length) throws BadDns {
+            int end = position + length;
+            int nameOffset = type == SRV ? 6 : 0;
+            if (type != CNAME && type != SRV || length < nameOffset + 1) {
+                byte[] data = Arrays.copyOfRange(bytes, position, end);
+                position = end;
                 return data;
             }
-            byte[] head = Arrays.copyOfRange(bytes, at, at + before);
-            at += before;
-            byte[] name = plainName(name());
-            if (at != end) {
+            byte[] fixedFields = Arrays.copyOfRange(bytes, position, position + nameOffset);
+            position += nameOffset;
+            byte[] name = uncompressedName(name());
+            if (position != end) {
                 throw new BadDns(
-                        "record data of "
+                        "name in record data of "
                                 + length
-                                + " bytes that ends "
-                                + (at - end)
-                                + " past its length");
+                                + " bytes ends "
+                                + (position - end)
+                                + " bytes past its end");
             }
-            byte[] data = Arrays.copyOf(head, before + name.length);
-            System.arraycopy(name, 0, data, before, name.length);
+            byte[] data = Arrays.copyOf(fixedFields, nameOffset + name.length);
+            System.arraycopy(name, 0, data, nameOffset, name.length);
             return data;
         }
 
-        List<Resource> resources(int count) throws BadDns {
-            List<Resource> list = new ArrayList<>(count);
+        List<ResourceRecord> resourceRecords(int count) throws BadDns {
+            List<ResourceRecord> records = new ArrayList<>(count);
             for (int i = 0; i < count; i++) {
                 String name = name();
-                int type = two();
-                two();
-                long life = (long) two() << 16 | two();
-                int length = two();
-                if (at + length > bytes.length) {
+                int type = uint16();
+                uint16();
+                long ttl = (long) uint16() << 16 | uint16();
+                int length = uint16();
+                if (position + length > bytes.length) {
                     throw new BadDns(
                             "record data of "
                                     + length
-                                    + " bytes where "
-                                    + (bytes.length - at)
-                                    + " are left");
+                                    + " bytes exceeds the remaining "
+                                    + (bytes.length - position)
+                                    + " bytes");
                 }
-                byte[] data = data(type, length);
-                list.add(new Resource(name, type, life > LIFE_MOST ? 0 : life, data));
+                byte[] data = recordData(type, length);
+                records.add(new ResourceRecord(name, type, ttl > MAX_TTL_SECONDS ? 0 : ttl, data));
             }
-            return list;
+            return records;
         }
     }
 
-    /** A name without pointers, as it stands in record data from {@code at} on. */
-    public static String plainName(byte[] data, int at) throws BadDns {
+    /** Decodes an uncompressed name in record data, beginning at byte {@code offset}. */
+    public static String uncompressedName(byte[] data, int offset) throws BadDns {
         Reader in = new Reader(data);
-        in.at = at;
+        in.position = offset;
         return in.name();
     }
 
-    public static byte[] plainName(String name) {
+    /** The wire format of a name, without compression. */
+    public static byte[] uncompressedName(String name) {
         Writer out = new Writer();
         out.name(name);
         return out.bytes.toByteArray();
     }
 
     /**
-     * The seconds for which it may be remembered that there is no such record (RFC 2308 section 5);
-     * 0 if not told.
+     * Seconds for which the absence of a record may be cached (RFC 2308 section 5); 0 if the
+     * message has no SOA record.
      */
-    public long negativeLife() {
-        for (Resource each : authority) {
-            if (each.type == SOA && each.data.length >= 20) {
-                long least = 0;
-                for (int i = each.data.length - 4; i < each.data.length; i++) {
-                    least = least << 8 | each.data[i] & 255;
+    public long negativeTtl() {
+        for (ResourceRecord resource : authority) {
+            if (resource.type == SOA && resource.data.length >= 20) {
+                long minimumTtl = 0;
+                for (int i = resource.data.length - 4; i < resource.data.length; i++) {
+                    minimumTtl = minimumTtl << 8 | resource.data[i] & 255;
                 }
-                return Math.min(each.life, least);
+                return Math.min(resource.ttl, minimumTtl);
             }
         }
         return 0;
--- a/src/main/java/coralcove/dns/DnsStandIn.java
+++ b/src/main/java/coralcove/dns/DnsStandIn.java
@@ -6,167 +6,190 @@
 import java.util.random.RandomGenerator;
 
 /**
- * A stand-in name server: it answers from its zone, and misbehaves as told. It has no sockets and
- * no clock: a question in, packets with their delays out.
+ * A simulated name server, which answers from its zone and can be made to misbehave. It has no
+ * sockets and no clock: it is given a query and returns the packets to send, with their delays.
  */
 public final class DnsStandIn {
-    /** How it misbehaves; SLOW delays each answer by {@code delay}. */
+    /** How the server misbehaves. */
     public enum Fault {
+        /** Answers correctly. */
         NONE,
+        /** Delays each response by the delay given with the fault. */
         SLOW,
+        /** Does not respond. */
         DEAD,
-        CUTS,
-        LIES_ABOUT_LENGTH,
-        OTHER_QUESTION,
-        TWICE,
-        FAILS,
-        CIRCLES,
+        /** Truncates responses over UDP; answers over TCP. */
+        TRUNCATED_DATAGRAMS,
+        /** Sends a record length or record count that exceeds the message. */
+        WRONG_LENGTH,
+        /** Sends the response to another question. */
+        WRONG_QUESTION,
+        /** Sends each response twice. */
+        DUPLICATED,
+        /** Answers with the response code SERVFAIL. */
+        SERVER_FAILURE,
+        /** Sends a name that is a compression pointer to itself. */
+        COMPRESSION_LOOP,
+        /** Truncates responses over UDP and does not respond over TCP. */
         CUTS_ALL
     }
 
-    /** A packet to be sent {@code delay} µs later. */
+    /** A packet to be sent after {@code delay} µs. */
     public record Packet(long delay, byte[] bytes) {}
 
-    /** What it knows. */
+    /** The records that the server answers from. */
     public interface Zone {
-        DnsMessage answer(DnsMessage question);
+        /** The response to a query. */
+        DnsMessage answer(DnsMessage query);
     }
 
     private final Zone zone;
-    private final long usual;
-    private final RandomGenerator chance;
+    private final long typicalDelay;
+    private final RandomGenerator random;
     private Fault fault = Fault.NONE;
-    private long delay;
-    private long asked;
+    private long faultDelay;
+    private long queryCount;
 
-    /** {@code usual} is the usual delay in µs. */
-    public DnsStandIn(Zone zone, long usual, RandomGenerator chance) {
+    /** {@code typicalDelay} is the mean response delay in µs. */
+    public DnsStandIn(Zone zone, long typicalDelay, RandomGenerator random) {
         this.zone = zone;
-        this.usual = usual;
-        this.chance = chance;
+        this.typicalDelay = typicalDelay;
+        this.random = random;
     }
 
     /**
-     * A portability server: {@code moved} gives a number's routing number, digits, or null; {@code
-     * life} in seconds.
+     * A portability server. {@code routingNumbers} maps a number to the digits of its routing
+     * number, or to null if it was not ported; {@code ttl} in seconds.
      */
     public DnsStandIn(
             String suffix,
-            UnaryOperator<String> moved,
-            long life,
-            long usual,
-            RandomGenerator chance) {
-        this(question -> ported(question, suffix, moved, life), usual, chance);
+            UnaryOperator<String> routingNumbers,
+            long ttl,
+            long typicalDelay,
+            RandomGenerator random) {
+        this(query -> portabilityAnswer(query, suffix, routingNumbers, ttl), typicalDelay, random);
     }
 
-    public void misbehave(Fault how, long by) {
-        fault = how;
-        delay = by;
+    /** From now on misbehaves like {@code fault}; {@code delay} (µs) applies to SLOW. */
+    public void misbehave(Fault fault, long delay) {
+        this.fault = fault;
+        faultDelay = delay;
     }
 
-    public long asked() {
-        return asked;
+    /** Number of packets received. */
+    public long queryCount() {
+        return queryCount;
     }
 
-    /** What it sends for a question that came as a datagram or ({@code stream}) on a stream. */
-    public List<Packet> ask(byte[] bytes, boolean stream) {
-        asked++;
-        DnsMessage question;
+    /**
+     * The packets that the server sends for a query received as a datagram or over TCP ({@code
+     * stream}); none if the query is malformed.
+     */
+    public List<Packet> handleQuery(byte[] bytes, boolean stream) {
+        queryCount++;
+        DnsMessage query;
         try {
-            question = DnsMessage.read(bytes);
+            query = DnsMessage.decode(bytes);
         } catch (BadDns e) {
             return List.of();
         }
-        long after = Math.max(1, (long) (usual * (0.5 + chance.nextDouble())));
+        long responseDelay = Math.max(1, (long) (typicalDelay * (0.5 + random.nextDouble())));
         List<Packet> packets = new ArrayList<>();
-        DnsMessage good = zone.answer(question);
+        DnsMessage response = zone.answer(query);
         switch (fault) {
-            case NONE -> packets.add(new Packet(after, good.bytes()));
-            case SLOW -> packets.add(new Packet(after + delay, good.bytes()));
+            case NONE -> packets.add(new Packet(responseDelay, response.encode()));
+            case SLOW -> packets.add(new Packet(responseDelay + faultDelay, response.encode()));
             case DEAD -> {}
-            case CUTS -> packets.add(new Packet(after, (stream ? good : good.cut()).bytes()));
+            case TRUNCATED_DATAGRAMS ->
+                    packets.add(
+                            new Packet(
+                                    responseDelay,
+                                    (stream ? response : response.asTruncated()).encode()));
             case CUTS_ALL -> {
-                // Cut as a datagram, and nobody there for the stream that it asks for.
+                // Truncated over UDP; the TCP query that follows is not answered.
                 if (!stream) {
-                    packets.add(new Packet(after, good.cut().bytes()));
+                    packets.add(new Packet(responseDelay, response.asTruncated().encode()));
                 }
             }
-            case LIES_ABOUT_LENGTH -> {
-                byte[] lie = good.bytes();
-                // The two bytes of the last record's length lie before its data; there may be no
-                // record at all.
-                if (!good.answers().isEmpty()) {
-                    int at = lie.length - good.answers().get(0).data().length - 2;
-                    lie[at] = 0x7f;
+            case WRONG_LENGTH -> {
+                byte[] corrupted = response.encode();
+                // Corrupts the length of the last record, which is just before its data, or the
+                // answer count if there is no record.
+                if (!response.answers().isEmpty()) {
+                    int lengthOffset =
+                            corrupted.length - response.answers().get(0).data().length - 2;
+                    corrupted[lengthOffset] = 0x7f;
                 } else {
-                    lie[7] = 9;
+                    corrupted[7] = 9;
                 }
-                packets.add(new Packet(after, lie));
+                packets.add(new Packet(responseDelay, corrupted));
             }
-            case OTHER_QUESTION ->
+            case WRONG_QUESTION ->
                     packets.add(
                             new Packet(
-                                    after,
+                                    responseDelay,
                                     new DnsMessage(
-                                                    good.id(),
+                                                    response.id(),
                                                     true,
                                                     false,
-                                                    good.code(),
-                                                    "9." + good.name(),
-                                                    good.type(),
-                                                    good.answers(),
-                                                    good.authority(),
-                                                    good.additional())
-                                            .bytes()));
-            case TWICE -> {
-                packets.add(new Packet(after, good.bytes()));
-                packets.add(new Packet(2 * after, good.bytes()));
+                                                    response.responseCode(),
+                                                    "9." + response.questionName(),
+                                                    response.questionType(),
+                                                    response.answers(),
+                                                    response.authority(),
+                                                    response.additional())
+                                            .encode()));
+            case DUPLICATED -> {
+                packets.add(new Packet(responseDelay, response.encode()));
+                packets.add(new Packet(2 * responseDelay, response.encode()));
             }
-            case FAILS ->
+            case SERVER_FAILURE ->
                     packets.add(
                             new Packet(
-                                    after,
-                                    question.answer(DnsMessage.SERVER_FAILURE, List.of(), List.of())
-                                            .bytes()));
-            case CIRCLES -> {
-                // The question's name is a pointer to itself.
-                byte[] circle = good.bytes();
-                circle[12] = (byte) 0xc0;
-                circle[13] = 12;
-                packets.add(new Packet(after, circle));
+                                    responseDelay,
+                                    query.reply(DnsMessage.SERVER_FAILURE, List.of(), List.of())
+                                            .encode()));
+            case COMPRESSION_LOOP -> {
+                // Makes the name of the question a pointer to itself.
+                byte[] corrupted = response.encode();
+                corrupted[12] = (byte) 0xc0;
+                corrupted[13] = 12;
+                packets.add(new Packet(responseDelay, corrupted));
             }
         }
         return packets;
     }
 
-    private static DnsMessage ported(
-            DnsMessage question, String suffix, UnaryOperator<String> moved, long life) {
-        String digits = Enum.digits(question.name(), suffix);
-        String routing =
-                digits == null || question.type() != DnsMessage.NAPTR ? null : moved.apply(digits);
-        if (routing == null) {
+    private static DnsMessage portabilityAnswer(
+            DnsMessage query, String suffix, UnaryOperator<String> routingNumbers, long ttl) {
+        String digits = Enum.digitsOf(query.questionName(), suffix);
+        String routingNumber =
+                digits == null || query.questionType() != DnsMessage.NAPTR
+                        ? null
+                        : routingNumbers.apply(digits);
+        if (routingNumber == null) {
             byte[] soa = new byte[22];
-            soa[21] = (byte) Math.min(60, life);
-            return question.answer(
-                    DnsMessage.NO_SUCH_NAME,
+            soa[21] = (byte) Math.min(60, ttl);
+            return query.reply(
+                    DnsMessage.NAME_ERROR,
                     List.of(),
                     List.of(
-                            new DnsMessage.Resource(
-                                    suffix, DnsMessage.SOA, Math.min(60, life), soa)));
+                            new DnsMessage.ResourceRecord(
+                                    suffix, DnsMessage.SOA, Math.min(60, ttl), soa)));
         }
-        Naptr naptr =
-                new Naptr(
+        NaptrRecord naptr =
+                new NaptrRecord(
                         10,
                         100,
                         "u",
                         "E2U+pstn:tel",
-                        "!^(.*)$!tel:\\1;npdi;rn=+" + routing + "!",
+                        "!^(.*)$!tel:\\1;npdi;rn=+" + routingNumber + "!",
                         "");
-        return question.answer(
+        return query.reply(
                 DnsMessage.NO_ERROR,
                 List.of(
-                        new DnsMessage.Resource(
-                                question.name(), DnsMessage.NAPTR, life, naptr.bytes())),
+                        new DnsMessage.ResourceRecord(
+                                query.questionName(), DnsMessage.NAPTR, ttl, naptr.encode())),
                 List.of());
     }
 }
--- a/src/main/java/coralcove/dns/Enum.java
+++ b/src/main/java/coralcove/dns/Enum.java
@@ -5,19 +5,19 @@
 import java.util.Locale;
 
 /**
- * Numbers in the DNS: the name that a number has (RFC 6116 section 3.2) and what its records say of
- * a move.
+ * ENUM: the domain name of a telephone number (RFC 6116 section 3.2), and the routing number that
+ * its records give if the number was ported.
  */
 public final class Enum {
     /**
-     * What a number's records say: its routing number's digits, or "" if it has not moved; {@code
-     * life} in seconds.
+     * Result of a portability query: the digits of the routing number, or "" if the number was not
+     * ported; {@code life} is the TTL in seconds.
      */
     public record Ported(String routing, long life) {}
 
     private Enum() {}
 
-    /** "5.4.3.2.1.e164.arpa" of "12345". */
+    /** The domain name of a number: "5.4.3.2.1.e164.arpa" for "12345". */
     public static String name(String digits, String suffix) {
         StringBuilder name = new StringBuilder(2 * digits.length() + suffix.length());
         for (int i = digits.length() - 1; i >= 0; i--) {
@@ -26,8 +26,8 @@
         return name.append(suffix).toString();
     }
 
-    /** The digits of such a name, null if it is none. */
-    public static String digits(String name, String suffix) {
+    /** The digits of the number that a domain name stands for; null if it is not such a name. */
+    public static String digitsOf(String name, String suffix) {
         if (!name.endsWith("." + suffix)) {
             return null;
         }
@@ -36,39 +36,40 @@
     }
 
     /**
-     * By order, then preference, the first record with a tel URI; its {@code rn} is the routing
-     * number, also written with the prefix of its context (RFC 4694 section 4). Without one the
-     * number has not moved.
+     * Evaluates the first record, by order and preference, that gives a tel URI. Its {@code rn}
+     * parameter is the routing number, prefixed with its context if it is not global (RFC 4694
+     * section 4). Without such a record the number was not ported.
      */
     public static Ported ported(DnsMessage answer, String digits) throws BadDns {
-        record Ranked(Naptr it, long life) {}
-        List<Ranked> found = new java.util.ArrayList<>();
-        for (DnsMessage.Resource each : answer.answers()) {
-            if (each.type() == DnsMessage.NAPTR && each.name().equals(answer.name())) {
-                Naptr it = Naptr.read(each.data());
-                if (it.service().matches("e2u\\+(pstn|tel)(:tel)?")) {
-                    found.add(new Ranked(it, each.life()));
+        record Candidate(NaptrRecord naptr, long ttl) {}
+        List<Candidate> candidates = new java.util.ArrayList<>();
+        for (DnsMessage.ResourceRecord resource : answer.answers()) {
+            if (resource.type() == DnsMessage.NAPTR
+                    && resource.name().equals(answer.questionName())) {
+                NaptrRecord naptr = NaptrRecord.decode(resource.data());
+                if (naptr.service().matches("e2u\\+(pstn|tel)(:tel)?")) {
+                    candidates.add(new Candidate(naptr, resource.ttl()));
                 }
             }
         }
-        found.sort(
-                Comparator.<Ranked>comparingInt(r -> r.it.order())
-                        .thenComparingInt(r -> r.it.preference()));
-        for (Ranked each : found) {
-            String uri = each.it.uri(digits);
+        candidates.sort(
+                Comparator.<Candidate>comparingInt(candidate -> candidate.naptr.order())
+                        .thenComparingInt(candidate -> candidate.naptr.preference()));
+        for (Candidate candidate : candidates) {
+            String uri = candidate.naptr.toUri(digits);
             if (uri != null && uri.toLowerCase(Locale.ROOT).startsWith("tel:")) {
-                return new Ported(routing(uri), each.life);
+                return new Ported(routingNumber(uri), candidate.ttl);
             }
         }
-        return new Ported("", found.isEmpty() ? answer.negativeLife() : found.get(0).life);
+        return new Ported("", candidates.isEmpty() ? answer.negativeTtl() : candidates.get(0).ttl);
     }
 
-    private static String routing(String uri) throws BadDns {
+    private static String routingNumber(String uri) throws BadDns {
         String number = "";
         String context = "";
-        for (String param : uri.toLowerCase(Locale.ROOT).split(";")) {
-            number = param.startsWith("rn=") ? param.substring(3) : number;
-            context = param.startsWith("rn-context=") ? param.substring(11) : context;
+        for (String parameter : uri.toLowerCase(Locale.ROOT).split(";")) {
+            number = parameter.startsWith("rn=") ? parameter.substring(3) : number;
+            context = parameter.startsWith("rn-context=") ? parameter.substring(11) : context;
         }
         String digits = (number.startsWith("+") ? "" : context) + number;
         digits = digits.replaceAll("[+().-]", "");
--- a/src/main/java/coralcove/dns/Locator.java
+++ b/src/main/java/coralcove/dns/Locator.java
@@ -1,6 +1,6 @@
 package coralcove.dns;
 
-import coralcove.dns.DnsMessage.Resource;
+import coralcove.dns.DnsMessage.ResourceRecord;
 import java.net.InetAddress;
 import java.net.UnknownHostException;
 import java.util.ArrayList;
@@ -12,250 +12,279 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Keeps what DNS says of where each number's router is: SRV (RFC 2782), then the addresses of its
- * targets, from the additional data or asked for, IPv4 and IPv6. Records are asked for again
- * shortly before their end, at moments spread by chance. It tells addresses of the best priority
- * that has any; what they are worth is decided elsewhere.
+ * Keeps the addresses of each number's router up to date from DNS: the SRV record (RFC 2782), then
+ * the IPv4 and IPv6 addresses of its targets, which come from the additional section or are
+ * queried. Records are refreshed shortly before they expire, at randomly spread times. The listener
+ * is given the addresses of the best priority that has any; whether they are believed is decided
+ * elsewhere.
  */
 public final class Locator {
-    /** What is told of a number; {@code stale}: nobody answers, and this is past its life. */
+    /** Receives the addresses that were found. */
     public interface Out {
+        /**
+         * The addresses of a number's router, none if the service is not available; {@code stale}:
+         * no server responds and these are expired.
+         */
         void located(long now, int number, List<String> addresses, boolean stale);
 
+        /** An event for the log. */
         void log(String event, String detail);
     }
 
     /**
-     * Targets of one number that are looked at, the best first; 200 records are read, and these of
-     * them used.
+     * Maximum number of targets used of one priority, the first in selection order; a response may
+     * have 200 records.
      */
-    private static final int MOST_TARGETS = 8;
+    private static final int MAX_TARGETS = 8;
 
-    /** µs until a name is asked for again of which nobody knew anything. */
-    private static final long AGAIN = 5_000_000;
+    /** Delay before a name is queried again whose query failed. */
+    private static final long RETRY_DELAY_US = 5_000_000;
 
     /**
-     * µs between two questions for one name at the most: a day's life must not hide a move for a
-     * day.
+     * Maximum time between two queries for a name, so that a TTL of a day does not hide a change
+     * for a day.
      */
-    private static final long EVERY_MOST = 600_000_000;
+    private static final long MAX_QUERY_INTERVAL_US = 600_000_000;
 
     /**
-     * Part of its life after which a record is looked at again, and what chance takes off it: in
-     * its last tenth it is asked for anew while it still holds, so that none expires under a burst
-     * of calls.
+     * A record is looked up again when a share of its TTL has passed, this less a random share of
+     * up to REFRESH_JITTER. The cache refreshes an entry in the last tenth of its TTL while it is
+     * still valid, so that none expires during a burst of calls.
      */
-    private static final double ASK_FROM = 0.99;
+    private static final double REFRESH_AT_TTL_SHARE = 0.99;
 
-    private static final double ASK_SPREAD = 0.08;
+    private static final double REFRESH_JITTER = 0.08;
 
-    private static final class Watched {
+    private static final class WatchedName {
         final int number;
         final String name;
 
-        Watched(int number, String name) {
+        WatchedName(int number, String name) {
             this.number = number;
             this.name = name;
         }
     }
 
-    /** One answer being completed with the addresses of its targets, group by group. */
-    private final class Search {
-        final Watched of;
-        final List<List<Srv>> groups;
-        final List<Resource> additional;
-        final Map<Srv, List<String>> found = new LinkedHashMap<>();
-        long life;
+    /** Finds the addresses of the targets of one SRV response, priority by priority. */
+    private final class AddressSearch {
+        final WatchedName watchedName;
+        final List<List<SrvRecord>> groups;
+        final List<ResourceRecord> additional;
+        final Map<SrvRecord, List<String>> addressesByTarget = new LinkedHashMap<>();
+        long ttl;
         boolean stale;
         boolean failed;
-        int group;
-        int open;
+        int groupIndex;
+        int pendingQueries;
 
-        Search(Watched of, List<List<Srv>> groups, Lookups.Found srv) {
-            this.of = of;
+        AddressSearch(
+                WatchedName watchedName,
+                List<List<SrvRecord>> groups,
+                LookupCache.LookupResult srv) {
+            this.watchedName = watchedName;
             this.groups = groups;
             additional = srv.additional();
-            life = srv.life();
-            stale = srv.worth() == Lookups.Worth.STALE;
+            ttl = srv.remainingTtl();
+            stale = srv.freshness() == LookupCache.Freshness.STALE;
         }
 
-        void next(long now) {
+        void searchNextGroup(long now) {
             while (true) {
-                if (group >= groups.size()) {
-                    done(now, List.of());
+                if (groupIndex >= groups.size()) {
+                    complete(now, List.of());
                     return;
                 }
-                List<Srv> targets =
-                        groups.get(group)
-                                .subList(0, Math.min(MOST_TARGETS, groups.get(group).size()));
-                found.clear();
-                // One more until all are asked, so that answers from memory do not end the group
-                // early.
-                open = 1;
-                targets.forEach(each -> target(now, each));
-                open--;
-                if (open > 0 || ended(now)) {
+                List<SrvRecord> targets =
+                        groups.get(groupIndex)
+                                .subList(0, Math.min(MAX_TARGETS, groups.get(groupIndex).size()));
+                addressesByTarget.clear();
+                // Counts one extra query until all are sent, so that cached results do not finish
+                // the group early.
+                pendingQueries = 1;
+                targets.forEach(target -> resolveTarget(now, target));
+                pendingQueries--;
+                if (pendingQueries > 0 || finishGroup(now)) {
                     return;
                 }
             }
         }
 
-        private void target(long now, Srv target) {
+        private void resolveTarget(long now, SrvRecord target) {
             List<String> addresses = new ArrayList<>();
-            found.put(target, addresses);
-            List<Resource> along =
+            addressesByTarget.put(target, addresses);
+            List<ResourceRecord> targetAddresses =
                     additional.stream()
                             .filter(
-                                    r ->
-                                            r.name().equals(target.target())
-                                                    && (r.type() == DnsMessage.A
-                                                            || r.type() == DnsMessage.AAAA))
+                                    record ->
+                                            record.name().equals(target.target())
+                                                    && (record.type() == DnsMessage.A
+                                                            || record.type() == DnsMessage.AAAA))
                             .toList();
-            if (!along.isEmpty()) {
-                along.forEach(r -> add(addresses, r, target.port()));
-                life =
+            if (!targetAddresses.isEmpty()) {
+                targetAddresses.forEach(record -> addAddress(addresses, record, target.port()));
+                ttl =
                         Math.min(
-                                life,
-                                along.stream().mapToLong(Resource::life).min().orElse(0)
+                                ttl,
+                                targetAddresses.stream()
+                                                .mapToLong(ResourceRecord::ttl)
+                                                .min()
+                                                .orElse(0)
                                         * 1_000_000);
                 return;
             }
             for (int type : new int[] {DnsMessage.A, DnsMessage.AAAA}) {
-                open++;
-                lookups.ask(
+                pendingQueries++;
+                cache.lookUp(
                         now,
                         target.target(),
                         type,
-                        (at, answer) -> {
-                            answer.records().forEach(r -> add(addresses, r, target.port()));
-                            stale |= answer.worth() == Lookups.Worth.STALE;
-                            failed |= answer.worth() == Lookups.Worth.NONE;
-                            life =
-                                    answer.worth() == Lookups.Worth.FRESH
-                                            ? Math.min(life, answer.life())
+                        (completedAt, result) -> {
+                            result.records()
+                                    .forEach(
+                                            record -> addAddress(addresses, record, target.port()));
+                            stale |= result.freshness() == LookupCache.Freshness.STALE;
+                            failed |= result.freshness() == LookupCache.Freshness.UNAVAILABLE;
+                            ttl =
+                                    result.freshness() == LookupCache.Freshness.FRESH
+                                            ? Math.min(ttl, result.remainingTtl())
                                             : 0;
-                            open--;
-                            if (open == 0 && !ended(at)) {
-                                next(at);
+                            pendingQueries--;
+                            if (pendingQueries == 0 && !finishGroup(completedAt)) {
+                                searchNextGroup(completedAt);
                             }
                         },
-                        questions);
+                        querySender);
             }
         }
 
         /**
-         * Whether this group has an address, so that the search has ended; else the next group is
-         * up.
+         * Ends the search if this priority has an address; otherwise moves on to the next priority.
+         * Returns whether the search has ended.
          */
-        private boolean ended(long now) {
-            List<String> all = found.values().stream().flatMap(List::stream).distinct().toList();
-            group++;
-            if (all.isEmpty()) {
+        private boolean finishGroup(long now) {
+            List<String> addresses =
+                    addressesByTarget.values().stream().flatMap(List::stream).distinct().toList();
+            groupIndex++;
+            if (addresses.isEmpty()) {
                 return false;
             }
-            done(now, all);
+            complete(now, addresses);
             return true;
         }
 
-        private void done(long now, List<String> addresses) {
-            // Nothing found while somebody did not answer is no proof that there is nothing.
+        private void complete(long now, List<String> addresses) {
+            // An empty result is no proof that there is no address if one of the queries failed.
             if (!addresses.isEmpty() || !failed) {
-                out.located(now, of.number, addresses, stale);
+                listener.located(now, watchedName.number, addresses, stale);
             }
-            again(now, of, addresses.isEmpty() && failed || stale ? AGAIN : life);
+            scheduleRefresh(
+                    now,
+                    watchedName,
+                    addresses.isEmpty() && failed || stale ? RETRY_DELAY_US : ttl);
         }
     }
 
-    private final Lookups lookups = new Lookups();
-    private final Lookups.Out questions;
-    private final RandomGenerator chance;
-    private final Out out;
+    private final LookupCache cache = new LookupCache();
+    private final LookupCache.QuerySender querySender;
+    private final RandomGenerator random;
+    private final Out listener;
     private final String transport;
-    private final List<Watched> watched = new ArrayList<>();
-    private final TreeMap<Long, List<Watched>> due = new TreeMap<>();
+    private final List<WatchedName> watchedNames = new ArrayList<>();
+    private final TreeMap<Long, List<WatchedName>> queryTimes = new TreeMap<>();
 
     /**
-     * {@code transport} is udp or tcp; {@code names} gives a number's name, without the service
-     * before it.
+     * Watches the service names of {@code numbers}. {@code transport} is udp or tcp; {@code names}
+     * gives the domain name of a number, without the service prefix.
      */
     public Locator(
             List<Integer> numbers,
             IntFunction<String> names,
             String transport,
-            RandomGenerator chance,
-            Lookups.Out questions,
-            Out out) {
-        this.questions = questions;
-        this.chance = chance;
-        this.out = out;
+            RandomGenerator random,
+            LookupCache.QuerySender querySender,
+            Out listener) {
+        this.querySender = querySender;
+        this.random = random;
+        this.listener = listener;
         this.transport = transport;
         numbers.forEach(
                 number ->
-                        watched.add(
-                                new Watched(
+                        watchedNames.add(
+                                new WatchedName(
                                         number, "_sip._" + transport + "." + names.apply(number))));
     }
 
+    /** Schedules the first query of every name for now. */
     public void start(long now) {
-        watched.forEach(each -> arm(now, each));
+        watchedNames.forEach(watchedName -> scheduleQuery(now, watchedName));
     }
 
-    private void arm(long at, Watched it) {
-        due.computeIfAbsent(at, t -> new ArrayList<>()).add(it);
+    private void scheduleQuery(long time, WatchedName watchedName) {
+        queryTimes.computeIfAbsent(time, key -> new ArrayList<>()).add(watchedName);
     }
 
-    private void again(long now, Watched it, long life) {
-        double part = ASK_FROM - ASK_SPREAD * chance.nextDouble();
-        arm(now + Math.max(1_000_000, (long) (Math.min(EVERY_MOST, life) * part)), it);
+    private void scheduleRefresh(long now, WatchedName watchedName, long ttl) {
+        double share = REFRESH_AT_TTL_SHARE - REFRESH_JITTER * random.nextDouble();
+        scheduleQuery(
+                now + Math.max(1_000_000, (long) (Math.min(MAX_QUERY_INTERVAL_US, ttl) * share)),
+                watchedName);
     }
 
+    /** Looks up the names whose time has come. */
     public void tick(long now) {
-        while (!due.isEmpty() && due.firstKey() <= now) {
-            for (Watched each : due.pollFirstEntry().getValue()) {
-                lookups.ask(
+        while (!queryTimes.isEmpty() && queryTimes.firstKey() <= now) {
+            for (WatchedName watchedName : queryTimes.pollFirstEntry().getValue()) {
+                cache.lookUp(
                         now,
-                        each.name,
+                        watchedName.name,
                         DnsMessage.SRV,
-                        (at, found) -> srv(at, each, found),
-                        questions);
+                        (completedAt, result) -> srvCompleted(completedAt, watchedName, result),
+                        querySender);
             }
         }
     }
 
+    /** Time of the next call to {@link #tick}, Long.MAX_VALUE if none is needed. */
     public long due() {
-        return due.isEmpty() ? Long.MAX_VALUE : due.firstKey();
+        return queryTimes.isEmpty() ? Long.MAX_VALUE : queryTimes.firstKey();
     }
 
+    /** The result of a query that was passed to the query sender. */
     public void answered(long now, String name, int type, Resolver.Result result) {
-        lookups.answered(now, name, type, result);
+        cache.queryCompleted(now, name, type, result);
     }
 
-    private void srv(long now, Watched it, Lookups.Found found) {
-        if (found.worth() == Lookups.Worth.NONE) {
-            out.log("dns-none", it.name + ": " + found.why());
-            again(now, it, AGAIN);
+    private void srvCompleted(long now, WatchedName watchedName, LookupCache.LookupResult result) {
+        if (result.freshness() == LookupCache.Freshness.UNAVAILABLE) {
+            listener.log("dns-none", watchedName.name + ": " + result.failure());
+            scheduleRefresh(now, watchedName, RETRY_DELAY_US);
             return;
         }
-        List<Srv> records = new ArrayList<>();
-        for (Resource each : found.records()) {
+        List<SrvRecord> records = new ArrayList<>();
+        for (ResourceRecord record : result.records()) {
             try {
-                records.add(Srv.read(each.data()));
+                records.add(SrvRecord.decode(record.data()));
             } catch (BadDns e) {
-                out.log("dns-bad", it.name + ": " + e.getMessage());
+                listener.log("dns-bad", watchedName.name + ": " + e.getMessage());
             }
         }
-        boolean notThere =
+        boolean unavailable =
                 records.isEmpty() || records.size() == 1 && records.get(0).target().isEmpty();
-        if (notThere) {
-            out.located(now, it.number, List.of(), found.worth() == Lookups.Worth.STALE);
-            again(now, it, found.life());
+        if (unavailable) {
+            listener.located(
+                    now,
+                    watchedName.number,
+                    List.of(),
+                    result.freshness() == LookupCache.Freshness.STALE);
+            scheduleRefresh(now, watchedName, result.remainingTtl());
         } else {
-            records.removeIf(each -> each.target().isEmpty());
-            new Search(it, Srv.order(records, chance), found).next(now);
+            records.removeIf(record -> record.target().isEmpty());
+            new AddressSearch(watchedName, SrvRecord.selectionOrder(records, random), result)
+                    .searchNextGroup(now);
         }
     }
 
-    private void add(List<String> addresses, Resource record, int port) {
+    private void addAddress(List<String> addresses, ResourceRecord record, int port) {
         int bytes = record.type() == DnsMessage.A ? 4 : record.type() == DnsMessage.AAAA ? 16 : 0;
         if (bytes == 0 || record.data().length != bytes || port == 0) {
             return;
@@ -264,11 +293,12 @@
             String host = InetAddress.getByAddress(record.data()).getHostAddress();
             addresses.add(transport + ":" + (bytes == 4 ? host : "[" + host + "]") + ":" + port);
         } catch (UnknownHostException e) {
-            throw new IllegalStateException("an address of " + bytes + " bytes is one", e);
+            throw new IllegalStateException("an address of " + bytes + " bytes is always valid", e);
         }
     }
 
+    /** Counters of the cache, by name. */
     public Map<String, Long> counts() {
-        return lookups.counts();
+        return cache.counters();
     }
 }
--- a/src/main/java/coralcove/dns/Questions.java
+++ b/src/main/java/coralcove/dns/Questions.java
@@ -2,8 +2,8 @@
 
 import java.util.function.Consumer;
 
-/** Where a resolver's questions are asked: over sockets, or in virtual time. */
+/** Sends queries through a resolver: over sockets, or in virtual time. */
 public interface Questions {
-    /** Asks; {@code done} is called once. */
-    void ask(String name, int type, Consumer<Resolver.Result> done);
+    /** Sends a query; {@code callback} is called exactly once with the result. */
+    void ask(String name, int type, Consumer<Resolver.Result> callback);
 }
--- a/src/main/java/coralcove/dns/Resolver.java
+++ b/src/main/java/coralcove/dns/Resolver.java
@@ -8,280 +8,307 @@
 import java.util.random.RandomGenerator;
 
 /**
- * A stub resolver without sockets and clock: questions, packets and times in, packets and answers
- * out. Each try has an id and a socket (so a port) by chance, and only what answers that question
- * to that socket from that server is heard; all else is counted and dropped (RFC 5452 section 9.1).
- * A cut answer is asked for again over TCP.
+ * A stub resolver without sockets and clock: it is given queries, received packets and times, and
+ * calls {@link Actions} to send packets and report results. Each attempt uses a random id and a
+ * random socket, and so a random port. A response counts only if it answers that query, to that
+ * socket and from that server; anything else is counted and dropped (RFC 5452 section 9.1). A
+ * truncated response makes the resolver query again over TCP.
  */
 public final class Resolver {
-    /** Where a name server listens, on UDP and TCP alike. */
+    /** Address of a name server, for both UDP and TCP. */
     public record Server(String host, int port) {}
 
-    /** Times in µs; {@code sockets} is how many ports there are to choose from. */
+    /**
+     * Settings of a resolver. {@code attemptTimeout} is in µs; {@code sockets} is the number of
+     * sockets to choose from; {@code maxOutstanding} bounds the queries in progress.
+     */
     public record Settings(
-            List<Server> servers, long tryFor, int tries, int sockets, int mostOut) {}
+            List<Server> servers,
+            long attemptTimeout,
+            int maxAttempts,
+            int sockets,
+            int maxOutstanding) {}
 
-    /** How a question ended: an answer with records or none, or no usable answer. */
+    /**
+     * How a query ended: a response, possibly without records, or null and the reason of the
+     * failure.
+     */
     public record Result(DnsMessage answer, String failure) {}
 
-    /** What it does. */
-    public interface Out {
-        void datagram(int socket, Server to, byte[] bytes);
+    /** What the resolver asks its owner to do. */
+    public interface Actions {
+        /** Sends a datagram from the socket of this index. */
+        void sendDatagram(int socket, Server to, byte[] bytes);
 
         /**
-         * Opens a stream, writes this question in its two-byte frame, and hands back what is read
-         * under {@code key}.
+         * Opens a TCP stream and writes this query with its two-byte length prefix. Messages read
+         * from the stream are passed to {@link Resolver#streamMessageReceived} with {@code key}.
          */
-        void stream(long key, Server to, byte[] bytes);
+        void sendOnStream(long key, Server to, byte[] bytes);
 
-        void close(long key);
+        /** Closes the stream, if it is open. */
+        void closeStream(long key);
 
-        void done(Object owner, Result result);
+        /** A query of {@code owner} ended; called once for each query. */
+        void completed(Object owner, Result result);
     }
 
-    private static final class Question {
+    private static final class PendingQuery {
         final Object owner;
         final String name;
         final int type;
-        int sent;
+        int attempts;
         int id;
         int socket;
         Server server;
-        long until;
-        long key;
-        boolean stream;
+        long deadline;
+        long streamKey;
+        boolean onStream;
 
-        Question(Object owner, String name, int type) {
+        PendingQuery(Object owner, String name, int type) {
             this.owner = owner;
             this.name = name;
             this.type = type;
         }
     }
 
-    /**
-     * Tries to draw an id that is in use by no other question before it is given up: 65,536 are
-     * plenty.
-     */
-    private static final int DRAWS = 8;
+    /** Maximum number of draws of an id that no other query uses; there are 65,536 ids. */
+    private static final int MAX_ID_DRAWS = 8;
 
     /**
-     * Failures in a row after which a server rests, and µs for how long: doubling up to the most.
+     * Number of consecutive failures after which a server is avoided for a time. The time doubles
+     * with each further failure up to the maximum.
      */
-    private static final int FAILURES = 5;
+    private static final int FAILURES_BEFORE_BACKOFF = 5;
 
-    private static final long REST = 2_000_000;
-    private static final long REST_MOST = 60_000_000;
+    private static final long INITIAL_BACKOFF_US = 2_000_000;
+    private static final long MAX_BACKOFF_US = 60_000_000;
 
-    private static final class Health {
-        int failures;
-        long restsUntil;
+    private static final class ServerHealth {
+        int consecutiveFailures;
+        long backoffUntil;
     }
 
     private final Settings settings;
-    private final RandomGenerator chance;
-    private final Map<Server, Health> health = new HashMap<>();
-    private final Map<Integer, Question> byId = new HashMap<>();
-    private final Map<Long, Question> byStream = new HashMap<>();
+    private final RandomGenerator random;
+    private final Map<Server, ServerHealth> health = new HashMap<>();
+    private final Map<Integer, PendingQuery> pendingById = new HashMap<>();
+    private final Map<Long, PendingQuery> pendingByStream = new HashMap<>();
 
-    /** By moment and a number that makes moments differ. */
-    private final TreeMap<Long, List<Question>> due = new TreeMap<>();
+    /** Pending queries by the time at which their attempt expires. */
+    private final TreeMap<Long, List<PendingQuery>> deadlines = new TreeMap<>();
 
-    private final Map<String, Long> counts = new TreeMap<>();
-    private long streams;
+    private final Map<String, Long> counters = new TreeMap<>();
+    private long lastStreamKey;
 
-    public Resolver(Settings settings, RandomGenerator chance) {
+    public Resolver(Settings settings, RandomGenerator random) {
         this.settings = settings;
-        this.chance = chance;
+        this.random = random;
     }
 
-    /** Asks; the result comes by {@link Out#done}, at once where too many questions are out. */
-    public void ask(long now, String name, int type, Object owner, Out out) {
-        if (byId.size() + byStream.size() >= settings.mostOut) {
-            count("too-many");
-            out.done(owner, new Result(null, "too many questions out"));
+    /**
+     * Starts a query. The result is passed to {@link Actions#completed}, immediately if too many
+     * queries are outstanding.
+     */
+    public void query(long now, String name, int type, Object owner, Actions actions) {
+        if (pendingById.size() + pendingByStream.size() >= settings.maxOutstanding) {
+            increment("too-many");
+            actions.completed(owner, new Result(null, "too many outstanding queries"));
             return;
         }
-        Question question = new Question(owner, name, type);
-        next(now, question, "", out);
+        PendingQuery query = new PendingQuery(owner, name, type);
+        nextAttempt(now, query, "", actions);
     }
 
-    /** The next try, at the next server; after the last the question has failed. */
-    private void next(long now, Question question, String why, Out out) {
-        if (question.server != null) {
-            failed(now, question.server);
+    /**
+     * Starts the next attempt, with the next server. After the last attempt the query has failed
+     * for the reason {@code failure}.
+     */
+    private void nextAttempt(long now, PendingQuery query, String failure, Actions actions) {
+        if (query.server != null) {
+            recordFailure(now, query.server);
         }
-        forget(question, out);
-        if (question.sent >= settings.tries) {
-            count("failed");
-            out.done(question.owner, new Result(null, why));
+        endAttempt(query, actions);
+        if (query.attempts >= settings.maxAttempts) {
+            increment("failed");
+            actions.completed(query.owner, new Result(null, failure));
             return;
         }
-        int id = chance.nextInt(1 << 16);
-        for (int i = 0; i < DRAWS && byId.containsKey(id); i++) {
-            id = chance.nextInt(1 << 16);
+        int id = random.nextInt(1 << 16);
+        for (int i = 0; i < MAX_ID_DRAWS && pendingById.containsKey(id); i++) {
+            id = random.nextInt(1 << 16);
         }
-        if (byId.containsKey(id)) {
-            out.done(question.owner, new Result(null, "no id is free"));
+        if (pendingById.containsKey(id)) {
+            actions.completed(query.owner, new Result(null, "no free query id"));
             return;
         }
-        question.id = id;
-        question.socket = chance.nextInt(settings.sockets);
-        question.server = server(now, question.sent);
-        question.sent++;
-        byId.put(id, question);
-        arm(now + settings.tryFor, question);
-        count("sent");
-        out.datagram(
-                question.socket,
-                question.server,
-                DnsMessage.question(id, question.name, question.type).bytes());
+        query.id = id;
+        query.socket = random.nextInt(settings.sockets);
+        query.server = selectServer(now, query.attempts);
+        query.attempts++;
+        pendingById.put(id, query);
+        scheduleTimeout(now + settings.attemptTimeout, query);
+        increment("sent");
+        actions.sendDatagram(
+                query.socket, query.server, DnsMessage.query(id, query.name, query.type).encode());
     }
 
-    /** Servers in turn, but those that rest; the one whose turn it is where all do. */
-    private Server server(long now, int turn) {
+    /** Selects the server whose turn it is, skipping servers that are backed off unless all are. */
+    private Server selectServer(long now, int turn) {
         int count = settings.servers.size();
         for (int i = 0; i < count; i++) {
-            Server each = settings.servers.get((turn + i) % count);
-            Health known = health.get(each);
-            if (known == null || now >= known.restsUntil) {
-                return each;
+            Server candidate = settings.servers.get((turn + i) % count);
+            ServerHealth candidateHealth = health.get(candidate);
+            if (candidateHealth == null || now >= candidateHealth.backoffUntil) {
+                return candidate;
             }
         }
         return settings.servers.get(turn % count);
     }
 
-    private void failed(long now, Server server) {
-        Health it = health.computeIfAbsent(server, s -> new Health());
-        it.failures++;
-        if (it.failures >= FAILURES) {
-            it.restsUntil = now + Math.min(REST_MOST, REST << Math.min(8, it.failures - FAILURES));
-            count("rests");
+    private void recordFailure(long now, Server server) {
+        ServerHealth serverHealth = health.computeIfAbsent(server, key -> new ServerHealth());
+        serverHealth.consecutiveFailures++;
+        if (serverHealth.consecutiveFailures >= FAILURES_BEFORE_BACKOFF) {
+            serverHealth.backoffUntil =
+                    now
+                            + Math.min(
+                                    MAX_BACKOFF_US,
+                                    INITIAL_BACKOFF_US
+                                            << Math.min(
+                                                    8,
+                                                    serverHealth.consecutiveFailures
+                                                            - FAILURES_BEFORE_BACKOFF));
+            increment("rests");
         }
     }
 
-    private void arm(long at, Question question) {
-        question.until = at;
-        due.computeIfAbsent(at, t -> new ArrayList<>()).add(question);
+    private void scheduleTimeout(long deadline, PendingQuery query) {
+        query.deadline = deadline;
+        deadlines.computeIfAbsent(deadline, key -> new ArrayList<>()).add(query);
     }
 
-    private void forget(Question question, Out out) {
-        if (question.server == null) {
+    private void endAttempt(PendingQuery query, Actions actions) {
+        if (query.server == null) {
             return;
         }
-        byId.remove(question.id, question);
-        List<Question> at = due.get(question.until);
-        if (at != null && at.remove(question) && at.isEmpty()) {
-            due.remove(question.until);
+        pendingById.remove(query.id, query);
+        List<PendingQuery> expiring = deadlines.get(query.deadline);
+        if (expiring != null && expiring.remove(query) && expiring.isEmpty()) {
+            deadlines.remove(query.deadline);
         }
-        if (question.stream) {
-            byStream.remove(question.key);
-            question.stream = false;
-            out.close(question.key);
+        if (query.onStream) {
+            pendingByStream.remove(query.streamKey);
+            query.onStream = false;
+            actions.closeStream(query.streamKey);
         }
     }
 
-    /** A datagram came to one of the sockets. */
-    public void datagram(long now, int socket, Server from, byte[] bytes, Out out) {
-        // The id alone tells whose it may be, also of a packet that cannot be read further.
-        Question question =
-                bytes.length < 2 ? null : byId.get((bytes[0] & 255) << 8 | bytes[1] & 255);
-        if (question == null || question.socket != socket || !question.server.equals(from)) {
-            count("unasked");
+    /** A datagram was received on one of the sockets. */
+    public void datagramReceived(long now, int socket, Server from, byte[] bytes, Actions actions) {
+        // The id identifies the query even if the rest of the packet is malformed.
+        PendingQuery query =
+                bytes.length < 2 ? null : pendingById.get((bytes[0] & 255) << 8 | bytes[1] & 255);
+        if (query == null || query.socket != socket || !query.server.equals(from)) {
+            increment("unasked");
             return;
         }
-        heard(now, question, bytes, out);
+        responseReceived(now, query, bytes, actions);
     }
 
-    /** A whole message came on a stream. */
-    public void stream(long now, long key, byte[] bytes, Out out) {
-        Question question = byStream.get(key);
-        if (question == null) {
-            count("unasked");
+    /** A complete message was received on a stream. */
+    public void streamMessageReceived(long now, long key, byte[] bytes, Actions actions) {
+        PendingQuery query = pendingByStream.get(key);
+        if (query == null) {
+            increment("unasked");
             return;
         }
-        heard(now, question, bytes, out);
+        responseReceived(now, query, bytes, actions);
     }
 
-    /** A stream could not be opened, or ended without an answer. */
-    public void broken(long now, long key, Out out) {
-        Question question = byStream.get(key);
-        if (question != null) {
-            next(now, question, "stream broken", out);
+    /** A stream could not be opened, or was closed before the response. */
+    public void streamFailed(long now, long key, Actions actions) {
+        PendingQuery query = pendingByStream.get(key);
+        if (query != null) {
+            nextAttempt(now, query, "stream failed", actions);
         }
     }
 
-    private void heard(long now, Question question, byte[] bytes, Out out) {
-        DnsMessage answer;
+    private void responseReceived(long now, PendingQuery query, byte[] bytes, Actions actions) {
+        DnsMessage response;
         try {
-            answer = DnsMessage.read(bytes);
+            response = DnsMessage.decode(bytes);
         } catch (BadDns e) {
-            // Only who saw the question knows its id and port: the server itself is broken, the
-            // next may not be.
-            count("malformed");
-            next(now, question, "malformed: " + e.getMessage(), out);
+            // Only somebody who saw the query knows its id and port, so the server itself is
+            // faulty; the next one may not be.
+            increment("malformed");
+            nextAttempt(now, query, "malformed: " + e.getMessage(), actions);
             return;
         }
-        if (!answer.response()
-                || answer.id() != question.id
-                || !answer.name().equals(question.name)
-                || answer.type() != question.type) {
-            // Perhaps forged, perhaps the answer to another question: the right one may still come.
-            count("other-question");
+        if (!response.response()
+                || response.id() != query.id
+                || !response.questionName().equals(query.name)
+                || response.questionType() != query.type) {
+            // Either forged or the response to another query; the right one may still arrive.
+            increment("other-question");
             return;
         }
-        if (answer.truncated()) {
-            if (question.stream) {
-                next(now, question, "cut over a stream", out);
+        if (response.truncated()) {
+            if (query.onStream) {
+                nextAttempt(now, query, "truncated response over TCP", actions);
                 return;
             }
-            count("stream");
-            forget(question, out);
-            arm(now + settings.tryFor, question);
-            question.key = ++streams;
-            question.stream = true;
-            byStream.put(question.key, question);
-            out.stream(
-                    question.key,
-                    question.server,
-                    DnsMessage.question(question.id, question.name, question.type).bytes());
+            increment("stream");
+            endAttempt(query, actions);
+            scheduleTimeout(now + settings.attemptTimeout, query);
+            query.streamKey = ++lastStreamKey;
+            query.onStream = true;
+            pendingByStream.put(query.streamKey, query);
+            actions.sendOnStream(
+                    query.streamKey,
+                    query.server,
+                    DnsMessage.query(query.id, query.name, query.type).encode());
             return;
         }
-        if (answer.code() != DnsMessage.NO_ERROR && answer.code() != DnsMessage.NO_SUCH_NAME) {
-            count("refused");
-            next(now, question, "response code " + answer.code(), out);
+        if (response.responseCode() != DnsMessage.NO_ERROR
+                && response.responseCode() != DnsMessage.NAME_ERROR) {
+            increment("refused");
+            nextAttempt(now, query, "response code " + response.responseCode(), actions);
             return;
         }
-        forget(question, out);
-        health.remove(question.server);
-        count("answered");
-        out.done(question.owner, new Result(answer, ""));
+        endAttempt(query, actions);
+        health.remove(query.server);
+        increment("answered");
+        actions.completed(query.owner, new Result(response, ""));
     }
 
-    public void tick(long now, Out out) {
-        while (!due.isEmpty() && due.firstKey() <= now) {
-            List<Question> late = due.pollFirstEntry().getValue();
-            for (Question question : late) {
-                count("timed-out");
-                next(now, question, "no answer", out);
+    /** Ends attempts whose time has expired. */
+    public void tick(long now, Actions actions) {
+        while (!deadlines.isEmpty() && deadlines.firstKey() <= now) {
+            List<PendingQuery> expired = deadlines.pollFirstEntry().getValue();
+            for (PendingQuery query : expired) {
+                increment("timed-out");
+                nextAttempt(now, query, "no answer", actions);
             }
         }
     }
 
-    /** When {@link #tick} is wanted next, Long.MAX_VALUE for never. */
-    public long due() {
-        return due.isEmpty() ? Long.MAX_VALUE : due.firstKey();
+    /** Time of the next call to {@link #tick}, Long.MAX_VALUE if none is needed. */
+    public long nextTickAt() {
+        return deadlines.isEmpty() ? Long.MAX_VALUE : deadlines.firstKey();
     }
 
-    public int out() {
-        return byId.size() + byStream.size();
+    /** Number of queries in progress. */
+    public int outstandingCount() {
+        return pendingById.size() + pendingByStream.size();
     }
 
-    /** What happened how often, by name. */
-    public Map<String, Long> counts() {
-        return counts;
+    /** Counters of events, by name. */
+    public Map<String, Long> counters() {
+        return counters;
     }
 
-    private void count(String what) {
-        counts.merge(what, 1L, Long::sum);
+    private void increment(String counter) {
+        counters.merge(counter, 1L, Long::sum);
     }
 }
--- a/src/main/java/coralcove/dns/ServiceZone.java
+++ b/src/main/java/coralcove/dns/ServiceZone.java
@@ -1,6 +1,6 @@
 package coralcove.dns;
 
-import coralcove.dns.DnsMessage.Resource;
+import coralcove.dns.DnsMessage.ResourceRecord;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -9,31 +9,33 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * A stand-in's zone of services: SRV records, the addresses of their targets beside them, and
- * aliases.
+ * Zone of a simulated name server: SRV records, the addresses of their targets, and aliases
+ * (CNAME).
  */
 public final class ServiceZone implements DnsStandIn.Zone {
     private final String domain;
-    private final long life;
-    private final Map<String, List<Resource>> records = new ConcurrentHashMap<>();
-    private boolean beside = true;
+    private final long ttl;
+    private final Map<String, List<ResourceRecord>> records = new ConcurrentHashMap<>();
+    private boolean includeAdditional = true;
 
-    /** {@code life} of all records in seconds. */
-    public ServiceZone(String domain, long life) {
+    /** {@code ttl} of all records in seconds. */
+    public ServiceZone(String domain, long ttl) {
         this.domain = domain;
-        this.life = life;
+        this.ttl = ttl;
     }
 
-    /** Whether addresses come along with services. */
-    public ServiceZone beside(boolean on) {
-        beside = on;
+    /** Whether the addresses of SRV targets are sent in the additional section; on by default. */
+    public ServiceZone includeAdditional(boolean include) {
+        includeAdditional = include;
         return this;
     }
 
+    /** Adds an SRV record. */
     public ServiceZone srv(String name, int priority, int weight, String target, int port) {
-        return add(name, DnsMessage.SRV, new Srv(priority, weight, port, target).bytes());
+        return add(name, DnsMessage.SRV, new SrvRecord(priority, weight, port, target).encode());
     }
 
+    /** Adds an A record (4 bytes) or an AAAA record (16 bytes). */
     public ServiceZone a(String name, int... bytes) {
         byte[] data = new byte[bytes.length];
         for (int i = 0; i < bytes.length; i++) {
@@ -42,21 +44,25 @@
         return add(name, bytes.length == 4 ? DnsMessage.A : DnsMessage.AAAA, data);
     }
 
-    public ServiceZone alias(String name, String target) {
-        return add(name, DnsMessage.CNAME, DnsMessage.plainName(target));
+    /** Adds a CNAME record. */
+    public ServiceZone cname(String name, String target) {
+        return add(name, DnsMessage.CNAME, DnsMessage.uncompressedName(target));
     }
 
-    /** What is said of a name from now on: this service alone. */
+    /** Replaces all records of a name by one SRV record. */
     public ServiceZone only(String name, String target, int port) {
         records.put(
                 name,
                 List.of(
-                        new Resource(
-                                name, DnsMessage.SRV, life, new Srv(1, 1, port, target).bytes())));
+                        new ResourceRecord(
+                                name,
+                                DnsMessage.SRV,
+                                ttl,
+                                new SrvRecord(1, 1, port, target).encode())));
         return this;
     }
 
-    /** Takes all records of a name away. */
+    /** Removes all records of a name. */
     public ServiceZone remove(String name) {
         records.remove(name);
         return this;
@@ -64,54 +70,56 @@
 
     private ServiceZone add(String name, int type, byte[] data) {
         records.computeIfAbsent(name, n -> new ArrayList<>())
-                .add(new Resource(name, type, life, data));
+                .add(new ResourceRecord(name, type, ttl, data));
         return this;
     }
 
-    private List<Resource> of(String name, int type) {
+    private List<ResourceRecord> recordsOf(String name, int type) {
         return records.getOrDefault(name, List.of()).stream()
                 .filter(r -> r.type() == type)
                 .toList();
     }
 
     @Override
-    public DnsMessage answer(DnsMessage question) {
-        List<Resource> answers = new ArrayList<>();
-        Set<String> seen = new TreeSet<>();
-        String name = question.name();
-        while (seen.add(name)
-                && of(name, question.type()).isEmpty()
-                && !of(name, DnsMessage.CNAME).isEmpty()) {
-            answers.addAll(of(name, DnsMessage.CNAME));
+    public DnsMessage answer(DnsMessage query) {
+        List<ResourceRecord> answers = new ArrayList<>();
+        Set<String> visited = new TreeSet<>();
+        String name = query.questionName();
+        while (visited.add(name)
+                && recordsOf(name, query.questionType()).isEmpty()
+                && !recordsOf(name, DnsMessage.CNAME).isEmpty()) {
+            answers.addAll(recordsOf(name, DnsMessage.CNAME));
             try {
-                name = DnsMessage.plainName(of(name, DnsMessage.CNAME).get(0).data(), 0);
+                name =
+                        DnsMessage.uncompressedName(
+                                recordsOf(name, DnsMessage.CNAME).get(0).data(), 0);
             } catch (BadDns e) {
-                throw new IllegalStateException("this zone's own record", e);
+                throw new IllegalStateException("malformed record in the own zone", e);
             }
         }
-        answers.addAll(of(name, question.type()));
+        answers.addAll(recordsOf(name, query.questionType()));
         if (answers.isEmpty()) {
             byte[] soa = new byte[22];
-            soa[21] = (byte) Math.min(60, life);
-            return question.answer(
-                    records.containsKey(question.name())
+            soa[21] = (byte) Math.min(60, ttl);
+            return query.reply(
+                    records.containsKey(query.questionName())
                             ? DnsMessage.NO_ERROR
-                            : DnsMessage.NO_SUCH_NAME,
+                            : DnsMessage.NAME_ERROR,
                     List.of(),
-                    List.of(new Resource(domain, DnsMessage.SOA, Math.min(60, life), soa)));
+                    List.of(new ResourceRecord(domain, DnsMessage.SOA, Math.min(60, ttl), soa)));
         }
-        List<Resource> along = new ArrayList<>();
-        for (Resource each : beside ? answers : List.<Resource>of()) {
-            if (each.type() == DnsMessage.SRV) {
+        List<ResourceRecord> additional = new ArrayList<>();
+        for (ResourceRecord resource : includeAdditional ? answers : List.<ResourceRecord>of()) {
+            if (resource.type() == DnsMessage.SRV) {
                 try {
-                    String target = Srv.read(each.data()).target();
-                    along.addAll(of(target, DnsMessage.A));
-                    along.addAll(of(target, DnsMessage.AAAA));
+                    String target = SrvRecord.decode(resource.data()).target();
+                    additional.addAll(recordsOf(target, DnsMessage.A));
+                    additional.addAll(recordsOf(target, DnsMessage.AAAA));
                 } catch (BadDns e) {
-                    throw new IllegalStateException("this zone's own record", e);
+                    throw new IllegalStateException("malformed record in the own zone", e);
                 }
             }
         }
-        return question.answer(DnsMessage.NO_ERROR, answers, List.of()).with(along);
+        return query.reply(DnsMessage.NO_ERROR, answers, List.of()).withAdditional(additional);
     }
 }
--- a/src/main/java/coralcove/dns/transport/DnsClient.java
+++ b/src/main/java/coralcove/dns/transport/DnsClient.java
@@ -20,92 +20,92 @@
 import org.apache.mina.transport.socket.nio.NioSocketConnector;
 
 /**
- * The resolver on Apache MINA: one thread owns it, sockets are connected, each from a port that the
- * system draws, and are replaced after a while. Answers are handed over on the resolver's thread.
+ * The resolver on Apache MINA. One thread owns it and calls back with results. Its UDP sockets are
+ * connected, use ports chosen by the system, and are replaced from time to time.
  */
 public final class DnsClient implements Questions, AutoCloseable {
     /**
-     * Datagrams sent by one socket before it is replaced: a port that is used for long can be
+     * Number of queries after which a socket is replaced, since a port that is used for long can be
      * guessed.
      */
-    private static final int USES = 1000;
+    private static final int MAX_QUERIES_PER_SOCKET = 1000;
 
-    /** Milliseconds to open a stream at most. */
-    private static final int CONNECT = 1000;
+    /** Maximum time to open a TCP connection. */
+    private static final int CONNECT_TIMEOUT_MS = 1000;
 
-    private static final String INDEX = "index";
-    private static final String KEY = "key";
+    private static final String SOCKET_ATTRIBUTE = "index";
+    private static final String STREAM_KEY_ATTRIBUTE = "key";
 
-    /** A socket to one server. */
-    private record Place(int socket, Resolver.Server server) {}
+    /** Identifies a socket that is connected to one server. */
+    private record SocketId(int index, Resolver.Server server) {}
 
-    private static final class Socket {
+    private static final class ClientSocket {
         IoSession session;
         int uses;
     }
 
     private final Resolver resolver;
-    private final long tryFor;
+    private final long attemptTimeout;
     private final ScheduledExecutorService thread;
     private final NioDatagramConnector datagrams = new NioDatagramConnector(1);
     private final NioSocketConnector streams = new NioSocketConnector(1);
-    private final Map<Place, Socket> sockets = new HashMap<>();
-    private final Map<Long, IoSession> open = new HashMap<>();
-    private final Outputs outputs = new Outputs();
-    private long armed = Long.MAX_VALUE;
-
-    public DnsClient(Resolver.Settings settings, RandomGenerator chance) {
-        resolver = new Resolver(settings, chance);
-        tryFor = settings.tryFor();
+    private final Map<SocketId, ClientSocket> sockets = new HashMap<>();
+    private final Map<Long, IoSession> openStreams = new HashMap<>();
+    private final MinaActions actions = new MinaActions();
+    private long nextTickAt = Long.MAX_VALUE;
+
+    public DnsClient(Resolver.Settings settings, RandomGenerator random) {
+        resolver = new Resolver(settings, random);
+        attemptTimeout = settings.attemptTimeout();
         thread =
                 Executors.newSingleThreadScheduledExecutor(
-                        r -> {
-                            Thread made = new Thread(r, "resolver");
-                            made.setDaemon(true);
-                            return made;
+                        task -> {
+                            Thread created = new Thread(task, "resolver");
+                            created.setDaemon(true);
+                            return created;
                         });
-        datagrams.setHandler(new Datagrams());
-        streams.setHandler(new Streams());
-        streams.setConnectTimeoutMillis(CONNECT);
+        datagrams.setHandler(new DatagramHandler());
+        streams.setHandler(new StreamHandler());
+        streams.setConnectTimeoutMillis(CONNECT_TIMEOUT_MS);
     }
 
-    /** µs of a clock that never goes back. */
+    /** Time in µs, by a clock that never goes back. */
     private static long now() {
         return System.nanoTime() / 1000;
     }
 
     /**
-     * Asks; {@code done} is called once, on the resolver's thread. After {@link #close} nothing is
-     * asked.
+     * Sends a query; {@code callback} is called once, on the resolver's thread. After {@link
+     * #close} nothing is sent.
      */
     @Override
-    public void ask(String name, int type, Consumer<Resolver.Result> done) {
-        run(() -> resolver.ask(now(), name, type, done, outputs));
+    public void ask(String name, int type, Consumer<Resolver.Result> callback) {
+        execute(() -> resolver.query(now(), name, type, callback, actions));
     }
 
-    private void run(Runnable act) {
+    private void execute(Runnable task) {
         try {
             thread.execute(
                     () -> {
-                        act.run();
-                        arm();
+                        task.run();
+                        scheduleTick();
                     });
         } catch (RejectedExecutionException e) {
-            // Closed: nobody waits for what comes now.
+            // Closed: nobody waits for a result.
         }
     }
 
-    private void arm() {
-        long due = resolver.due();
-        if (due < armed) {
-            armed = due;
+    private void scheduleTick() {
+        long nextTick = resolver.nextTickAt();
+        if (nextTick < nextTickAt) {
+            nextTickAt = nextTick;
             thread.schedule(
                     () -> {
-                        armed = Long.MAX_VALUE;
-                        resolver.tick(now(), outputs);
-                        arm();
+                        nextTickAt = Long.MAX_VALUE;
+                        resolver.tick(now(), actions);
+                        scheduleTick();
                     },
-                    Math.max(0, due - now()),
+                    Math.max(0, nextTick - now()),
                     TimeUnit.MICROSECONDS);
         }
     }
@@ -117,52 +117,54 @@
         streams.dispose(false);
     }
 
-    private final class Outputs implements Resolver.Out {
+    private final class MinaActions implements Resolver.Actions {
         @Override
-        public void datagram(int index, Resolver.Server to, byte[] bytes) {
-            Socket socket = sockets.computeIfAbsent(new Place(index, to), p -> new Socket());
-            if (socket.session != null && (++socket.uses > USES || !socket.session.isConnected())) {
+        public void sendDatagram(int index, Resolver.Server server, byte[] bytes) {
+            ClientSocket socket =
+                    sockets.computeIfAbsent(new SocketId(index, server), key -> new ClientSocket());
+            if (socket.session != null
+                    && (++socket.uses > MAX_QUERIES_PER_SOCKET || !socket.session.isConnected())) {
                 IoSession old = socket.session;
-                // An answer to its last question may still come.
-                thread.schedule(old::closeNow, tryFor, TimeUnit.MICROSECONDS);
+                // A response to its last query may still arrive.
+                thread.schedule(old::closeNow, attemptTimeout, TimeUnit.MICROSECONDS);
                 socket.session = null;
             }
             if (socket.session == null) {
                 socket.uses = 1;
                 ConnectFuture connected =
-                        datagrams.connect(new InetSocketAddress(to.host(), to.port()));
+                        datagrams.connect(new InetSocketAddress(server.host(), server.port()));
                 connected.awaitUninterruptibly();
                 if (!connected.isConnected()) {
                     return;
                 }
                 socket.session = connected.getSession();
-                socket.session.setAttribute(INDEX, new Place(index, to));
+                socket.session.setAttribute(SOCKET_ATTRIBUTE, new SocketId(index, server));
             }
             socket.session.write(IoBuffer.wrap(bytes));
         }
 
         @Override
-        public void stream(long key, Resolver.Server to, byte[] bytes) {
-            streams.connect(new InetSocketAddress(to.host(), to.port()))
+        public void sendOnStream(long key, Resolver.Server server, byte[] bytes) {
+            streams.connect(new InetSocketAddress(server.host(), server.port()))
                     .addListener(
                             future -> {
-                                ConnectFuture done = (ConnectFuture) future;
-                                if (!done.isConnected()) {
-                                    run(() -> resolver.broken(now(), key, this));
+                                ConnectFuture connected = (ConnectFuture) future;
+                                if (!connected.isConnected()) {
+                                    execute(() -> resolver.streamFailed(now(), key, this));
                                     return;
                                 }
-                                IoSession session = done.getSession();
-                                session.setAttribute(KEY, key);
+                                IoSession session = connected.getSession();
+                                session.setAttribute(STREAM_KEY_ATTRIBUTE, key);
                                 IoBuffer framed = IoBuffer.allocate(bytes.length + 2);
                                 framed.putShort((short) bytes.length).put(bytes).flip();
                                 session.write(framed);
-                                run(() -> open.put(key, session));
+                                execute(() -> openStreams.put(key, session));
                             });
         }
 
         @Override
-        public void close(long key) {
-            IoSession session = open.remove(key);
+        public void closeStream(long key) {
+            IoSession session = openStreams.remove(key);
             if (session != null) {
                 session.closeNow();
             }
@@ -170,46 +172,53 @@
 
         @Override
         @SuppressWarnings("unchecked")
-        public void done(Object owner, Resolver.Result result) {
+        public void completed(Object owner, Resolver.Result result) {
             ((Consumer<Resolver.Result>) owner).accept(result);
         }
     }
 
-    private final class Datagrams extends IoHandlerAdapter {
+    private final class DatagramHandler extends IoHandlerAdapter {
         @Override
         public void messageReceived(IoSession session, Object message) {
             byte[] bytes = Mina.bytes(message);
-            run(
+            execute(
                     () -> {
-                        Place place = (Place) session.getAttribute(INDEX);
-                        resolver.datagram(now(), place.socket, place.server, bytes, outputs);
+                        SocketId socket = (SocketId) session.getAttribute(SOCKET_ATTRIBUTE);
+                        resolver.datagramReceived(
+                                now(), socket.index, socket.server, bytes, actions);
                     });
         }
 
         @Override
         public void exceptionCaught(IoSession session, Throwable cause) {
-            // Nobody listens there (ICMP): the try ends by its time.
+            // No server listens at the address (ICMP): the attempt ends by its timeout.
             session.closeNow();
         }
     }
 
-    private final class Streams extends IoHandlerAdapter {
+    private final class StreamHandler extends IoHandlerAdapter {
         @Override
         public void messageReceived(IoSession session, Object message) {
-            byte[] frame = Frames.take(session, Mina.bytes(message));
+            byte[] frame = StreamFraming.addBytes(session, Mina.bytes(message));
             if (frame != null) {
-                run(() -> resolver.stream(now(), (Long) session.getAttribute(KEY), frame, outputs));
+                execute(
+                        () ->
+                                resolver.streamMessageReceived(
+                                        now(),
+                                        (Long) session.getAttribute(STREAM_KEY_ATTRIBUTE),
+                                        frame,
+                                        actions));
             }
         }
 
         @Override
         public void sessionClosed(IoSession session) {
-            Long key = (Long) session.getAttribute(KEY);
+            Long key = (Long) session.getAttribute(STREAM_KEY_ATTRIBUTE);
             if (key != null) {
-                run(
+                execute(
                         () -> {
-                            open.remove(key);
-                            resolver.broken(now(), key, outputs);
+                            openStreams.remove(key);
+                            resolver.streamFailed(now(), key, actions);
                         });
             }
         }
--- a/src/main/java/coralcove/dns/transport/DnsServer.java
+++ b/src/main/java/coralcove/dns/transport/DnsServer.java
@@ -14,7 +14,7 @@
 import org.apache.mina.transport.socket.nio.NioSocketAcceptor;
 
 /**
- * The stand-in portability server on Apache MINA, UDP and TCP on one port; one thread owns the
+ * The simulated name server on Apache MINA, with UDP and TCP on the same port. One thread owns the
  * server.
  */
 public final class DnsServer implements AutoCloseable {
@@ -23,31 +23,34 @@
     private final NioDatagramAcceptor datagrams = new NioDatagramAcceptor();
     private final NioSocketAcceptor streams = new NioSocketAcceptor(1);
 
-    /** Binds both; a port in use ends in an IOException that names the address. */
+    /**
+     * Listens on UDP and TCP; if the port is in use, throws an IOException that names the address.
+     */
     public DnsServer(String host, int port, DnsStandIn server) throws IOException {
         this.server = server;
         thread =
                 Executors.newSingleThreadScheduledExecutor(
-                        r -> {
-                            Thread made = new Thread(r, "portability");
-                            made.setDaemon(true);
-                            return made;
+                        task -> {
+                            Thread created = new Thread(task, "portability");
+                            created.setDaemon(true);
+                            return created;
                         });
         datagrams.setHandler(new Handler(false));
         streams.setHandler(new Handler(true));
         streams.setReuseAddress(true);
-        InetSocketAddress at = new InetSocketAddress(host, port);
+        InetSocketAddress address = new InetSocketAddress(host, port);
         try {
-            streams.bind(at);
-            datagrams.bind(at);
+            streams.bind(address);
+            datagrams.bind(address);
         } catch (IOException | RuntimeException e) {
             close();
             throw Mina.cannotListen(host, port, e);
         }
     }
 
-    public void misbehave(DnsStandIn.Fault how, long by) {
-        thread.execute(() -> server.misbehave(how, by));
+    /** From now on misbehaves like {@code fault}; {@code delay} (µs) applies to SLOW. */
+    public void misbehave(DnsStandIn.Fault fault, long delay) {
+        thread.execute(() -> server.misbehave(fault, delay));
     }
 
     @Override
@@ -66,12 +69,12 @@
 
         @Override
         public void messageReceived(IoSession session, Object message) {
-            byte[] read = Mina.bytes(message);
-            byte[] question = stream ? Frames.take(session, read) : read;
-            if (question != null && !thread.isShutdown()) {
+            byte[] bytes = Mina.bytes(message);
+            byte[] query = stream ? StreamFraming.addBytes(session, bytes) : bytes;
+            if (query != null && !thread.isShutdown()) {
                 thread.execute(
                         () ->
-                                server.ask(question, stream)
+                                server.handleQuery(query, stream)
                                         .forEach(
                                                 packet ->
                                                         thread.schedule(
--- a/src/main/java/coralcove/network/LadderQueue.java
+++ b/src/main/java/coralcove/network/LadderQueue.java
@@ -6,47 +6,55 @@
 import java.util.List;
 
 /**
- * Events in order of time, then of their coming: a ladder queue (Tang, Goh and Thng, "Ladder queue:
- * an O(1) priority queue structure for large-scale discrete event simulation", 2005). What is far
- * off lies unsorted; as time comes nearer it is spread over buckets, a full bucket over narrower
- * ones, and only a bucket's few events are ever sorted. Adding and taking cost the same however
- * many there are; QueueBench holds it against java.util.PriorityQueue. One thread owns it.
+ * Priority queue of events, ordered by time and then by insertion: a ladder queue (Tang, Goh and
+ * Thng, "Ladder queue: an O(1) priority queue structure for large-scale discrete event simulation",
+ * 2005). Events in the far future are kept unsorted. As their time approaches they are distributed
+ * over the buckets of a rung, large buckets over the narrower buckets of a further rung, and only
+ * buckets of few events are sorted. The cost of adding and taking an event does not depend on the
+ * number of events; QueueBench compares it with java.util.PriorityQueue. Not thread-safe.
  */
 public final class LadderQueue<T> {
-    /** Events that are sorted at once; more of them in one bucket are spread over narrower ones. */
-    private static final int SORTED = 48;
+    /**
+     * Largest number of events in a bucket that is sorted directly; larger buckets are distributed
+     * over a narrower rung.
+     */
+    private static final int SORT_THRESHOLD = 48;
 
-    /** Events in the sorted part from which it is spread: inserting moves half of them. */
-    private static final int MOST_SORTED = 4 * SORTED;
+    /**
+     * Number of events in the sorted part from which it is turned into a rung, as each insertion
+     * moves half of the sorted events.
+     */
+    private static final int MAX_SORTED = 4 * SORT_THRESHOLD;
 
     /**
-     * Rungs at most: each is narrower by the count of its events, so that a few reach single
-     * microseconds.
+     * Maximum number of rungs. The buckets of each rung are narrower by a factor of its event
+     * count, so a few rungs reach a width of 1 µs.
      */
-    private static final int MOST_RUNGS = 10;
+    private static final int MAX_RUNGS = 10;
 
     /**
-     * Buckets of one rung at most; more events share a bucket and are spread again when it comes
-     * up.
+     * Maximum number of buckets in a rung. With more events, several share a bucket and are
+     * distributed again when the bucket is reached.
      */
-    private static final int MOST_BUCKETS = 1 << 16;
+    private static final int MAX_BUCKETS = 1 << 16;
 
     private static final class Node<T> {
-        long at;
-        long order;
+        long time;
+        long sequence;
         T item;
         Node<T> next;
     }
 
     /**
-     * Buckets of equal width from {@code start} on; those before {@code index} have been passed.
+     * Buckets of equal width, beginning at time {@code start}; those before {@code currentBucket}
+     * have been consumed.
      */
     private static final class Rung<T> {
         final long start;
         final long width;
         final List<Node<T>> heads;
         final int[] counts;
-        int index;
+        int currentBucket;
 
         Rung(long start, long width, int buckets) {
             this.start = start;
@@ -55,13 +63,13 @@
             counts = new int[buckets];
         }
 
-        /** The earliest time that still goes here. */
-        long from() {
-            return start + index * width;
+        /** The earliest time that still belongs to this rung. */
+        long earliestTime() {
+            return start + currentBucket * width;
         }
 
         void add(Node<T> node) {
-            int bucket = (int) Math.min(counts.length - 1, (node.at - start) / width);
+            int bucket = (int) Math.min(counts.length - 1, (node.time - start) / width);
             node.next = heads.get(bucket);
             heads.set(bucket, node);
             counts[bucket]++;
@@ -69,29 +77,35 @@
     }
 
     private static final Comparator<Node<?>> BY_TIME =
-            (a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order);
+            (a, b) ->
+                    a.time != b.time
+                            ? Long.compare(a.time, b.time)
+                            : Long.compare(a.sequence, b.sequence);
 
     private final List<Rung<T>> rungs = new ArrayList<>();
 
-    /** Sorted; from {@code first} on not yet taken. */
-    private Node<T>[] bottom = nodes(2 * MOST_SORTED);
+    /** Sorted events; those from {@code bottomStart} to {@code bottomEnd} have not been taken. */
+    private Node<T>[] bottom = newNodes(2 * MAX_SORTED);
 
-    private int first;
-    private int last;
+    private int bottomStart;
+    private int bottomEnd;
 
-    /** Unsorted, from {@code topFrom} on. */
+    /** Unsorted events with times of {@code topStart} or later. */
     private Node<T> top;
 
     private int topCount;
-    private long topLeast;
-    private long topMost;
-    private long topFrom = Long.MIN_VALUE;
-    private Node<T> spare;
-    private long orders;
+    private long topMinTime;
+    private long topMaxTime;
+    private long topStart = Long.MIN_VALUE;
+
+    /** Nodes that can be reused, linked by {@code next}. */
+    private Node<T> freeNodes;
+
+    private long nextSequence;
     private int size;
 
     @SuppressWarnings("unchecked")
-    private static <T> Node<T>[] nodes(int count) {
+    private static <T> Node<T>[] newNodes(int count) {
         return (Node<T>[]) new Node<?>[count];
     }
 
@@ -103,166 +117,179 @@
         return size == 0;
     }
 
-    /** Adds an event; times need not lie after those taken before, which then come next. */
-    public void add(long at, T item) {
-        Node<T> node = spare;
+    /**
+     * Adds an event. A time earlier than that of events already taken is allowed; such an event
+     * comes next.
+     */
+    public void add(long time, T item) {
+        Node<T> node = freeNodes;
         if (node == null) {
             node = new Node<>();
         } else {
-            spare = node.next;
+            freeNodes = node.next;
         }
-        node.at = at;
-        node.order = orders++;
+        node.time = time;
+        node.sequence = nextSequence++;
         node.item = item;
         node.next = null;
         if (size++ == 0) {
-            topFrom = Long.MIN_VALUE;
+            topStart = Long.MIN_VALUE;
             rungs.clear();
         }
-        place(node);
+        enqueue(node);
     }
 
-    private void place(Node<T> node) {
-        if (node.at >= topFrom) {
-            topLeast = topCount == 0 ? node.at : Math.min(topLeast, node.at);
-            topMost = topCount == 0 ? node.at : Math.max(topMost, node.at);
+    private void enqueue(Node<T> node) {
+        if (node.time >= topStart) {
+            topMinTime = topCount == 0 ? node.time : Math.min(topMinTime, node.time);
+            topMaxTime = topCount == 0 ? node.time : Math.max(topMaxTime, node.time);
             node.next = top;
             top = node;
             topCount++;
             return;
         }
         for (Rung<T> rung : rungs) {
-            if (node.at >= rung.from() && rung.index < rung.counts.length) {
+            if (node.time >= rung.earliestTime() && rung.currentBucket < rung.counts.length) {
                 rung.add(node);
                 return;
             }
         }
-        insert(node);
+        insertSorted(node);
     }
 
-    private void insert(Node<T> node) {
-        if (last - first >= MOST_SORTED
-                && bottom[first].at < bottom[last - 1].at
-                && rungs.size() < MOST_RUNGS) {
-            // Many events of the near future: the sorted part goes on as a rung of its own below
-            // all others.
-            Rung<T> rung = rung(bottom[first].at, bottom[last - 1].at, last - first);
-            for (int i = first; i < last; i++) {
+    private void insertSorted(Node<T> node) {
+        if (bottomEnd - bottomStart >= MAX_SORTED
+                && bottom[bottomStart].time < bottom[bottomEnd - 1].time
+                && rungs.size() < MAX_RUNGS) {
+            // Many events in the near future: the sorted part becomes a new rung below all others.
+            Rung<T> rung =
+                    newRung(
+                            bottom[bottomStart].time,
+                            bottom[bottomEnd - 1].time,
+                            bottomEnd - bottomStart);
+            for (int i = bottomStart; i < bottomEnd; i++) {
                 rung.add(bottom[i]);
                 bottom[i] = null;
             }
-            first = 0;
-            last = 0;
+            bottomStart = 0;
+            bottomEnd = 0;
             rungs.add(rung);
-            if (node.at >= rung.from()) {
+            if (node.time >= rung.earliestTime()) {
                 rung.add(node);
                 return;
             }
         }
-        if (last == bottom.length) {
-            room();
+        if (bottomEnd == bottom.length) {
+            makeRoom();
         }
-        int at = last;
-        while (at > first && bottom[at - 1].at > node.at) {
-            bottom[at] = bottom[at - 1];
-            at--;
+        int position = bottomEnd;
+        while (position > bottomStart && bottom[position - 1].time > node.time) {
+            bottom[position] = bottom[position - 1];
+            position--;
         }
-        bottom[at] = node;
-        last++;
+        bottom[position] = node;
+        bottomEnd++;
     }
 
-    /** Moves the sorted part to the front, into twice the room if it fills more than half. */
-    private void room() {
-        Node<T>[] to = last - first > bottom.length / 2 ? nodes(2 * bottom.length) : bottom;
-        System.arraycopy(bottom, first, to, 0, last - first);
-        if (to == bottom) {
-            Arrays.fill(bottom, last - first, last, null);
+    /**
+     * Moves the sorted part to the front of the array, and to an array of twice the size if more
+     * than half is in use.
+     */
+    private void makeRoom() {
+        Node<T>[] target =
+                bottomEnd - bottomStart > bottom.length / 2 ? newNodes(2 * bottom.length) : bottom;
+        System.arraycopy(bottom, bottomStart, target, 0, bottomEnd - bottomStart);
+        if (target == bottom) {
+            Arrays.fill(bottom, bottomEnd - bottomStart, bottomEnd, null);
         }
-        last -= first;
-        first = 0;
-        bottom = to;
+        bottomEnd -= bottomStart;
+        bottomStart = 0;
+        bottom = target;
     }
 
-    private Rung<T> rung(long least, long most, int count) {
-        int buckets = Math.max(1, Math.min(MOST_BUCKETS, count));
-        long width = Math.max(1, (most - least) / buckets + 1);
-        return new Rung<>(least, width, (int) Math.min(buckets, (most - least) / width + 1));
+    private Rung<T> newRung(long minTime, long maxTime, int count) {
+        int buckets = Math.max(1, Math.min(MAX_BUCKETS, count));
+        long width = Math.max(1, (maxTime - minTime) / buckets + 1);
+        return new Rung<>(minTime, width, (int) Math.min(buckets, (maxTime - minTime) / width + 1));
     }
 
-    /** The time of the next event; asked only if there is one. */
-    public long nextAt() {
-        fill();
-        return bottom[first].at;
+    /** The time of the next event. The queue must not be empty. */
+    public long nextTime() {
+        refillBottom();
+        return bottom[bottomStart].time;
     }
 
-    /** Takes the next event, or null if there is none. */
+    /** Removes and returns the next event, or returns null if the queue is empty. */
     public T poll() {
         if (size == 0) {
             return null;
         }
-        fill();
-        Node<T> node = bottom[first];
-        bottom[first++] = null;
+        refillBottom();
+        Node<T> node = bottom[bottomStart];
+        bottom[bottomStart++] = null;
         size--;
         T item = node.item;
         node.item = null;
-        node.next = spare;
-        spare = node;
+        node.next = freeNodes;
+        freeNodes = node;
         return item;
     }
 
-    /** Sorts the next bucket if nothing sorted is left. */
-    private void fill() {
-        while (first == last) {
-            first = 0;
-            last = 0;
+    /**
+     * If the sorted part is empty, refills it from the next bucket. The queue must not be empty.
+     */
+    private void refillBottom() {
+        while (bottomStart == bottomEnd) {
+            bottomStart = 0;
+            bottomEnd = 0;
             if (rungs.isEmpty()) {
-                Rung<T> rung = rung(topLeast, topMost, topCount);
-                spread(top, rung);
-                topFrom = topMost + 1;
+                Rung<T> rung = newRung(topMinTime, topMaxTime, topCount);
+                distribute(top, rung);
+                topStart = topMaxTime + 1;
                 top = null;
                 topCount = 0;
                 rungs.add(rung);
             }
             Rung<T> rung = rungs.get(rungs.size() - 1);
-            while (rung.index < rung.counts.length && rung.counts[rung.index] == 0) {
-                rung.index++;
+            while (rung.currentBucket < rung.counts.length
+                    && rung.counts[rung.currentBucket] == 0) {
+                rung.currentBucket++;
             }
-            if (rung.index == rung.counts.length) {
+            if (rung.currentBucket == rung.counts.length) {
                 rungs.remove(rungs.size() - 1);
                 continue;
             }
-            Node<T> list = rung.heads.get(rung.index);
-            int count = rung.counts[rung.index];
-            long start = rung.from();
-            rung.heads.set(rung.index, null);
-            rung.counts[rung.index] = 0;
-            rung.index++;
-            if (count > SORTED && rung.width > 1 && rungs.size() < MOST_RUNGS) {
-                Rung<T> narrower = rung(start, start + rung.width - 1, count);
-                spread(list, narrower);
+            Node<T> list = rung.heads.get(rung.currentBucket);
+            int count = rung.counts[rung.currentBucket];
+            long start = rung.earliestTime();
+            rung.heads.set(rung.currentBucket, null);
+            rung.counts[rung.currentBucket] = 0;
+            rung.currentBucket++;
+            if (count > SORT_THRESHOLD && rung.width > 1 && rungs.size() < MAX_RUNGS) {
+                Rung<T> narrower = newRung(start, start + rung.width - 1, count);
+                distribute(list, narrower);
                 rungs.add(narrower);
             } else {
-                sort(list, count);
+                sortIntoBottom(list, count);
             }
         }
     }
 
-    private void spread(Node<T> list, Rung<T> over) {
+    private void distribute(Node<T> list, Rung<T> rung) {
         Node<T> node = list;
         while (node != null) {
             Node<T> next = node.next;
-            over.add(node);
+            rung.add(node);
             node = next;
         }
     }
 
-    private void sort(Node<T> list, int count) {
+    private void sortIntoBottom(Node<T> list, int count) {
         if (count > bottom.length) {
-            bottom = nodes(2 * count);
+            bottom = newNodes(2 * count);
         }
         for (Node<T> node = list; node != null; node = node.next) {
-            bottom[last++] = node;
+            bottom[bottomEnd++] = node;
         }
         if (count > 1) {
             Arrays.sort(bottom, 0, count, BY_TIME);
--- a/src/main/java/coralcove/network/LiveNetwork.java
+++ b/src/main/java/coralcove/network/LiveNetwork.java
@@ -21,24 +21,28 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Cores on real sockets: one thread a node owns its core; MINA's threads hand it what they read.
+ * Runs cores on real sockets. Each node has one thread, which owns its core; MINA's threads queue
+ * the messages that they read.
  */
 public final class LiveNetwork implements Network, AutoCloseable {
-    /** µs: the longest nap of a node's thread without a timer. */
-    private static final long LONGEST_NAP = 100_000;
+    /** Longest time for which a node's thread waits for input when no timer expires. */
+    private static final long MAX_WAIT_US = 100_000;
 
-    /** Inputs taken between two looks at the timers. */
-    private static final int BATCH = 64;
+    /** Number of inputs processed between two checks of the timers. */
+    private static final int INPUTS_PER_TIMER_CHECK = 64;
 
     /**
-     * Answers taken before the timers at most, so that a flood of them puts no timer off for long.
+     * Maximum number of queued responses processed before the timers, so that a flood of responses
+     * delays no timer for long.
      */
-    private static final int ANSWERS = 5000;
+    private static final int MAX_RESPONSES_BEFORE_TIMERS = 5000;
 
-    private static final long STARTED =
+    /** Offset of {@link System#nanoTime} from the epoch. */
+    private static final long CLOCK_OFFSET_US =
             System.currentTimeMillis() * 1000 - System.nanoTime() / 1000;
 
-    private record Later(long at, long order, Runnable act) {}
+    /** An action to run at {@code time}; {@code sequence} orders actions of equal time. */
+    private record ScheduledAction(long time, long sequence, Runnable action) {}
 
     private final class Node implements Out, Sockets.Listener, Runnable {
         final String name;
@@ -46,8 +50,8 @@
         final boolean tapped;
         final Sockets sockets;
         final Logger log;
-        final RandomGenerator chance;
-        final Inbox inbox = new Inbox();
+        final RandomGenerator random;
+        final InputQueue inputQueue = new InputQueue();
         final Thread thread;
         volatile boolean alive = true;
 
@@ -56,7 +60,7 @@
             this.core = core;
             this.tapped = tapped;
             log = LoggerFactory.getLogger(name);
-            chance = new SplittableRandom(seed * 31 + name.hashCode());
+            random = new SplittableRandom(seed * 31 + name.hashCode());
             sockets = new Sockets(self, this);
             thread = new Thread(this, name);
         }
@@ -64,17 +68,19 @@
         @Override
         public void run() {
             core.start(now(), this);
-            int looked = 0;
+            int inputsSinceTimerCheck = 0;
             while (alive) {
                 try {
-                    long nap = Math.max(0, Math.min(LONGEST_NAP, core.due() - now()));
-                    Inbox.Input input = inbox.next(nap);
+                    long timeout = Math.max(0, Math.min(MAX_WAIT_US, core.due() - now()));
+                    InputQueue.Input input = inputQueue.awaitNext(timeout);
                     if (input != null) {
-                        look(input);
+                        process(input);
                     }
-                    if (alive && (input == null || ++looked >= BATCH) && core.due() <= now()) {
-                        looked = 0;
-                        settle();
+                    if (alive
+                            && (input == null || ++inputsSinceTimerCheck >= INPUTS_PER_TIMER_CHECK)
+                            && core.due() <= now()) {
+                        inputsSinceTimerCheck = 0;
+                        processQueuedResponses();
                         core.tick(now(), this);
                     }
                 } catch (InterruptedException e) {
@@ -86,58 +92,59 @@
         }
 
         /**
-         * An INVITE whose answer lay in the inbox was sent again when its timer was looked at
-         * first.
+         * Processes queued responses before timers are checked: otherwise an INVITE would be
+         * retransmitted although its response is already in the queue.
          */
-        private void settle() {
-            for (int i = 0; i < ANSWERS && alive; i++) {
-                Inbox.Input answer = inbox.answer();
-                if (answer == null) {
+        private void processQueuedResponses() {
+            for (int i = 0; i < MAX_RESPONSES_BEFORE_TIMERS && alive; i++) {
+                InputQueue.Input response = inputQueue.pollResponse();
+                if (response == null) {
                     return;
                 }
-                look(answer);
+                process(response);
             }
         }
 
-        private void look(Inbox.Input input) {
+        private void process(InputQueue.Input input) {
             long now = now();
-            if (input.act() != null) {
-                input.act().run(now, this);
+            if (input.action() != null) {
+                input.action().run(now, this);
                 return;
             }
             try {
                 SipMessage message = SipParser.parse(input.bytes(), 0, input.bytes().length);
                 boolean setUp = message.method().equals("INVITE") && message.toTag().isEmpty();
                 if (setUp
-                        && inbox.look(now, input, core.repeat(message)) == Gate.Verdict.TURN_AWAY) {
-                    core.turnAway(now, input.from(), message, inbox.comeBack(), this);
+                        && inputQueue.decideSetUp(now, input, core.repeat(message))
+                                == Gate.Verdict.TURN_AWAY) {
+                    core.turnAway(now, input.source(), message, inputQueue.retryAfter(), this);
                 } else {
-                    core.receive(now, input.from(), message, this);
+                    core.receive(now, input.source(), message, this);
                 }
             } catch (BadMessage e) {
-                core.malformed(now, input.from(), e, this);
+                core.malformed(now, input.source(), e, this);
             }
         }
 
-        private void hand(Act act) {
-            inbox.act(act, now());
+        private void submit(Act action) {
+            inputQueue.addAction(action, now());
         }
 
         @Override
-        public void read(Hop from, byte[] bytes) {
-            long at = now();
-            if (tapped && tap != null && alive) {
-                tap.message(at, name, false, from, bytes);
+        public void read(Hop source, byte[] bytes) {
+            long receivedAt = now();
+            if (tapped && observer != null && alive) {
+                observer.message(receivedAt, name, false, source, bytes);
             }
-            inbox.read(from, bytes, at);
+            inputQueue.offerMessage(source, bytes, receivedAt);
         }
 
         @Override
         public void broken(Hop peer, boolean refused) {
-            if (tapped && tap != null && alive) {
-                tap.broken(now(), name, peer, refused);
+            if (tapped && observer != null && alive) {
+                observer.broken(now(), name, peer, refused);
             }
-            hand((now, out) -> core.broken(now, peer, refused, out));
+            submit((now, out) -> core.broken(now, peer, refused, out));
         }
 
         @Override
@@ -146,30 +153,30 @@
         }
 
         @Override
-        public void send(Hop to, SipMessage message) {
+        public void send(Hop destination, SipMessage message) {
             if (!alive) {
                 return;
             }
             byte[] bytes = message.bytes();
-            if (tapped && tap != null) {
-                tap.message(now(), name, true, to, bytes);
+            if (tapped && observer != null) {
+                observer.message(now(), name, true, destination, bytes);
             }
-            String target = names.get(to.port());
-            if (target != null && cuts.between(name, target)) {
+            String targetName = namesByPort.get(destination.port());
+            if (targetName != null && partitions.isPartitioned(name, targetName)) {
                 return;
             }
-            if (!to.tcp()) {
-                double drawn = chance.nextDouble();
-                if (drawn >= weather.loss()) {
-                    sockets.send(to, bytes);
-                    if (drawn > 1 - weather.doubled()) {
-                        sockets.send(to, bytes);
+            if (!destination.tcp()) {
+                double draw = random.nextDouble();
+                if (draw >= conditions.loss()) {
+                    sockets.send(destination, bytes);
+                    if (draw > 1 - conditions.duplicated()) {
+                        sockets.send(destination, bytes);
                     }
                 }
             } else {
-                sockets.send(to, bytes);
-                if (weather.reset() > 0 && chance.nextDouble() < weather.reset()) {
-                    sockets.cut(to);
+                sockets.send(destination, bytes);
+                if (conditions.reset() > 0 && random.nextDouble() < conditions.reset()) {
+                    sockets.cut(destination);
                 }
             }
         }
@@ -184,45 +191,45 @@
             }
         }
 
-        void end() {
+        void shutDown() {
             alive = false;
             thread.interrupt();
             sockets.close();
         }
     }
 
-    private final Tap tap;
-    private final Weather weather;
+    private final Tap observer;
+    private final Weather conditions;
     private final long seed;
     private final Map<String, Node> nodes = new ConcurrentHashMap<>();
-    private final Map<Integer, String> names = new ConcurrentHashMap<>();
-    private final Cuts cuts = new Cuts();
-    private final PriorityQueue<Later> later =
+    private final Map<Integer, String> namesByPort = new ConcurrentHashMap<>();
+    private final NetworkPartitions partitions = new NetworkPartitions();
+    private final PriorityQueue<ScheduledAction> scheduledActions =
             new PriorityQueue<>(
                     (a, b) ->
-                            a.at != b.at
-                                    ? Long.compare(a.at, b.at)
-                                    : Long.compare(a.order, b.order));
-    private long order;
+                            a.time != b.time
+                                    ? Long.compare(a.time, b.time)
+                                    : Long.compare(a.sequence, b.sequence));
+    private long nextSequence;
 
-    /** {@code tap} hears on many threads, and may be null. */
-    public LiveNetwork(Tap tap) {
-        this(tap, Weather.FAIR, 1);
+    /** A network without faults. {@code observer} is called on many threads and may be null. */
+    public LiveNetwork(Tap observer) {
+        this(observer, Weather.FAIR, 1);
     }
 
     /**
-     * The same with datagrams lost and doubled, and streams cut, as {@code weather} has it; its
-     * delays are not used.
+     * A network that loses and duplicates datagrams and resets streams with the probabilities of
+     * {@code conditions}; its delays are not used.
      */
-    public LiveNetwork(Tap tap, Weather weather, long seed) {
-        this.tap = tap;
-        this.weather = weather;
+    public LiveNetwork(Tap observer, Weather conditions, long seed) {
+        this.observer = observer;
+        this.conditions = conditions;
         this.seed = seed;
     }
 
-    /** µs since the epoch, by a clock that never goes back. */
+    /** Time in µs since the epoch, by a clock that never goes back. */
     public static long clock() {
-        return STARTED + System.nanoTime() / 1000;
+        return CLOCK_OFFSET_US + System.nanoTime() / 1000;
     }
 
     @Override
@@ -235,7 +242,7 @@
         try {
             Node node = new Node(name, self, core, tapped);
             nodes.put(name, node);
-            names.put(self.port(), name);
+            namesByPort.put(self.port(), name);
             node.thread.start();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
@@ -246,40 +253,41 @@
     public void kill(String name) {
         Node node = nodes.remove(name);
         if (node != null) {
-            node.end();
+            node.shutDown();
         }
     }
 
     @Override
-    public void on(String name, Act act) {
+    public void on(String name, Act action) {
         Node node = nodes.get(name);
         if (node != null) {
-            node.hand(act);
+            node.submit(action);
         }
     }
 
     @Override
-    public void cut(String one, String other, boolean off) {
-        cuts.set(one, other, off);
+    public void cut(String one, String other, boolean partitioned) {
+        partitions.setPartitioned(one, other, partitioned);
     }
 
-    /** Inputs that were dropped at full inboxes. */
+    /** Number of messages dropped because a node's input queue was full. */
     public long dropped() {
-        return nodes.values().stream().mapToLong(n -> n.inbox.dropped()).sum();
+        return nodes.values().stream().mapToLong(node -> node.inputQueue.dropped()).sum();
     }
 
     @Override
-    public void at(long time, Runnable act) {
-        later.add(new Later(time, order++, act));
+    public void at(long time, Runnable action) {
+        scheduledActions.add(new ScheduledAction(time, nextSequence++, action));
     }
 
     @Override
     public void run(long end) {
         while (now() < end) {
-            while (!later.isEmpty() && later.peek().at <= now()) {
-                later.poll().act.run();
+            while (!scheduledActions.isEmpty() && scheduledActions.peek().time <= now()) {
+                scheduledActions.poll().action.run();
             }
-            long next = Math.min(end, later.isEmpty() ? end : later.peek().at);
+            long next =
+                    Math.min(end, scheduledActions.isEmpty() ? end : scheduledActions.peek().time);
             try {
                 TimeUnit.MICROSECONDS.sleep(Math.max(0, Math.min(50_000, next - now())));
             } catch (InterruptedException e) {
--- a/src/main/java/coralcove/network/Network.java
+++ b/src/main/java/coralcove/network/Network.java
@@ -6,46 +6,62 @@
 import coralcove.sip.SipMessage;
 
 /**
- * Where cores run: sockets and a clock, or a seeded network in virtual time. Both run the same
- * classes.
+ * Runs cores and carries their messages: over real sockets and the system clock, or over a seeded
+ * network in virtual time. The cores are the same classes in both.
  */
 public interface Network {
-    /** What a day does to a core at a moment, on the core's own thread. */
+    /** An action on a core, run on the core's own thread. */
     interface Act {
         void run(long now, Out out);
     }
 
-    /** Hears of every message that a tapped node sends or reads, with its time. */
+    /** Observes every message that a tapped node sends or receives. Times are in µs. */
     interface Tap {
+        /** A message was sent ({@code out}) to {@code peer} or received from it. */
         void message(long now, String node, boolean out, Hop peer, byte[] bytes);
 
-        /** The same where messages cross as they are, without their text; it is not kept. */
+        /**
+         * The same for networks that pass message objects without encoding them. The message must
+         * not be retained.
+         */
         default void message(long now, String node, boolean out, Hop peer, SipMessage message) {
             message(now, node, out, peer, message.bytes());
         }
 
-        /** A stream of a tapped node broke, or ({@code refused}) could not be opened. */
+        /** A stream of a tapped node broke, or could not be opened ({@code refused}). */
         void broken(long now, String node, Hop peer, boolean refused);
     }
 
     /**
-     * Starts a core as the node {@code name}, reached over UDP and TCP at {@code self}'s address.
+     * Starts a core as the node {@code name}, reachable over UDP and TCP at {@code self}. If {@code
+     * tapped}, the observer is informed of its messages.
      */
     void add(String name, Hop self, Core core, boolean tapped);
 
-    /** Ends a node as a kill does: nothing more of it is sent, and what comes for it is lost. */
+    /**
+     * Ends a node abruptly, as killing its process would: it sends nothing more, and messages for
+     * it are lost.
+     */
     void kill(String name);
 
-    void on(String name, Act act);
+    /**
+     * Runs {@code action} on the thread of the node {@code name}; does nothing if there is no such
+     * node.
+     */
+    void on(String name, Act action);
 
-    /** From now on ({@code off}), or no longer, nothing passes between two nodes, either way. */
-    void cut(String one, String other, boolean off);
+    /**
+     * Starts a network partition between two nodes in both directions, or ends it if {@code
+     * partitioned} is false.
+     */
+    void cut(String one, String other, boolean partitioned);
 
-    /** Runs {@code act} at a moment, outside any core. */
-    void at(long time, Runnable act);
+    /** Runs {@code action} at {@code time} (µs), outside any core. */
+    void at(long time, Runnable action);
 
+    /** The current time in µs. */
     long now();
 
-    /** Goes on until {@code end}. */
+    /** Runs until the time {@code end}. */
     void run(long end);
 }
--- a/src/main/java/coralcove/network/VirtualDns.java
+++ b/src/main/java/coralcove/network/VirtualDns.java
@@ -6,81 +6,83 @@
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
 
-/** One node's resolver in virtual time, before a stand-in server over a path that loses nothing. */
-public final class VirtualDns implements Questions, Resolver.Out {
+/**
+ * One node's resolver in virtual time, connected to a simulated server over a network without loss.
+ */
+public final class VirtualDns implements Questions, Resolver.Actions {
     private final Network network;
     private final DnsStandIn server;
     private final Resolver resolver;
-    private long armed = Long.MAX_VALUE;
+    private long nextTickAt = Long.MAX_VALUE;
 
     public VirtualDns(
             Network network,
             DnsStandIn server,
             Resolver.Settings settings,
-            RandomGenerator chance) {
+            RandomGenerator random) {
         this.network = network;
         this.server = server;
-        resolver = new Resolver(settings, chance);
+        resolver = new Resolver(settings, random);
     }
 
     @Override
-    public void ask(String name, int type, Consumer<Resolver.Result> done) {
-        resolver.ask(network.now(), name, type, done, this);
-        arm();
+    public void ask(String name, int type, Consumer<Resolver.Result> callback) {
+        resolver.query(network.now(), name, type, callback, this);
+        scheduleTick();
     }
 
-    private void arm() {
-        long due = resolver.due();
-        if (due < armed) {
-            armed = due;
+    private void scheduleTick() {
+        long nextTick = resolver.nextTickAt();
+        if (nextTick < nextTickAt) {
+            nextTickAt = nextTick;
             network.at(
-                    due,
+                    nextTick,
                     () -> {
-                        armed = Long.MAX_VALUE;
+                        nextTickAt = Long.MAX_VALUE;
                         resolver.tick(network.now(), this);
-                        arm();
+                        scheduleTick();
                     });
         }
     }
 
     @Override
-    public void datagram(int socket, Resolver.Server to, byte[] bytes) {
-        server.ask(bytes, false)
+    public void sendDatagram(int socket, Resolver.Server to, byte[] bytes) {
+        server.handleQuery(bytes, false)
                 .forEach(
                         packet ->
                                 network.at(
                                         network.now() + packet.delay(),
                                         () -> {
-                                            resolver.datagram(
+                                            resolver.datagramReceived(
                                                     network.now(),
                                                     socket,
                                                     to,
                                                     packet.bytes(),
                                                     this);
-                                            arm();
+                                            scheduleTick();
                                         }));
     }
 
     @Override
-    public void stream(long key, Resolver.Server to, byte[] bytes) {
-        server.ask(bytes, true)
+    public void sendOnStream(long key, Resolver.Server to, byte[] bytes) {
+        server.handleQuery(bytes, true)
                 .forEach(
                         packet ->
                                 network.at(
                                         network.now() + packet.delay(),
                                         () -> {
-                                            resolver.stream(
+                                            resolver.streamMessageReceived(
                                                     network.now(), key, packet.bytes(), this);
-                                            arm();
+                                            scheduleTick();
                                         }));
     }
 
     @Override
-    public void close(long key) {}
+    public void closeStream(long key) {}
 
     @Override
     @SuppressWarnings("unchecked")
-    public void done(Object owner, Resolver.Result result) {
+    public void completed(Object owner, Resolver.Result result) {
         ((Consumer<Resolver.Result>) owner).accept(result);
     }
 }
--- a/src/main/java/coralcove/network/VirtualNetwork.java
+++ b/src/main/java/coralcove/network/VirtualNetwork.java
@@ -13,36 +13,39 @@
 import java.util.random.RandomGenerator;
 
 /**
- * A seeded network in virtual time: datagrams are delayed, lost, doubled and put out of order;
- * streams keep their order and break. Messages cross it as bytes, so that the whole path is run, or
- * by a shortcut as they are, with the same actions at the same moments. Equal seeds give equal
- * runs.
+ * A seeded network in virtual time. Datagrams are delayed, lost, duplicated and reordered; streams
+ * keep their order and may break. Messages are carried either as encoded bytes, so that encoding
+ * and parsing are exercised, or as message objects, with the same actions at the same times. Runs
+ * with equal seeds are equal.
  */
 public final class VirtualNetwork implements Network {
     /**
-     * How the network treats messages: delays in µs one way, shares of datagrams, breaks per stream
-     * message.
+     * Delays (one way, in µs; {@code jitter} is the largest relative deviation) and fault rates:
+     * the share of datagrams that are lost, duplicated and reordered, and the probability per
+     * stream message that the stream breaks ({@code reset}). The site of a node is the part of its
+     * name after the first hyphen.
      */
     public record Weather(
-            long near,
-            long same,
-            long cross,
+            long sameSiteDelay,
+            long sameZoneDelay,
+            long crossZoneDelay,
             double jitter,
             double loss,
-            double doubled,
-            double late,
+            double duplicated,
+            double reordered,
             double reset) {
+        /** Conditions without faults. */
         public static final Weather FAIR = new Weather(100, 1000, 3000, 0.1, 0, 0, 0, 0);
     }
 
-    /** µs: how much later a datagram is that is put out of order, at most. */
-    private static final long LATE_MOST = 50_000;
+    /** Maximum extra delay of a reordered or duplicated datagram. */
+    private static final long MAX_EXTRA_DELAY_US = 50_000;
 
     /**
-     * Messages in flight at most: past this datagrams are lost, as queues in a real network
-     * overflow.
+     * Maximum number of pending events. Above it datagrams are lost, as when queues in a real
+     * network overflow.
      */
-    private static final int MOST = 2_000_000;
+    private static final int MAX_PENDING_EVENTS = 2_000_000;
 
     private final class Node implements Out {
         final String name;
@@ -52,7 +55,7 @@
         final int zone;
         final String site;
         boolean alive = true;
-        long wake = Long.MAX_VALUE;
+        long nextWakeUp = Long.MAX_VALUE;
 
         Node(String name, Hop self, Core core, boolean tapped, int zone) {
             this.name = name;
@@ -65,108 +68,117 @@
 
         @Override
         public void send(Hop to, SipMessage message) {
-            Parcel parcel =
-                    text ? new Parcel(message.bytes(), null) : new Parcel(null, message.copy());
-            if (tapped && tap != null) {
-                tell(name, true, to, parcel);
+            Packet packet =
+                    serialized
+                            ? new Packet(message.bytes(), null)
+                            : new Packet(null, message.copy());
+            if (tapped && observer != null) {
+                notifyObserver(name, true, to, packet);
             }
-            carry(this, to, parcel);
+            transmit(this, to, packet);
         }
 
         @Override
         public void log(String event, String session, String detail) {
-            if (log != null) {
-                log.line(now, name, event, session, detail);
+            if (logListener != null) {
+                logListener.line(now, name, event, session, detail);
             }
         }
     }
 
-    /** A message on its way: its text, or the message itself. */
-    private record Parcel(byte[] bytes, SipMessage message) {}
+    /** A message in transit: either its encoded bytes or the message itself. */
+    private record Packet(byte[] bytes, SipMessage message) {}
 
-    /** Hears of every log line. */
+    /** Receives every log line of the nodes. */
     public interface Log {
+        /** A node logged an event at {@code now} (µs). */
         void line(long now, String node, String event, String session, String detail);
     }
 
-    private final Weather weather;
-    private final RandomGenerator chance;
-    private final Tap tap;
-    private final Log log;
+    private final Weather conditions;
+    private final RandomGenerator random;
+    private final Tap observer;
+    private final Log logListener;
     private final Map<String, Integer> zones;
     private final LadderQueue<Runnable> events = new LadderQueue<>();
-    private final boolean text;
-    private final Map<String, Node> byName = new LinkedHashMap<>();
-    private final Map<Integer, Node> byPort = new HashMap<>();
-    private final Map<Long, Long> lastInStream = new HashMap<>();
-    private final Cuts cuts = new Cuts();
+    private final boolean serialized;
+    private final Map<String, Node> nodesByName = new LinkedHashMap<>();
+    private final Map<Integer, Node> nodesByPort = new HashMap<>();
+    private final Map<Long, Long> lastArrivalByStream = new HashMap<>();
+    private final NetworkPartitions partitions = new NetworkPartitions();
     private long now;
     private long carried;
 
     /**
-     * {@code zones} are the districts of nodes by name; {@code tap} and {@code log} may be null.
+     * A network whose virtual clock begins at {@code start} (µs). {@code zones} maps node names to
+     * zones; nodes not named are in zone 0. {@code observer} and {@code logListener} may be null.
      */
     public VirtualNetwork(
-            long start, long seed, Weather weather, Map<String, Integer> zones, Tap tap, Log log) {
-        this(start, seed, weather, zones, tap, log, true);
+            long start,
+            long seed,
+            Weather conditions,
+            Map<String, Integer> zones,
+            Tap observer,
+            Log logListener) {
+        this(start, seed, conditions, zones, observer, logListener, true);
     }
 
     /**
-     * Without {@code text} messages are neither written nor read: what cannot be read never comes
-     * up.
+     * As above. If {@code serialized} is false, messages are carried without being encoded or
+     * parsed, so malformed messages cannot occur.
      */
     public VirtualNetwork(
             long start,
             long seed,
-            Weather weather,
+            Weather conditions,
             Map<String, Integer> zones,
-            Tap tap,
-            Log log,
-            boolean text) {
-        this.text = text;
+            Tap observer,
+            Log logListener,
+            boolean serialized) {
+        this.serialized = serialized;
         now = start;
-        chance = new SplittableRandom(seed);
-        this.weather = weather;
+        random = new SplittableRandom(seed);
+        this.conditions = conditions;
         this.zones = zones;
-        this.tap = tap;
-        this.log = log;
+        this.observer = observer;
+        this.logListener = logListener;
     }
 
     @Override
     public void add(String name, Hop self, Core core, boolean tapped) {
         Node node = new Node(name, self, core, tapped, zones.getOrDefault(name, 0));
-        byName.put(name, node);
-        byPort.put(self.port(), node);
+        nodesByName.put(name, node);
+        nodesByPort.put(self.port(), node);
         core.start(now, node);
-        arm(node);
+        scheduleWakeUp(node);
     }
 
     @Override
     public void kill(String name) {
-        Node node = byName.remove(name);
+        Node node = nodesByName.remove(name);
         if (node != null) {
             node.alive = false;
-            byPort.remove(node.self.port(), node);
+            nodesByPort.remove(node.self.port(), node);
         }
     }
 
     @Override
-    public void on(String name, Act act) {
-        Node node = byName.get(name);
+    public void on(String name, Act action) {
+        Node node = nodesByName.get(name);
         if (node != null) {
-            act.run(now, node);
-            arm(node);
+            action.run(now, node);
+            scheduleWakeUp(node);
         }
     }
 
     @Override
-    public void cut(String one, String other, boolean off) {
-        cuts.set(one, other, off);
+    public void cut(String one, String other, boolean partitioned) {
+        partitions.setPartitioned(one, other, partitioned);
     }
 
     @Override
-    public void at(long time, Runnable act) {
-        events.add(Math.max(now, time), act);
+    public void at(long time, Runnable action) {
+        events.add(Math.max(now, time), action);
     }
 
     @Override
@@ -174,132 +186,136 @@
         return now;
     }
 
-    /** Messages carried so far. */
+    /** Number of messages sent so far, including those that were lost. */
     public long carried() {
         return carried;
     }
 
     @Override
     public void run(long end) {
-        while (!events.isEmpty() && events.nextAt() <= end) {
-            now = events.nextAt();
+        while (!events.isEmpty() && events.nextTime() <= end) {
+            now = events.nextTime();
             events.poll().run();
         }
         now = Math.max(now, end);
     }
 
-    private void arm(Node node) {
-        long due = node.core.due();
-        if (node.alive && due < node.wake) {
-            long wanted = Math.max(now, due);
-            node.wake = wanted;
-            // The moment is kept as it is now: one read when it comes would let stale wakes
-            // multiply.
-            at(wanted, () -> wake(node, wanted));
+    private void scheduleWakeUp(Node node) {
+        long nextTick = node.core.due();
+        if (node.alive && nextTick < node.nextWakeUp) {
+            long wakeUpAt = Math.max(now, nextTick);
+            node.nextWakeUp = wakeUpAt;
+            // The wake-up holds the time for which it was scheduled. If it compared with the time
+            // read when it runs, outdated wake-ups would schedule further ones and multiply.
+            at(wakeUpAt, () -> wakeUp(node, wakeUpAt));
         }
     }
 
-    private void wake(Node node, long wanted) {
-        if (!node.alive || wanted != node.wake) {
+    private void wakeUp(Node node, long scheduledFor) {
+        if (!node.alive || scheduledFor != node.nextWakeUp) {
             return;
         }
-        node.wake = Long.MAX_VALUE;
+        node.nextWakeUp = Long.MAX_VALUE;
         if (node.core.due() <= now) {
             node.core.tick(now, node);
         }
-        arm(node);
+        scheduleWakeUp(node);
     }
 
-    private void tell(String node, boolean out, Hop peer, Parcel parcel) {
-        if (text) {
-            tap.message(now, node, out, peer, parcel.bytes);
+    private void notifyObserver(String node, boolean out, Hop peer, Packet packet) {
+        if (serialized) {
+            observer.message(now, node, out, peer, packet.bytes);
         } else {
-            tap.message(now, node, out, peer, parcel.message);
+            observer.message(now, node, out, peer, packet.message);
         }
     }
 
-    private void carry(Node from, Hop to, Parcel parcel) {
+    private void transmit(Node from, Hop to, Packet packet) {
         carried++;
-        Node target = byPort.get(to.port());
-        if (target != null && cuts.between(from.name, target.name)) {
+        Node target = nodesByPort.get(to.port());
+        if (target != null && partitions.isPartitioned(from.name, target.name)) {
             return;
         }
-        long delay = delay(from, target);
+        long delay = drawDelay(from, target);
         if (to.tcp()) {
-            stream(from, to, parcel, delay);
+            transmitOnStream(from, to, packet, delay);
             return;
         }
-        if (target == null || events.size() > MOST || chance.nextDouble() < weather.loss) {
+        if (target == null
+                || events.size() > MAX_PENDING_EVENTS
+                || random.nextDouble() < conditions.loss) {
             return;
         }
-        if (chance.nextDouble() < weather.late) {
-            delay += chance.nextLong(LATE_MOST);
+        if (random.nextDouble() < conditions.reordered) {
+            delay += random.nextLong(MAX_EXTRA_DELAY_US);
         }
-        deliver(from, to, parcel, now + delay);
-        if (chance.nextDouble() < weather.doubled) {
-            deliver(
+        scheduleDelivery(from, to, packet, now + delay);
+        if (random.nextDouble() < conditions.duplicated) {
+            scheduleDelivery(
                     from,
                     to,
-                    text ? parcel : new Parcel(null, parcel.message.copy()),
-                    now + delay + chance.nextLong(LATE_MOST));
+                    serialized ? packet : new Packet(null, packet.message.copy()),
+                    now + delay + random.nextLong(MAX_EXTRA_DELAY_US));
         }
     }
 
-    private void stream(Node from, Hop to, Parcel parcel, long delay) {
-        boolean refused = byPort.get(to.port()) == null;
-        boolean broken = refused || chance.nextDouble() < weather.reset;
-        long pair = (long) from.self.port() << 32 | to.port();
-        long at = Math.max(now + delay, lastInStream.getOrDefault(pair, 0L));
-        lastInStream.put(pair, at);
+    private void transmitOnStream(Node from, Hop to, Packet packet, long delay) {
+        boolean refused = nodesByPort.get(to.port()) == null;
+        boolean broken = refused || random.nextDouble() < conditions.reset;
+        long stream = (long) from.self.port() << 32 | to.port();
+        long arrival = Math.max(now + delay, lastArrivalByStream.getOrDefault(stream, 0L));
+        lastArrivalByStream.put(stream, arrival);
         if (broken) {
             at(
                     now + 2 * delay,
                     () -> {
                         if (from.alive) {
-                            if (from.tapped && tap != null) {
-                                tap.broken(now, from.name, to, refused);
+                            if (from.tapped && observer != null) {
+                                observer.broken(now, from.name, to, refused);
                             }
                             from.core.broken(now, to, refused, from);
-                            arm(from);
+                            scheduleWakeUp(from);
                         }
                     });
         } else {
-            deliver(from, to, parcel, at);
+            scheduleDelivery(from, to, packet, arrival);
         }
     }
 
-    private long delay(Node from, Node to) {
+    private long drawDelay(Node from, Node to) {
         long base =
                 to == null || from.site.equals(to.site)
-                        ? weather.near
-                        : from.zone == to.zone ? weather.same : weather.cross;
-        return Math.max(1, (long) (base * (1 + weather.jitter * (2 * chance.nextDouble() - 1))));
+                        ? conditions.sameSiteDelay
+                        : from.zone == to.zone
+                                ? conditions.sameZoneDelay
+                                : conditions.crossZoneDelay;
+        return Math.max(1, (long) (base * (1 + conditions.jitter * (2 * random.nextDouble() - 1))));
     }
 
-    private void deliver(Node from, Hop to, Parcel parcel, long at) {
+    private void scheduleDelivery(Node from, Hop to, Packet packet, long arrival) {
         Hop source = from.self.over(to.tcp());
         at(
-                at,
+                arrival,
                 () -> {
-                    Node target = byPort.get(to.port());
+                    Node target = nodesByPort.get(to.port());
                     if (target == null) {
                         return;
                     }
-                    if (target.tapped && tap != null) {
-                        tell(target.name, false, source, parcel);
+                    if (target.tapped && observer != null) {
+                        notifyObserver(target.name, false, source, packet);
                     }
                     try {
                         target.core.receive(
                                 now,
                                 source,
-                                text
-                                        ? SipParser.parse(parcel.bytes, 0, parcel.bytes.length)
-                                        : parcel.message,
+                                serialized
+                                        ? SipParser.parse(packet.bytes, 0, packet.bytes.length)
+                                        : packet.message,
                                 target);
                     } catch (BadMessage e) {
                         target.core.malformed(now, source, e, target);
                     }
-                    arm(target);
+                    scheduleWakeUp(target);
                 });
     }
 }
--- a/src/test/java/coralcove/bench/EdgeFootprint.java
+++ b/src/test/java/coralcove/bench/EdgeFootprint.java
@@ -14,9 +14,9 @@
 import java.util.List;
 
 /**
- * Not a test: what one call router's core costs a session, without sockets. Every message in is
- * parsed from bytes and every message out is written to bytes. Prints µs of CPU a whole session,
- * and bytes of heap a standing one.
+ * Measures the cost of a session in one call router's core, without sockets; not a test. Each
+ * message in is parsed from bytes and each message out is encoded to bytes. Prints the CPU time
+ * (µs) of a complete session and the heap (bytes) of an established one.
  */
 public final class EdgeFootprint implements Out {
     private static final Hop SELF = new Hop(false, "127.0.0.1", 1);
@@ -25,11 +25,11 @@
 
     private final EdgeCore core;
     private final ArrayDeque<byte[]> sent = new ArrayDeque<>();
-    private final ArrayDeque<Hop> to = new ArrayDeque<>();
+    private final ArrayDeque<Hop> destinations = new ArrayDeque<>();
     private long now = 1_000_000;
 
     private EdgeFootprint() {
-        Settings module =
+        Settings policySettings =
                 new Settings(
                         2,
                         0,
@@ -55,25 +55,25 @@
                                 SELF,
                                 EXCHANGE,
                                 List.of(DIRECTORY),
-                                module,
+                                policySettings,
                                 20_000,
                                 1_000_000,
                                 1,
                                 "s"),
-                        new Direct(module, Direct.Kind.ALONE));
+                        new Direct(policySettings, Direct.Kind.ALONE));
         core.start(now, this);
         for (byte[] bytes : List.copyOf(sent)) {
-            SipMessage asked;
+            SipMessage subscription;
             try {
-                asked = SipParser.parse(bytes, 0, bytes.length);
+                subscription = SipParser.parse(bytes, 0, bytes.length);
             } catch (BadMessage e) {
                 throw new IllegalStateException(e);
             }
-            String event = asked.header("Event");
-            read(
+            String event = subscription.header("Event");
+            receive(
                     event.equals("exchanges") ? DIRECTORY : EXCHANGE,
-                    request("NOTIFY", asked.callId(), 1, "")
-                            .set("To", asked.header("From"))
+                    request("NOTIFY", subscription.callId(), 1, "")
+                            .set("To", subscription.header("From"))
                             .add("Event", event)
                             .add("Subscription-State", "active;expires=3600")
                             .body(
@@ -99,7 +99,7 @@
                 .add("Session-ID", call);
     }
 
-    private void read(Hop from, SipMessage message) {
+    private void receive(Hop from, SipMessage message) {
         byte[] bytes = message.bytes();
         try {
             core.receive(now, from, SipParser.parse(bytes, 0, bytes.length), this);
@@ -108,37 +108,37 @@
         }
     }
 
-    /** Sets one session up and acknowledges it; returns the tag its caller was answered with. */
-    private String setUp(int id) {
+    /** Establishes and acknowledges a session; returns the tag of the answer to its caller. */
+    private String establishSession(int id) {
         String call = String.format("%032x", id);
-        read(
+        receive(
                 EXCHANGE,
                 request("INVITE", call, 1, "")
                         .add("X-Service", "0;value=1;width=1")
                         .add("X-Far-End", "1")
                         .add("Expires", "4")
                         .add("X-Time-Left", "3150000"));
-        SipMessage invite = find("INVITE", 0);
-        read(EXCHANGE, SipMessage.reply(invite, 100, "Trying", ""));
-        read(
+        SipMessage invite = findSent("INVITE", 0);
+        receive(EXCHANGE, SipMessage.reply(invite, 100, "Trying", ""));
+        receive(
                 EXCHANGE,
                 SipMessage.reply(invite, 200, "OK", "far" + id)
                         .add("Contact", "<sip:127.0.0.1:2>"));
-        String tag = find("", 200).toTag();
-        read(EXCHANGE, request("ACK", call, 1, tag));
+        String tag = findSent("", 200).toTag();
+        receive(EXCHANGE, request("ACK", call, 1, tag));
         sent.clear();
         now += 1000;
         core.tick(now, this);
         return tag;
     }
 
-    private void end(int id, String tag) {
-        read(EXCHANGE, request("BYE", String.format("%032x", id), 2, tag));
-        read(EXCHANGE, SipMessage.reply(find("BYE", 0), 200, "OK", "x"));
+    private void endSession(int id, String tag) {
+        receive(EXCHANGE, request("BYE", String.format("%032x", id), 2, tag));
+        receive(EXCHANGE, SipMessage.reply(findSent("BYE", 0), 200, "OK", "x"));
         sent.clear();
     }
 
-    private SipMessage find(String method, int status) {
+    private SipMessage findSent(String method, int status) {
         for (byte[] bytes : sent) {
             try {
                 SipMessage message = SipParser.parse(bytes, 0, bytes.length);
@@ -159,10 +159,10 @@
 
     @Override
     public void log(String event, String session, String detail) {
-        // Not measured.
+        // Logging is not measured.
     }
 
-    private static long used() {
+    private static long usedHeap() {
         for (int i = 0; i < 4; i++) {
             System.gc();
         }
@@ -171,28 +171,29 @@
 
     public static void main(String[] args) {
         int count = args.length > 0 ? Integer.parseInt(args[0]) : 50_000;
-        EdgeFootprint edge = new EdgeFootprint();
+        EdgeFootprint benchmark = new EdgeFootprint();
         for (int round = 0; round < 4; round++) {
             long start = System.nanoTime();
             for (int i = 0; i < 50_000; i++) {
                 int id = (round + 1) * 10_000_000 + i;
-                edge.end(id, edge.setUp(id));
+                benchmark.endSession(id, benchmark.establishSession(id));
             }
             System.out.printf(
-                    "round %d: %.1f us a session, set up and ended, with the test's own messages%n",
+                    "round %d: %.1f us per session set up and released, with the benchmark's"
+                            + " messages%n",
                     round, (System.nanoTime() - start) / 50_000e3);
         }
-        edge = new EdgeFootprint();
-        long before = used();
+        benchmark = new EdgeFootprint();
+        long heapBefore = usedHeap();
         for (int i = 0; i < count; i++) {
-            edge.setUp(i);
+            benchmark.establishSession(i);
         }
-        edge.now += 33_000_000;
-        edge.core.tick(edge.now, edge);
-        edge.sent.clear();
-        long after = used();
+        benchmark.now += 33_000_000;
+        benchmark.core.tick(benchmark.now, benchmark);
+        benchmark.sent.clear();
+        long heapAfter = usedHeap();
         System.out.printf(
-                "%d standing sessions (two dialogs each): %d bytes a session%n",
-                edge.core.sessions(), (after - before) / count);
+                "%d established sessions (two dialogs each): %d bytes per session%n",
+                benchmark.core.sessions(), (heapAfter - heapBefore) / count);
     }
 }
--- a/src/test/java/coralcove/bench/NumbersBench.java
+++ b/src/test/java/coralcove/bench/NumbersBench.java
@@ -25,8 +25,8 @@
 import org.openjdk.jmh.annotations.Warmup;
 
 /**
- * The trie against two plain structures; {@code main} measures heap, edits and ten million look-ups
- * held equal.
+ * Compares the trie with two standard maps. {@code main} measures heap use and edits, and compares
+ * ten million lookups with a map.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
@@ -35,37 +35,37 @@
 @Warmup(iterations = 2, time = 2)
 @Measurement(iterations = 3, time = 2)
 public class NumbersBench {
-    private static final int ASKED = 1 << 16;
+    private static final int NUMBER_COUNT = 1 << 16;
 
     @Param({"1000", "100000", "2000000"})
     public int prefixes;
 
     private PrefixTrie trie;
-    private Map<Long, Integer> byLength;
-    private TreeMap<Long, Integer> sorted;
-    private final long[] asked = new long[ASKED];
-    private int next;
+    private Map<Long, Integer> prefixMap;
+    private TreeMap<Long, Integer> sortedPrefixes;
+    private final long[] numbers = new long[NUMBER_COUNT];
+    private int nextIndex;
 
     /**
-     * Of 3 to 10 digits below some hundred areas, as tables of ported blocks are; sorted, each
-     * once.
+     * Sorted distinct prefixes of 3 to 10 digits below some hundred areas, like tables of ported
+     * blocks.
      */
-    static long[] keys(int count, SplittableRandom chance) {
+    static long[] keys(int count, SplittableRandom random) {
         long[] keys = new long[count];
-        int n = 0;
-        while (n < count) {
-            for (int i = n; i < count; i++) {
-                int length = count <= 1000 ? 3 + chance.nextInt(4) : 5 + chance.nextInt(6);
-                StringBuilder text = new StringBuilder("81").append(100 + chance.nextInt(200));
-                while (text.length() < 2 + length) {
-                    text.append((char) ('0' + chance.nextInt(10)));
+        int distinctCount = 0;
+        while (distinctCount < count) {
+            for (int i = distinctCount; i < count; i++) {
+                int length = count <= 1000 ? 3 + random.nextInt(4) : 5 + random.nextInt(6);
+                StringBuilder digits = new StringBuilder("81").append(100 + random.nextInt(200));
+                while (digits.length() < 2 + length) {
+                    digits.append((char) ('0' + random.nextInt(10)));
                 }
-                keys[i] = Digits.pack(text.substring(0, 2 + length));
+                keys[i] = Digits.pack(digits.substring(0, 2 + length));
             }
             Arrays.sort(keys);
-            n = (int) Arrays.stream(keys).distinct().count();
-            long[] once = Arrays.stream(keys).distinct().toArray();
-            System.arraycopy(once, 0, keys, 0, n);
+            distinctCount = (int) Arrays.stream(keys).distinct().count();
+            long[] distinct = Arrays.stream(keys).distinct().toArray();
+            System.arraycopy(distinct, 0, keys, 0, distinctCount);
         }
         Arrays.sort(keys);
         return keys;
@@ -77,58 +77,58 @@
         return values;
     }
 
-    static long number(long[] keys, SplittableRandom chance) {
-        StringBuilder text =
+    static long number(long[] keys, SplittableRandom random) {
+        StringBuilder digits =
                 new StringBuilder(
-                        chance.nextInt(8) == 0
-                                ? "81" + (100 + chance.nextInt(200))
-                                : Digits.text(keys[chance.nextInt(keys.length)]));
-        while (text.length() < 13) {
-            text.append((char) ('0' + chance.nextInt(10)));
+                        random.nextInt(8) == 0
+                                ? "81" + (100 + random.nextInt(200))
+                                : Digits.text(keys[random.nextInt(keys.length)]));
+        while (digits.length() < 13) {
+            digits.append((char) ('0' + random.nextInt(10)));
         }
-        return Digits.pack(text);
+        return Digits.pack(digits);
     }
 
     @Setup
     public void setUp() {
-        SplittableRandom chance = new SplittableRandom(1);
-        long[] keys = keys(prefixes, chance);
+        SplittableRandom random = new SplittableRandom(1);
+        long[] keys = keys(prefixes, random);
         int[] values = values(prefixes);
         trie = PrefixTrie.of(keys, values, prefixes);
-        byLength = new HashMap<>();
-        sorted = new TreeMap<>();
+        prefixMap = new HashMap<>();
+        sortedPrefixes = new TreeMap<>();
         for (int i = 0; i < prefixes; i++) {
-            byLength.put(keys[i], values[i]);
-            sorted.put(keys[i], values[i]);
+            prefixMap.put(keys[i], values[i]);
+            sortedPrefixes.put(keys[i], values[i]);
         }
-        for (int i = 0; i < ASKED; i++) {
-            asked[i] = number(keys, chance);
+        for (int i = 0; i < NUMBER_COUNT; i++) {
+            numbers[i] = number(keys, random);
         }
     }
 
-    private long next() {
-        next = next + 1 & ASKED - 1;
-        return asked[next];
+    private long nextNumber() {
+        nextIndex = nextIndex + 1 & NUMBER_COUNT - 1;
+        return numbers[nextIndex];
     }
 
     @Benchmark
     public int trie() {
-        return trie.find(next());
+        return trie.find(nextNumber());
     }
 
     @Benchmark
     public int hashMapByLength() {
-        return byLength(byLength, next());
+        return findByLength(prefixMap, nextNumber());
     }
 
     @Benchmark
     public int treeMapFloor() {
-        return floor(sorted, next());
+        return findByFloor(sortedPrefixes, nextNumber());
     }
 
-    private static int byLength(Map<Long, Integer> map, long number) {
+    private static int findByLength(Map<Long, Integer> map, long number) {
         for (int length = 13; length >= 0; length--) {
-            Integer value = map.get(head(number, length));
+            Integer value = map.get(prefix(number, length));
             if (value != null) {
                 return value;
             }
@@ -136,86 +136,88 @@
         return 0;
     }
 
-    private static long head(long number, int length) {
+    private static long prefix(long number, int length) {
         return length == 0 ? 0 : number & -1L << 60 - 4 * length;
     }
 
     /**
-     * The greatest key not above the number is a prefix of it, or the longest part they share has
-     * to be tried.
+     * The greatest key that is not above the number is a prefix of it; otherwise the search goes on
+     * with the longest prefix that both share.
      */
-    private static int floor(TreeMap<Long, Integer> map, long number) {
-        long at = number;
+    private static int findByFloor(TreeMap<Long, Integer> map, long number) {
+        long candidate = number;
         while (true) {
-            Map.Entry<Long, Integer> entry = map.floorEntry(at);
+            Map.Entry<Long, Integer> entry = map.floorEntry(candidate);
             if (entry == null) {
                 return 0;
             }
             long key = entry.getKey();
             int length = Digits.length(key);
-            if (head(number, length) == key) {
+            if (prefix(number, length) == key) {
                 return entry.getValue();
             }
-            int shared = 0;
-            while (head(number, shared + 1) == head(key, shared + 1)) {
-                shared++;
+            int sharedLength = 0;
+            while (prefix(number, sharedLength + 1) == prefix(key, sharedLength + 1)) {
+                sharedLength++;
             }
-            at = head(number, shared);
+            candidate = prefix(number, sharedLength);
         }
     }
 
-    private static long used() {
+    private static long usedHeap() {
         for (int i = 0; i < 3; i++) {
             System.gc();
         }
-        Runtime run = Runtime.getRuntime();
-        return run.totalMemory() - run.freeMemory();
+        Runtime runtime = Runtime.getRuntime();
+        return runtime.totalMemory() - runtime.freeMemory();
     }
 
     public static void main(String[] args) {
         for (int count : new int[] {1000, 100_000, 2_000_000}) {
-            SplittableRandom chance = new SplittableRandom(1);
-            long[] keys = keys(count, chance);
+            SplittableRandom random = new SplittableRandom(1);
+            long[] keys = keys(count, random);
             int[] values = values(count);
             PrefixTrie trie = PrefixTrie.of(keys, values, count);
             long before;
             Map<Long, Integer> map = new HashMap<>();
-            before = used();
+            before = usedHeap();
             for (int i = 0; i < count; i++) {
                 map.put(keys[i], values[i]);
             }
-            long ofMap = used() - before;
+            long mapBytes = usedHeap() - before;
             TreeMap<Long, Integer> tree = new TreeMap<>();
-            before = used();
+            before = usedHeap();
             for (int i = 0; i < count; i++) {
                 tree.put(keys[i], values[i]);
             }
-            long ofTree = used() - before;
-            // Asked for after the measurement, or the tree would be collected before it.
+            long treeBytes = usedHeap() - before;
+            // The tree is used after the measurement, or it would be garbage collected before it.
             System.out.printf(
-                    "%d prefixes: bytes a prefix: trie %.1f with its room for edits, HashMap %.1f,"
-                            + " TreeMap %.1f%n",
+                    "%d prefixes: bytes per prefix: trie %.1f with spare room for edits, HashMap"
+                            + " %.1f, TreeMap %.1f%n",
                     tree.size(),
                     trie.bytes() / (double) count,
-                    ofMap / (double) count,
-                    ofTree / (double) count);
-            int unlike = 0;
+                    mapBytes / (double) count,
+                    treeBytes / (double) count);
+            int mismatches = 0;
             for (int i = 0; i < 10_000_000; i++) {
-                long number = number(keys, chance);
-                unlike += trie.find(number) == byLength(map, number) ? 0 : 1;
+                long number = number(keys, random);
+                mismatches += trie.find(number) == findByLength(map, number) ? 0 : 1;
             }
-            System.out.println("  10,000,000 look-ups, unlike the plain map: " + unlike);
-            edits(trie, keys, chance);
+            System.out.println(
+                    "  10,000,000 lookups, results that differ from the map: " + mismatches);
+            measureEdits(trie, keys, random);
         }
     }
 
     /**
-     * 100 changes to the table at once, some new, some changed, some gone; the slowest of 50 such.
+     * Applies 100 changes at once (new, changed and removed prefixes) 50 times, and prints the mean
+     * and the slowest.
      */
-    private static void edits(PrefixTrie trie, long[] keys, SplittableRandom chance) {
-        Destination[] to = new Destination[95];
-        Arrays.fill(to, new Destination.FarEnd(1, List.of()));
-        NumberTable table = new NumberTable(1, List.of(), Map.of(), trie, to, 95);
+    private static void measureEdits(PrefixTrie trie, long[] keys, SplittableRandom random) {
+        Destination[] destinations = new Destination[95];
+        Arrays.fill(destinations, new Destination.FarEnd(1, List.of()));
+        NumberTable table = new NumberTable(1, List.of(), Map.of(), trie, destinations, 95);
         double worst = 0;
         double sum = 0;
         for (int round = 0; round < 50; round++) {
@@ -223,8 +225,8 @@
             for (int i = 0; i < 100; i++) {
                 long key =
                         i % 2 == 0
-                                ? keys[chance.nextInt(keys.length)]
-                                : head(number(keys, chance), 12);
+                                ? keys[random.nextInt(keys.length)]
+                                : prefix(number(keys, random), 12);
                 changes.add(
                         new NumberTable.Change(
                                 key, i % 4 == 0 ? null : new Destination.FarEnd(2, List.of())));
--- a/src/test/java/coralcove/bench/SipBench.java
+++ b/src/test/java/coralcove/bench/SipBench.java
@@ -24,8 +24,8 @@
 import org.openjdk.jmh.annotations.Warmup;
 
 /**
- * Parse and write of an INVITE as the routers send it; timers at 100,000 standing. Not run by the
- * tests.
+ * Benchmarks parsing and encoding of an INVITE as routers send it, and timers with 100,000 running.
+ * Not run with the tests.
  */
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -33,7 +33,7 @@
 @Measurement(iterations = 3, time = 1)
 @Fork(1)
 public class SipBench {
-    private static final int STANDING = 100_000;
+    private static final int TIMER_COUNT = 100_000;
 
     /** One INVITE. */
     @State(Scope.Benchmark)
@@ -69,47 +69,47 @@
     }
 
     @Benchmark
-    public SipMessage parse(Invite it) throws BadMessage {
-        return SipParser.parse(it.bytes, 0, it.bytes.length);
+    public SipMessage parse(Invite invite) throws BadMessage {
+        return SipParser.parse(invite.bytes, 0, invite.bytes.length);
     }
 
     @Benchmark
-    public String parseAndFindTransaction(Invite it) throws BadMessage {
-        SipMessage message = SipParser.parse(it.bytes, 0, it.bytes.length);
+    public String parseAndFindTransaction(Invite invite) throws BadMessage {
+        SipMessage message = SipParser.parse(invite.bytes, 0, invite.bytes.length);
         return Via.of(message.header("Via")).branch() + message.fromTag();
     }
 
     @Benchmark
-    public byte[] write(Invite it) {
-        return it.message.bytes();
+    public byte[] write(Invite invite) {
+        return invite.message.bytes();
     }
 
     /**
-     * 100,000 timers within 32 s; each step sets one and cancels another, as a transaction that is
-     * answered does.
+     * 100,000 timers that expire within 32 s. Each step sets one and cancels another, as a
+     * transaction that receives its response does.
      */
     @State(Scope.Benchmark)
-    public static class Standing {
-        final SplittableRandom chance = new SplittableRandom(1);
+    public static class RunningTimers {
+        final SplittableRandom random = new SplittableRandom(1);
         final Timers wheel = new Timers();
-        final Timers.Timer[] timers = new Timers.Timer[STANDING];
+        final Timers.Timer[] timers = new Timers.Timer[TIMER_COUNT];
         final PriorityQueue<long[]> heap = new PriorityQueue<>((a, b) -> Long.compare(a[0], b[0]));
-        final long[][] entries = new long[STANDING][];
+        final long[][] entries = new long[TIMER_COUNT][];
         ScheduledThreadPoolExecutor pool;
-        final ScheduledFuture<?>[] futures = new ScheduledFuture<?>[STANDING];
-        int at;
+        final ScheduledFuture<?>[] futures = new ScheduledFuture<?>[TIMER_COUNT];
+        int index;
         long now = 1_700_000_000_000_000L;
 
         @Setup
         public void fill() {
             pool = new ScheduledThreadPoolExecutor(1);
             pool.setRemoveOnCancelPolicy(true);
-            for (int i = 0; i < STANDING; i++) {
-                long due = now + 20_000_000 + chance.nextLong(32_000_000);
-                timers[i] = wheel.set(due, (n, o) -> {});
-                entries[i] = new long[] {due};
+            for (int i = 0; i < TIMER_COUNT; i++) {
+                long expiry = now + 20_000_000 + random.nextLong(32_000_000);
+                timers[i] = wheel.set(expiry, (n, o) -> {});
+                entries[i] = new long[] {expiry};
                 heap.add(entries[i]);
-                futures[i] = pool.schedule(() -> {}, due - now, TimeUnit.MICROSECONDS);
+                futures[i] = pool.schedule(() -> {}, expiry - now, TimeUnit.MICROSECONDS);
             }
         }
 
@@ -119,34 +119,35 @@
         }
 
         long next() {
-            at = at + 1 == STANDING ? 0 : at + 1;
-            return now + 20_000_000 + chance.nextLong(32_000_000);
+            index = index + 1 == TIMER_COUNT ? 0 : index + 1;
+            return now + 20_000_000 + random.nextLong(32_000_000);
         }
     }
 
     @Benchmark
-    public void timersWheel(Standing it) {
-        long due = it.next();
-        it.wheel.cancel(it.timers[it.at]);
-        it.timers[it.at] = it.wheel.set(due, (n, o) -> {});
+    public void timersWheel(RunningTimers state) {
+        long expiry = state.next();
+        state.wheel.cancel(state.timers[state.index]);
+        state.timers[state.index] = state.wheel.set(expiry, (n, o) -> {});
     }
 
     /**
-     * A binary heap finds a timer to cancel by looking at all, so it marks it and lets it stand, as
-     * is usual.
+     * A binary heap can only find a timer to cancel by a linear search, so the usual implementation
+     * marks it as cancelled and leaves it in the heap.
      */
     @Benchmark
-    public void timersHeap(Standing it) {
-        long due = it.next();
-        it.entries[it.at] = new long[] {due};
-        it.heap.add(it.entries[it.at]);
-        it.heap.poll();
+    public void timersHeap(RunningTimers state) {
+        long expiry = state.next();
+        state.entries[state.index] = new long[] {expiry};
+        state.heap.add(state.entries[state.index]);
+        state.heap.poll();
     }
 
     @Benchmark
-    public void timersExecutor(Standing it) {
-        long due = it.next();
-        it.futures[it.at].cancel(false);
-        it.futures[it.at] = it.pool.schedule(() -> {}, due - it.now, TimeUnit.MICROSECONDS);
+    public void timersExecutor(RunningTimers state) {
+        long expiry = state.next();
+        state.futures[state.index].cancel(false);
+        state.futures[state.index] =
+                state.pool.schedule(() -> {}, expiry - state.now, TimeUnit.MICROSECONDS);
     }
 }
--- a/src/test/java/coralcove/dns/LocatorTest.java
+++ b/src/test/java/coralcove/dns/LocatorTest.java
@@ -9,18 +9,18 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** SRV records through resolver, memory and locator before a stand-in server, in virtual time. */
-class LocatorTest implements Resolver.Out, Locator.Out {
-    private static final String NAME = "_sip._udp.ex7.example.org";
+/** SRV lookups through resolver, cache and locator, with a simulated server in virtual time. */
+class LocatorTest implements Resolver.Actions, Locator.Out {
+    private static final String SERVICE_NAME = "_sip._udp.ex7.example.org";
 
-    private record Event(long at, long order, Runnable act) {}
+    private record Event(long time, long sequence, Runnable action) {}
 
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(
                     (a, b) ->
-                            a.at != b.at
-                                    ? Long.compare(a.at, b.at)
-                                    : Long.compare(a.order, b.order));
+                            a.time != b.time
+                                    ? Long.compare(a.time, b.time)
+                                    : Long.compare(a.sequence, b.sequence));
     private final ServiceZone zone = new ServiceZone("example.org", 20);
     private final DnsStandIn server = new DnsStandIn(zone, 4000, new SplittableRandom(1));
     private final Resolver resolver =
@@ -28,43 +28,43 @@
                     new Resolver.Settings(
                             List.of(new Resolver.Server("s", 53)), 500_000, 2, 16, 100),
                     new SplittableRandom(2));
-    private final Lookups.Out questions =
+    private final LookupCache.QuerySender querySender =
             (name, type) -> {
-                say("asks " + type + " " + name);
-                resolver.ask(this.now, name, type, new Object[] {name, type}, this);
+                appendToTrace("asks " + type + " " + name);
+                resolver.query(this.now, name, type, new Object[] {name, type}, this);
             };
     private final Locator locator =
             new Locator(
                     List.of(7),
-                    n -> "ex" + n + ".example.org",
+                    number -> "ex" + number + ".example.org",
                     "udp",
                     new SplittableRandom(3),
-                    questions,
+                    querySender,
                     this);
     private final StringBuilder trace = new StringBuilder();
-    private final Lookups lookups = new Lookups();
+    private final LookupCache cache = new LookupCache();
     private long now = 1_000_000;
-    private long order;
+    private long nextSequence;
 
-    private LocatorTest say(String what) {
-        trace.append(now / 1_000_000).append(" s  ").append(what).append('\n');
+    private LocatorTest appendToTrace(String line) {
+        trace.append(now / 1_000_000).append(" s  ").append(line).append('\n');
         return this;
     }
 
-    private LocatorTest run(long seconds) {
+    private LocatorTest runFor(long seconds) {
         long until = now + seconds * 1_000_000;
         while (true) {
             long next =
                     Math.min(
-                            Math.min(resolver.due(), locator.due()),
-                            events.isEmpty() ? Long.MAX_VALUE : events.peek().at);
+                            Math.min(resolver.nextTickAt(), locator.due()),
+                            events.isEmpty() ? Long.MAX_VALUE : events.peek().time);
             if (next > until) {
                 now = until;
                 return this;
             }
             now = Math.max(now, next);
-            if (!events.isEmpty() && events.peek().at <= now) {
-                events.poll().act.run();
+            if (!events.isEmpty() && events.peek().time <= now) {
+                events.poll().action.run();
             } else {
                 resolver.tick(now, this);
                 locator.tick(now);
@@ -74,60 +74,64 @@
 
     private LocatorTest start() {
         locator.start(now);
-        return run(1);
+        return runFor(1);
     }
 
-    private void reads(String name) {
+    private void assertTrace(String name) {
         assertThat(trace.toString()).isEqualTo(Kept.trace(name));
     }
 
     @Test
-    void theBestPriorityThatHasAnAddressIsToldAndAskedForBeforeItsEnd() {
-        zone.srv(NAME, 10, 1, "a.example.org", 5060)
-                .srv(NAME, 20, 1, "b.example.org", 5062)
+    void reportsBestPriorityWithAddressAndRefreshesBeforeExpiry() {
+        zone.srv(SERVICE_NAME, 10, 1, "a.example.org", 5060)
+                .srv(SERVICE_NAME, 20, 1, "b.example.org", 5062)
                 .a("b.example.org", 10, 0, 0, 2)
                 .a("b.example.org", 32, 1, 13, 184, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 1);
-        start().say("the best target gets an address").zone.a("a.example.org", 10, 0, 0, 1);
-        run(60).reads("locator-priorities");
+        start().appendToTrace("the best target gets an address")
+                .zone
+                .a("a.example.org", 10, 0, 0, 1);
+        runFor(60).assertTrace("locator-priorities");
     }
 
     @Test
-    void addressesAreAskedForWhereNoneComeAlongAndAliasesAreFollowed() {
-        zone.beside(false)
-                .alias(NAME, "svc.example.org")
+    void queriesMissingAddressesAndFollowsAliases() {
+        zone.includeAdditional(false)
+                .cname(SERVICE_NAME, "svc.example.org")
                 .srv("svc.example.org", 1, 1, "a.example.org", 5060)
-                .alias("a.example.org", "host.example.org")
+                .cname("a.example.org", "host.example.org")
                 .a("host.example.org", 10, 0, 0, 1);
-        start().reads("locator-aliases");
+        start().assertTrace("locator-aliases");
     }
 
     @Test
-    void anAliasInACircleEnds() {
-        zone.alias(NAME, "x.example.org")
-                .alias("x.example.org", "y.example.org")
-                .alias("y.example.org", NAME);
-        start().reads("locator-circle");
+    void stopsAtAliasLoop() {
+        zone.cname(SERVICE_NAME, "x.example.org")
+                .cname("x.example.org", "y.example.org")
+                .cname("y.example.org", SERVICE_NAME);
+        start().assertTrace("locator-circle");
     }
 
     @Test
-    void aRootTargetAndAMissingNameSayThatNobodyIsThere() {
-        zone.srv(NAME, 0, 0, "", 0);
-        start().say("the name goes").zone.remove(NAME);
-        run(30).reads("locator-nobody");
+    void reportsNoAddressForRootTargetOrMissingName() {
+        zone.srv(SERVICE_NAME, 0, 0, "", 0);
+        start().appendToTrace("the name goes").zone.remove(SERVICE_NAME);
+        runFor(30).assertTrace("locator-nobody");
     }
 
     @Test
-    void aDeadOrCuttingServerLeavesWhatIsKnownInUse() {
-        zone.srv(NAME, 1, 1, "a.example.org", 5060).a("a.example.org", 10, 0, 0, 1);
-        start().say("cuts, and takes no stream").server.misbehave(DnsStandIn.Fault.CUTS_ALL, 0);
-        run(40).say("well again").server.misbehave(DnsStandIn.Fault.NONE, 0);
-        run(20).reads("locator-cut");
+    void keepsKnownAddressesWhenServerFails() {
+        zone.srv(SERVICE_NAME, 1, 1, "a.example.org", 5060).a("a.example.org", 10, 0, 0, 1);
+        start().appendToTrace("cuts, and takes no stream")
+                .server
+                .misbehave(DnsStandIn.Fault.CUTS_ALL, 0);
+        runFor(40).appendToTrace("well again").server.misbehave(DnsStandIn.Fault.NONE, 0);
+        runFor(20).assertTrace("locator-cut");
     }
 
     @Test
-    void twoHundredRecordsAreReadAndAFewOfThemUsed() {
+    void usesFewOfTwoHundredRecords() {
         for (int i = 0; i < 200; i++) {
-            zone.srv(NAME, 1, 1, "a" + i + ".example.org", 5060)
+            zone.srv(SERVICE_NAME, 1, 1, "a" + i + ".example.org", 5060)
                     .a("a" + i + ".example.org", 10, 0, 0, i);
         }
         start();
@@ -138,53 +142,74 @@
     }
 
     @Test
-    void aHundredThousandCallersOfAnExpiredRecordMakeOneQuestion() {
+    void sendsOneQueryForHundredThousandLookupsOfExpiredRecord() {
         zone.a("a.example.org", 10, 0, 0, 1);
-        List<Lookups.Worth> found = new ArrayList<>();
-        int[] asked = {0};
-        Lookups.Out out = (name, type) -> asked[0]++;
-        lookups.ask(now, "a.example.org", DnsMessage.A, (at, f) -> found.add(f.worth()), out);
-        DnsMessage answer = zone.answer(DnsMessage.question(1, "a.example.org", DnsMessage.A));
-        lookups.answered(now, "a.example.org", DnsMessage.A, new Resolver.Result(answer, ""));
+        List<LookupCache.Freshness> freshness = new ArrayList<>();
+        int[] queryCount = {0};
+        LookupCache.QuerySender countingSender = (name, type) -> queryCount[0]++;
+        cache.lookUp(
+                now,
+                "a.example.org",
+                DnsMessage.A,
+                (completedAt, result) -> freshness.add(result.freshness()),
+                countingSender);
+        DnsMessage response = zone.answer(DnsMessage.query(1, "a.example.org", DnsMessage.A));
+        cache.queryCompleted(now, "a.example.org", DnsMessage.A, new Resolver.Result(response, ""));
         now += 21_000_000;
         for (int i = 0; i < 100_000; i++) {
-            lookups.ask(now, "a.example.org", DnsMessage.A, (at, f) -> found.add(f.worth()), out);
+            cache.lookUp(
+                    now,
+                    "a.example.org",
+                    DnsMessage.A,
+                    (completedAt, result) -> freshness.add(result.freshness()),
+                    countingSender);
         }
-        assertThat(asked[0]).isEqualTo(2);
-        lookups.answered(
+        assertThat(queryCount[0]).isEqualTo(2);
+        cache.queryCompleted(
                 now, "a.example.org", DnsMessage.A, new Resolver.Result(null, "no answer"));
-        assertThat(found).hasSize(100_001);
-        assertThat(found.subList(1, 100_001)).containsOnly(Lookups.Worth.STALE);
-        lookups.ask(now + 1, "a.example.org", DnsMessage.A, (at, f) -> found.add(f.worth()), out);
-        assertThat(asked[0]).as("a failure is remembered").isEqualTo(2);
-        now += Lookups.STALE_FOR;
-        lookups.ask(now, "a.example.org", DnsMessage.A, (at, f) -> found.add(f.worth()), out);
-        lookups.answered(
+        assertThat(freshness).hasSize(100_001);
+        assertThat(freshness.subList(1, 100_001)).containsOnly(LookupCache.Freshness.STALE);
+        cache.lookUp(
+                now + 1,
+                "a.example.org",
+                DnsMessage.A,
+                (completedAt, result) -> freshness.add(result.freshness()),
+                countingSender);
+        assertThat(queryCount[0]).as("a failure is remembered").isEqualTo(2);
+        now += LookupCache.MAX_STALE_US;
+        cache.lookUp(
+                now,
+                "a.example.org",
+                DnsMessage.A,
+                (completedAt, result) -> freshness.add(result.freshness()),
+                countingSender);
+        cache.queryCompleted(
                 now, "a.example.org", DnsMessage.A, new Resolver.Result(null, "no answer"));
-        assertThat(found.get(found.size() - 1)).isEqualTo(Lookups.Worth.NONE);
+        assertThat(freshness.get(freshness.size() - 1))
+                .isEqualTo(LookupCache.Freshness.UNAVAILABLE);
     }
 
     @Override
     public void located(long at, int number, List<String> addresses, boolean stale) {
-        say("located " + number + " " + addresses + (stale ? " past its life" : ""));
+        appendToTrace("located " + number + " " + addresses + (stale ? " past its life" : ""));
     }
 
     @Override
     public void log(String event, String detail) {
-        say(event + " " + detail);
+        appendToTrace(event + " " + detail);
     }
 
     @Override
-    public void datagram(int socket, Resolver.Server to, byte[] bytes) {
-        server.ask(bytes, false)
+    public void sendDatagram(int socket, Resolver.Server to, byte[] bytes) {
+        server.handleQuery(bytes, false)
                 .forEach(
                         packet ->
                                 events.add(
                                         new Event(
                                                 now + packet.delay(),
-                                                order++,
+                                                nextSequence++,
                                                 () ->
-                                                        resolver.datagram(
+                                                        resolver.datagramReceived(
                                                                 now,
                                                                 socket,
                                                                 to,
@@ -193,25 +218,25 @@
     }
 
     @Override
-    public void stream(long key, Resolver.Server to, byte[] bytes) {
-        server.ask(bytes, true)
+    public void sendOnStream(long key, Resolver.Server to, byte[] bytes) {
+        server.handleQuery(bytes, true)
                 .forEach(
                         packet ->
                                 events.add(
                                         new Event(
                                                 now + packet.delay(),
-                                                order++,
+                                                nextSequence++,
                                                 () ->
-                                                        resolver.stream(
+                                                        resolver.streamMessageReceived(
                                                                 now, key, packet.bytes(), this))));
     }
 
     @Override
-    public void close(long key) {}
+    public void closeStream(long key) {}
 
     @Override
-    public void done(Object owner, Resolver.Result result) {
-        Object[] asked = (Object[]) owner;
-        locator.answered(now, (String) asked[0], (Integer) asked[1], result);
+    public void completed(Object owner, Resolver.Result result) {
+        Object[] query = (Object[]) owner;
+        locator.answered(now, (String) query[0], (Integer) query[1], result);
     }
 }
