--- a/src/test/java/coralcove/dns/ResolverTest.java
+++ b/src/test/java/coralcove/dns/ResolverTest.java
@@ -10,69 +10,73 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** The resolver against the stand-in server in virtual time, with each of its faults. */
+/** Tests the resolver with a simulated server in virtual time, for each fault of the server. */
 class ResolverTest {
     private static final Resolver.Server FIRST = new Resolver.Server("s1", 53);
     private static final Resolver.Server SECOND = new Resolver.Server("s2", 53);
     private static final String SUFFIX = "e164.arpa";
 
-    private record Event(long at, long order, Runnable act) {}
+    private record Event(long time, long sequence, Runnable action) {}
 
-    /** Both in one virtual time; the trace leaves ids and ports out, which are chance. */
-    private static final class Net implements Resolver.Out {
-        final StringBuilder told = new StringBuilder();
+    /**
+     * Resolver and servers in the same virtual time. The trace omits ids and ports, which are
+     * random.
+     */
+    private static final class SimulatedNetwork implements Resolver.Actions {
+        final StringBuilder trace = new StringBuilder();
         final PriorityQueue<Event> events =
                 new PriorityQueue<>(
                         (a, b) ->
-                                a.at != b.at
-                                        ? Long.compare(a.at, b.at)
-                                        : Long.compare(a.order, b.order));
+                                a.time != b.time
+                                        ? Long.compare(a.time, b.time)
+                                        : Long.compare(a.sequence, b.sequence));
         final Resolver resolver;
-        final DnsStandIn first = server();
-        final DnsStandIn second = server();
+        final DnsStandIn firstServer = newServer();
+        final DnsStandIn secondServer = newServer();
         byte[] lastSent;
         int lastSocket;
         long now;
-        long order;
+        long nextSequence;
 
-        Net(int tries) {
+        SimulatedNetwork(int maxAttempts) {
             resolver =
                     new Resolver(
-                            new Resolver.Settings(List.of(FIRST, SECOND), 200_000, tries, 16, 4),
+                            new Resolver.Settings(
+                                    List.of(FIRST, SECOND), 200_000, maxAttempts, 16, 4),
                             new SplittableRandom(3));
         }
 
-        static DnsStandIn server() {
+        static DnsStandIn newServer() {
             return new DnsStandIn(
                     SUFFIX, Map.of("8190123", "81410001")::get, 300, 4000, new SplittableRandom(1));
         }
 
-        void at(long time, Runnable act) {
-            events.add(new Event(time, order++, act));
+        void schedule(long time, Runnable action) {
+            events.add(new Event(time, nextSequence++, action));
         }
 
-        void say(String what) {
-            told.append(now / 1000).append(" ms  ").append(what).append('\n');
+        void appendToTrace(String line) {
+            trace.append(now / 1000).append(" ms  ").append(line).append('\n');
         }
 
-        Net ask(String digits) {
-            resolver.ask(now, Enum.name(digits, SUFFIX), DnsMessage.NAPTR, digits, this);
-            return run(now + 2_000_000);
+        SimulatedNetwork queryAndRun(String digits) {
+            resolver.query(now, Enum.name(digits, SUFFIX), DnsMessage.NAPTR, digits, this);
+            return runUntil(now + 2_000_000);
         }
 
-        Net run(long until) {
+        SimulatedNetwork runUntil(long until) {
             while (true) {
                 long next =
                         Math.min(
-                                resolver.due(),
-                                events.isEmpty() ? Long.MAX_VALUE : events.peek().at);
+                                resolver.nextTickAt(),
+                                events.isEmpty() ? Long.MAX_VALUE : events.peek().time);
                 if (next > until) {
                     now = until;
                     return this;
                 }
                 now = Math.max(now, next);
-                if (!events.isEmpty() && events.peek().at <= now) {
-                    events.poll().act.run();
+                if (!events.isEmpty() && events.peek().time <= now) {
+                    events.poll().action.run();
                 } else {
                     resolver.tick(now, this);
                 }
@@ -80,18 +84,18 @@
         }
 
         @Override
-        public void datagram(int socket, Resolver.Server to, byte[] bytes) {
-            say("asks " + to.host());
+        public void sendDatagram(int socket, Resolver.Server to, byte[] bytes) {
+            appendToTrace("asks " + to.host());
             lastSent = bytes;
             lastSocket = socket;
-            (to.equals(FIRST) ? first : second)
-                    .ask(bytes, false)
+            (to.equals(FIRST) ? firstServer : secondServer)
+                    .handleQuery(bytes, false)
                     .forEach(
                             packet ->
-                                    at(
+                                    schedule(
                                             now + packet.delay(),
                                             () ->
-                                                    resolver.datagram(
+                                                    resolver.datagramReceived(
                                                             now,
                                                             socket,
                                                             to,
@@ -100,100 +104,120 @@
         }
 
         @Override
-        public void stream(long key, Resolver.Server to, byte[] bytes) {
-            say("asks " + to.host() + " over a stream");
-            (to.equals(FIRST) ? first : second)
-                    .ask(bytes, true)
+        public void sendOnStream(long key, Resolver.Server to, byte[] bytes) {
+            appendToTrace("asks " + to.host() + " over a stream");
+            (to.equals(FIRST) ? firstServer : secondServer)
+                    .handleQuery(bytes, true)
                     .forEach(
                             packet ->
-                                    at(
+                                    schedule(
                                             now + packet.delay(),
-                                            () -> resolver.stream(now, key, packet.bytes(), this)));
+                                            () ->
+                                                    resolver.streamMessageReceived(
+                                                            now, key, packet.bytes(), this)));
         }
 
         @Override
-        public void close(long key) {
-            say("closes the stream");
+        public void closeStream(long key) {
+            appendToTrace("closes the stream");
         }
 
         @Override
-        public void done(Object owner, Resolver.Result result) {
+        public void completed(Object owner, Resolver.Result result) {
             try {
-                say(
+                appendToTrace(
                         owner
                                 + ": "
                                 + (result.answer() == null
                                         ? "failed, " + result.failure()
                                         : Enum.ported(result.answer(), (String) owner)));
             } catch (BadDns e) {
-                say(owner + ": bad, " + e.getMessage());
+                appendToTrace(owner + ": bad, " + e.getMessage());
             }
         }
     }
 
+    /** The name by which the trace file calls a fault. */
+    private static String nameInTrace(DnsStandIn.Fault fault) {
+        return switch (fault) {
+            case NONE -> "NONE";
+            case SLOW -> "SLOW";
+            case DEAD -> "DEAD";
+            case TRUNCATED_DATAGRAMS -> "CUTS";
+            case WRONG_LENGTH -> "LIES_ABOUT_LENGTH";
+            case WRONG_QUESTION -> "OTHER_QUESTION";
+            case DUPLICATED -> "TWICE";
+            case SERVER_FAILURE -> "FAILS";
+            case COMPRESSION_LOOP -> "CIRCLES";
+            case CUTS_ALL -> "CUTS_ALL";
+        };
+    }
+
     @Test
-    void eachFaultOfTheServerEndsAQuestionOnceAndInTime() {
-        StringBuilder all = new StringBuilder();
+    void completesQueryOnceAndInTimeForEachServerFault() {
+        StringBuilder trace = new StringBuilder();
         for (DnsStandIn.Fault fault : DnsStandIn.Fault.values()) {
-            Net net = new Net(3);
-            net.first.misbehave(fault, 500_000);
-            net.ask("8190123").ask("8190999");
-            all.append("== the first server: ")
-                    .append(fault)
+            SimulatedNetwork network = new SimulatedNetwork(3);
+            network.firstServer.misbehave(fault, 500_000);
+            network.queryAndRun("8190123").queryAndRun("8190999");
+            trace.append("== the first server: ")
+                    .append(nameInTrace(fault))
                     .append('\n')
-                    .append(net.told)
-                    .append(net.resolver.counts())
+                    .append(network.trace)
+                    .append(network.resolver.counters())
                     .append('\n');
-            assertThat(net.resolver.out()).isZero();
+            assertThat(network.resolver.outstandingCount()).isZero();
         }
-        assertThat(all.toString()).isEqualTo(Kept.trace("resolver-faults"));
+        assertThat(trace.toString()).isEqualTo(Kept.trace("resolver-faults"));
     }
 
     /**
-     * An answer with another id, from another server, to another port or to another question is not
-     * heard.
+     * A response with another id, from another server, to another port or to another question is
+     * ignored.
      */
     @Test
-    void forgedAnswersAreNotHeard() throws Exception {
-        Net net = new Net(1);
-        net.first.misbehave(DnsStandIn.Fault.DEAD, 0);
-        net.resolver.ask(0, Enum.name("8190123", SUFFIX), DnsMessage.NAPTR, "8190123", net);
-        DnsMessage asked = DnsMessage.read(net.lastSent);
-        byte[] forged = Net.server().ask(net.lastSent, false).get(0).bytes();
-        net.resolver.datagram(1, net.lastSocket, SECOND, forged, net);
-        net.resolver.datagram(1, net.lastSocket + 1, FIRST, forged, net);
-        byte[] other =
-                DnsMessage.question(asked.id() + 1, asked.name(), asked.type())
-                        .answer(0, List.of(), List.of())
-                        .bytes();
-        net.resolver.datagram(1, net.lastSocket, FIRST, other, net);
-        net.resolver.datagram(1, net.lastSocket, FIRST, net.lastSent, net);
-        net.resolver.datagram(1, net.lastSocket, FIRST, new byte[] {1}, net);
-        assertThat(net.resolver.out()).isEqualTo(1);
-        net.resolver.datagram(2, net.lastSocket, FIRST, forged, net);
-        net.resolver.datagram(2, net.lastSocket, FIRST, forged, net);
-        assertThat(net.told.toString())
+    void ignoresForgedResponses() throws Exception {
+        SimulatedNetwork network = new SimulatedNetwork(1);
+        network.firstServer.misbehave(DnsStandIn.Fault.DEAD, 0);
+        network.resolver.query(
+                0, Enum.name("8190123", SUFFIX), DnsMessage.NAPTR, "8190123", network);
+        DnsMessage query = DnsMessage.decode(network.lastSent);
+        byte[] forged =
+                SimulatedNetwork.newServer().handleQuery(network.lastSent, false).get(0).bytes();
+        network.resolver.datagramReceived(1, network.lastSocket, SECOND, forged, network);
+        network.resolver.datagramReceived(1, network.lastSocket + 1, FIRST, forged, network);
+        byte[] otherId =
+                DnsMessage.query(query.id() + 1, query.questionName(), query.questionType())
+                        .reply(0, List.of(), List.of())
+                        .encode();
+        network.resolver.datagramReceived(1, network.lastSocket, FIRST, otherId, network);
+        network.resolver.datagramReceived(1, network.lastSocket, FIRST, network.lastSent, network);
+        network.resolver.datagramReceived(1, network.lastSocket, FIRST, new byte[] {1}, network);
+        assertThat(network.resolver.outstandingCount()).isEqualTo(1);
+        network.resolver.datagramReceived(2, network.lastSocket, FIRST, forged, network);
+        network.resolver.datagramReceived(2, network.lastSocket, FIRST, forged, network);
+        assertThat(network.trace.toString())
                 .isEqualTo("0 ms  asks s1\n0 ms  8190123: Ported[routing=81410001, life=300]\n");
-        assertThat(net.resolver.counts().toString())
+        assertThat(network.resolver.counters().toString())
                 .isEqualTo("{answered=1, other-question=1, sent=1, unasked=5}");
     }
 
     @Test
-    void tooManyQuestionsEndAtOnce() {
-        Net net = new Net(1);
-        net.first.misbehave(DnsStandIn.Fault.DEAD, 0);
+    void failsExcessQueriesImmediately() {
+        SimulatedNetwork network = new SimulatedNetwork(1);
+        network.firstServer.misbehave(DnsStandIn.Fault.DEAD, 0);
         for (int i = 0; i < 6; i++) {
-            net.resolver.ask(0, "x" + i, DnsMessage.NAPTR, "x" + i, net);
+            network.resolver.query(0, "x" + i, DnsMessage.NAPTR, "x" + i, network);
         }
-        assertThat(net.told.toString())
+        assertThat(network.trace.toString())
                 .endsWith(
-                        "x4: failed, too many questions out\n"
-                                + "0 ms  x5: failed, too many questions out\n");
+                        "x4: failed, too many outstanding queries\n"
+                                + "0 ms  x5: failed, too many outstanding queries\n");
     }
 
     @Test
-    void expressionsAndRoutingNumbers() throws Exception {
-        StringBuilder told = new StringBuilder();
+    void evaluatesNaptrExpressionsAndRoutingNumbers() throws Exception {
+        StringBuilder trace = new StringBuilder();
         for (String regexp :
                 List.of(
                         "!^.*$!tel:+8190;npdi;rn=+8141!",
@@ -206,62 +230,65 @@
                         "no",
                         "!!!",
                         "!^.*$!tel:\\9!")) {
-            DnsMessage question = DnsMessage.question(1, "n", DnsMessage.NAPTR);
-            DnsMessage answer =
-                    DnsMessage.read(
-                            question.answer(
+            DnsMessage query = DnsMessage.query(1, "n", DnsMessage.NAPTR);
+            DnsMessage response =
+                    DnsMessage.decode(
+                            query.reply(
                                             0,
                                             List.of(
-                                                    new DnsMessage.Resource(
+                                                    new DnsMessage.ResourceRecord(
                                                             "n",
                                                             DnsMessage.NAPTR,
                                                             60,
-                                                            new Naptr(
+                                                            new NaptrRecord(
                                                                             1,
                                                                             1,
                                                                             "u",
                                                                             "E2U+pstn:tel",
                                                                             regexp,
                                                                             "")
-                                                                    .bytes())),
+                                                                    .encode())),
                                             List.of())
-                                    .bytes());
+                                    .encode());
             try {
-                told.append(regexp).append("  ").append(Enum.ported(answer, "81901")).append('\n');
+                trace.append(regexp)
+                        .append("  ")
+                        .append(Enum.ported(response, "81901"))
+                        .append('\n');
             } catch (BadDns e) {
-                told.append(regexp).append("  ").append(e.getMessage()).append('\n');
+                trace.append(regexp).append("  ").append(e.getMessage()).append('\n');
             }
         }
-        assertThat(told.toString()).isEqualTo(Kept.trace("enum"));
+        assertThat(trace.toString()).isEqualTo(Kept.trace("enum"));
     }
 
-    /** Any bytes are read or refused, never more. */
+    /** Decoding any bytes either succeeds or throws BadDns, nothing else. */
     @Test
-    void anyBytesAreReadOrRefused() throws Exception {
-        SplittableRandom chance = new SplittableRandom(9);
-        byte[] good =
-                Net.server()
-                        .ask(
-                                DnsMessage.question(
-                                                7, Enum.name("8190123", SUFFIX), DnsMessage.NAPTR)
-                                        .bytes(),
+    void decodesOrRejectsAnyBytes() throws Exception {
+        SplittableRandom random = new SplittableRandom(9);
+        byte[] valid =
+                SimulatedNetwork.newServer()
+                        .handleQuery(
+                                DnsMessage.query(7, Enum.name("8190123", SUFFIX), DnsMessage.NAPTR)
+                                        .encode(),
                                 false)
                         .get(0)
                         .bytes();
-        assertThat(DnsMessage.read(good).bytes()).isEqualTo(good);
-        int bad = 0;
+        assertThat(DnsMessage.decode(valid).encode()).isEqualTo(valid);
+        int rejected = 0;
         for (int i = 0; i < 200_000; i++) {
-            byte[] bytes = java.util.Arrays.copyOf(good, chance.nextInt(good.length + 1));
-            for (int j = chance.nextInt(4); j > 0 && bytes.length > 0; j--) {
-                bytes[chance.nextInt(bytes.length)] = (byte) chance.nextInt(256);
+            byte[] bytes = java.util.Arrays.copyOf(valid, random.nextInt(valid.length + 1));
+            for (int j = random.nextInt(4); j > 0 && bytes.length > 0; j--) {
+                bytes[random.nextInt(bytes.length)] = (byte) random.nextInt(256);
             }
             try {
-                Enum.ported(DnsMessage.read(bytes), "8190123");
+                Enum.ported(DnsMessage.decode(bytes), "8190123");
             } catch (BadDns e) {
-                bad++;
+                rejected++;
             }
         }
-        assertThat(bad).isBetween(100_000, 199_999);
-        assertThatThrownBy(() -> DnsMessage.read(new byte[0])).hasMessage("cut short at byte 0");
+        assertThat(rejected).isBetween(100_000, 199_999);
+        assertThatThrownBy(() -> DnsMessage.decode(new byte[0]))
+                .hasMessage("message truncated at byte 0");
     }
 }
--- a/src/test/java/coralcove/dns/transport/DnsClientTest.java
+++ b/src/test/java/coralcove/dns/transport/DnsClientTest.java
@@ -15,15 +15,15 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Client and stand-in server on loopback sockets. */
+/** Client and simulated server on loopback sockets. */
 class DnsClientTest {
-    private static int port() throws Exception {
-        try (ServerSocket free = new ServerSocket(0)) {
-            return free.getLocalPort();
+    private static int freePort() throws Exception {
+        try (ServerSocket socket = new ServerSocket(0)) {
+            return socket.getLocalPort();
         }
     }
 
-    private static DnsStandIn server() {
+    private static DnsStandIn newServer() {
         return new DnsStandIn(
                 "e164.arpa",
                 digits -> digits.startsWith("819") ? "81" + digits.charAt(3) : null,
@@ -32,49 +32,49 @@
                 new SplittableRandom(1));
     }
 
-    private static String ask(DnsClient client, String digits) throws Exception {
-        CompletableFuture<Resolver.Result> done = new CompletableFuture<>();
-        client.ask(Enum.name(digits, "e164.arpa"), DnsMessage.NAPTR, done::complete);
-        Resolver.Result result = done.get(20, TimeUnit.SECONDS);
+    private static String queryPortability(DnsClient client, String digits) throws Exception {
+        CompletableFuture<Resolver.Result> future = new CompletableFuture<>();
+        client.ask(Enum.name(digits, "e164.arpa"), DnsMessage.NAPTR, future::complete);
+        Resolver.Result result = future.get(20, TimeUnit.SECONDS);
         return result.answer() == null
                 ? result.failure()
                 : Enum.ported(result.answer(), digits).routing();
     }
 
     @Test
-    void asksOverDatagramsAndStreams() throws Exception {
-        int port = port();
+    void queriesOverUdpAndTcp() throws Exception {
+        int port = freePort();
         Resolver.Settings settings =
                 new Resolver.Settings(
                         List.of(new Resolver.Server("127.0.0.1", port)), 2_000_000, 2, 4, 1000);
-        try (DnsServer server = new DnsServer("127.0.0.1", port, server());
+        try (DnsServer server = new DnsServer("127.0.0.1", port, newServer());
                 DnsClient client = new DnsClient(settings, new SecureRandom())) {
-            assertThat(ask(client, "8197")).isEqualTo("817");
-            assertThat(ask(client, "8200")).isEmpty();
-            server.misbehave(DnsStandIn.Fault.CUTS, 0);
-            assertThat(ask(client, "8196")).isEqualTo("816");
-            server.misbehave(DnsStandIn.Fault.FAILS, 0);
-            assertThat(ask(client, "8196")).isEqualTo("response code 2");
+            assertThat(queryPortability(client, "8197")).isEqualTo("817");
+            assertThat(queryPortability(client, "8200")).isEmpty();
+            server.misbehave(DnsStandIn.Fault.TRUNCATED_DATAGRAMS, 0);
+            assertThat(queryPortability(client, "8196")).isEqualTo("816");
+            server.misbehave(DnsStandIn.Fault.SERVER_FAILURE, 0);
+            assertThat(queryPortability(client, "8196")).isEqualTo("response code 2");
             server.misbehave(DnsStandIn.Fault.NONE, 0);
-            List<CompletableFuture<Resolver.Result>> all = new ArrayList<>();
+            List<CompletableFuture<Resolver.Result>> futures = new ArrayList<>();
             for (int i = 0; i < 500; i++) {
-                CompletableFuture<Resolver.Result> done = new CompletableFuture<>();
-                client.ask(Enum.name("819" + i, "e164.arpa"), DnsMessage.NAPTR, done::complete);
-                all.add(done);
+                CompletableFuture<Resolver.Result> future = new CompletableFuture<>();
+                client.ask(Enum.name("819" + i, "e164.arpa"), DnsMessage.NAPTR, future::complete);
+                futures.add(future);
             }
-            for (CompletableFuture<Resolver.Result> each : all) {
-                assertThat(each.get(20, TimeUnit.SECONDS).answer()).isNotNull();
+            for (CompletableFuture<Resolver.Result> future : futures) {
+                assertThat(future.get(20, TimeUnit.SECONDS).answer()).isNotNull();
             }
         }
     }
 
     @Test
-    void nobodyListensAndTheQuestionEnds() throws Exception {
+    void failsQueryWhenNoServerListens() throws Exception {
         Resolver.Settings settings =
                 new Resolver.Settings(
-                        List.of(new Resolver.Server("127.0.0.1", port())), 50_000, 2, 4, 10);
+                        List.of(new Resolver.Server("127.0.0.1", freePort())), 50_000, 2, 4, 10);
         try (DnsClient client = new DnsClient(settings, new SecureRandom())) {
-            assertThat(ask(client, "8197")).isEqualTo("no answer");
+            assertThat(queryPortability(client, "8197")).isEqualTo("no answer");
         }
     }
 }
--- a/src/test/java/coralcove/network/LadderQueueTest.java
+++ b/src/test/java/coralcove/network/LadderQueueTest.java
@@ -7,76 +7,81 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Against java.util.PriorityQueue: the same events in the same order, whatever their times look
- * like.
+ * Compares the queue with java.util.PriorityQueue: events must come in the same order for many
+ * distributions of their times.
  */
 class LadderQueueTest {
-    private record Event(long at, long order) {}
+    private record Event(long time, long sequence) {}
 
-    /** How far ahead of now the next event lies. */
-    private interface Law {
-        long next(SplittableRandom chance);
+    /** Draws how far after the current time the next event lies. */
+    private interface TimeDistribution {
+        long draw(SplittableRandom random);
     }
 
-    private static void same(Law law, int standing, int steps, long seed) {
-        SplittableRandom chance = new SplittableRandom(seed);
-        LadderQueue<Event> ladder = new LadderQueue<>();
-        PriorityQueue<Event> plain =
+    private static void assertSameOrder(
+            TimeDistribution distribution, int targetSize, int steps, long seed) {
+        SplittableRandom random = new SplittableRandom(seed);
+        LadderQueue<Event> ladderQueue = new LadderQueue<>();
+        PriorityQueue<Event> priorityQueue =
                 new PriorityQueue<>(
                         (a, b) ->
-                                a.at != b.at
-                                        ? Long.compare(a.at, b.at)
-                                        : Long.compare(a.order, b.order));
+                                a.time != b.time
+                                        ? Long.compare(a.time, b.time)
+                                        : Long.compare(a.sequence, b.sequence));
         long now = 1_000_000;
-        long orders = 0;
+        long sequence = 0;
         for (int step = 0; step < steps; step++) {
-            // Grows, stands, and runs empty now and then.
-            boolean grow = plain.size() < standing && step % 5000 < 4000;
-            int adds = plain.isEmpty() ? 3 : grow ? 2 : step % 5000 < 4000 ? 1 : 0;
-            for (int i = 0; i < adds; i++) {
-                Event event = new Event(now + law.next(chance), orders++);
-                ladder.add(event.at, event);
-                plain.add(event);
+            // The queues grow, stay at their size, and run empty from time to time.
+            boolean growing = priorityQueue.size() < targetSize && step % 5000 < 4000;
+            int additions = priorityQueue.isEmpty() ? 3 : growing ? 2 : step % 5000 < 4000 ? 1 : 0;
+            for (int i = 0; i < additions; i++) {
+                Event event = new Event(now + distribution.draw(random), sequence++);
+                ladderQueue.add(event.time, event);
+                priorityQueue.add(event);
             }
-            assertThat(ladder.size()).isEqualTo(plain.size());
-            Event next = plain.poll();
-            assertThat(ladder.nextAt()).isEqualTo(next.at);
-            assertThat(ladder.poll()).isEqualTo(next);
-            now = Math.max(now, next.at);
+            assertThat(ladderQueue.size()).isEqualTo(priorityQueue.size());
+            Event next = priorityQueue.poll();
+            assertThat(ladderQueue.nextTime()).isEqualTo(next.time);
+            assertThat(ladderQueue.poll()).isEqualTo(next);
+            now = Math.max(now, next.time);
         }
-        while (!plain.isEmpty()) {
-            assertThat(ladder.poll()).isEqualTo(plain.poll());
+        while (!priorityQueue.isEmpty()) {
+            assertThat(ladderQueue.poll()).isEqualTo(priorityQueue.poll());
         }
-        assertThat(ladder.isEmpty()).isTrue();
-        assertThat(ladder.poll()).isNull();
+        assertThat(ladderQueue.isEmpty()).isTrue();
+        assertThat(ladderQueue.poll()).isNull();
     }
 
     @Test
-    void theSameOrderForManyLaws() {
+    void keepsOrderForManyTimeDistributions() {
         for (long seed = 1; seed <= 6; seed++) {
-            same(chance -> chance.nextLong(1_000_000), 3000, 20_000, seed);
-            same(chance -> (long) (-Math.log(1 - chance.nextDouble()) * 50_000), 500, 20_000, seed);
-            // All at once, near and far together, in the past too.
-            same(chance -> 0, 2000, 20_000, seed);
-            same(
-                    chance ->
-                            chance.nextInt(10) < 9
-                                    ? chance.nextLong(50)
-                                    : chance.nextLong(10_000_000_000L),
+            assertSameOrder(random -> random.nextLong(1_000_000), 3000, 20_000, seed);
+            assertSameOrder(
+                    random -> (long) (-Math.log(1 - random.nextDouble()) * 50_000),
+                    500,
+                    20_000,
+                    seed);
+            // All at the same time; near and far future mixed; also in the past.
+            assertSameOrder(random -> 0, 2000, 20_000, seed);
+            assertSameOrder(
+                    random ->
+                            random.nextInt(10) < 9
+                                    ? random.nextLong(50)
+                                    : random.nextLong(10_000_000_000L),
                     3000,
                     20_000,
                     seed);
-            same(chance -> chance.nextLong(2000) - 1000, 1000, 20_000, seed);
-            same(chance -> 100_000 * chance.nextLong(4), 5000, 20_000, seed);
+            assertSameOrder(random -> random.nextLong(2000) - 1000, 1000, 20_000, seed);
+            assertSameOrder(random -> 100_000 * random.nextLong(4), 5000, 20_000, seed);
         }
     }
 
     /**
-     * Many events of one near moment on top of far ones: the sorted part must not become a long
-     * list.
+     * Many events within a few microseconds in front of later ones: the sorted part must not become
+     * a long list, into which inserting is slow.
      */
     @Test
-    void aBurstBeforeWhatIsSorted() {
+    void keepsOrderForBurstBeforeSortedEvents() {
         LadderQueue<Integer> queue = new LadderQueue<>();
         for (int i = 0; i < 100; i++) {
             queue.add(1_000_000 + i, i);
@@ -85,12 +90,12 @@
         for (int i = 0; i < 100_000; i++) {
             queue.add(1_000_000 + i % 7, 1000 + i);
         }
-        long before = 0;
+        long previous = 0;
         int taken = 0;
         while (!queue.isEmpty()) {
-            long at = queue.nextAt();
-            assertThat(at).isGreaterThanOrEqualTo(before);
-            before = at;
+            long time = queue.nextTime();
+            assertThat(time).isGreaterThanOrEqualTo(previous);
+            previous = time;
             queue.poll();
             taken++;
         }
--- a/src/test/java/coralcove/network/LiveNetworkTest.java
+++ b/src/test/java/coralcove/network/LiveNetworkTest.java
@@ -29,75 +29,77 @@
 import org.junit.jupiter.api.Assumptions;
 import org.junit.jupiter.api.Test;
 
-/** Calls over real loopback sockets; what is awaited is counted, and no verdict rests on speed. */
+/**
+ * Calls over real loopback sockets. The tests wait for counted events; no result depends on speed.
+ */
 class LiveNetworkTest {
     private final LiveNetwork network = new LiveNetwork(null);
 
     /**
-     * A phone that calls {@code to} at its start, or answers what calls it and hangs up once it is
-     * acknowledged.
+     * A user agent that calls {@code to} when started if that is given; otherwise it answers calls
+     * and hangs up once the answer is acknowledged.
      */
-    private static final class Phone extends AgentCore {
-        final BlockingQueue<String> seen = new LinkedBlockingQueue<>();
-        final Hop to;
+    private static final class UserAgent extends AgentCore {
+        final BlockingQueue<String> events = new LinkedBlockingQueue<>();
+        final Hop calledAddress;
 
-        Phone(Hop self, Hop to, String seed) {
+        UserAgent(Hop self, Hop to, String seed) {
             super(self, seed);
-            this.to = to;
+            this.calledAddress = to;
         }
 
         @Override
         public void start(long now, Out out) {
-            if (to != null) {
+            if (calledAddress != null) {
                 SipMessage invite = agent.request("INVITE", "sip:7@there");
-                invite.add("X-Long", "y".repeat(to.tcp() ? 3000 : 10));
-                agent.invite(now, invite, to, this, out);
+                invite.add("X-Long", "y".repeat(calledAddress.tcp() ? 3000 : 10));
+                agent.invite(now, invite, calledAddress, this, out);
             }
         }
 
         @Override
         public void malformed(long now, Hop from, BadMessage problem, Out out) {
-            seen.add("malformed");
+            events.add("malformed");
             super.malformed(now, from, problem, out);
         }
 
         @Override
         public void broken(long now, Hop peer, boolean refused, Out out) {
-            seen.add(refused ? "refused" : "broken");
+            events.add(refused ? "refused" : "broken");
             super.broken(now, peer, refused, out);
         }
 
         @Override
         public void invited(long now, Call call, Hop from, Out out) {
-            seen.add("invited");
+            events.add("invited");
             agent.progress(now, call, 180, "Ringing", out);
             agent.answer(now, call, out);
         }
 
         @Override
         public void progressed(long now, Call call, SipMessage response, Out out) {
-            seen.add("ringing");
+            events.add("ringing");
         }
 
         @Override
         public void answered(long now, Call call, SipMessage response, Out out) {
-            seen.add("answered");
+            events.add("answered");
             agent.bye(now, call, null, out);
         }
 
         @Override
         public void rejected(long now, Call call, SipMessage response, Agent.Lost lost, Out out) {
-            seen.add("rejected " + lost);
+            events.add("rejected " + lost);
         }
 
         @Override
         public void cancelled(long now, Call call, Out out) {
-            seen.add("cancelled");
+            events.add("cancelled");
         }
 
         @Override
         public void hungUp(long now, Call call, SipMessage bye, Out out) {
-            seen.add("hung up");
+            events.add("hung up");
         }
 
         @Override
@@ -107,12 +109,12 @@
 
         @Override
         public void replied(long now, ClientTx tx, SipMessage response, Out out) {
-            seen.add("replied");
+            events.add("replied");
         }
 
-        void sees(String... wanted) throws InterruptedException {
-            for (String each : wanted) {
-                assertThat(seen.poll(30, TimeUnit.SECONDS)).isEqualTo(each);
+        void awaitEvents(String... expected) throws InterruptedException {
+            for (String event : expected) {
+                assertThat(events.poll(30, TimeUnit.SECONDS)).isEqualTo(event);
             }
         }
     }
@@ -128,28 +130,28 @@
         network.close();
     }
 
-    private void call(boolean tcp, String host) throws Exception {
-        Hop there = new Hop(tcp, host, freePort());
-        Phone called = new Phone(there, null, "b");
-        network.add("called", there, called, false);
-        Hop here = new Hop(tcp, host, freePort());
-        Phone caller = new Phone(here, there, "a");
-        network.add("caller", here, caller, false);
-        caller.sees("ringing", "answered");
-        called.sees("invited", "hung up");
+    private void assertCallCompletes(boolean tcp, String host) throws Exception {
+        Hop calleeAddress = new Hop(tcp, host, freePort());
+        UserAgent callee = new UserAgent(calleeAddress, null, "b");
+        network.add("called", calleeAddress, callee, false);
+        Hop callerAddress = new Hop(tcp, host, freePort());
+        UserAgent caller = new UserAgent(callerAddress, calleeAddress, "a");
+        network.add("caller", callerAddress, caller, false);
+        caller.awaitEvents("ringing", "answered");
+        callee.awaitEvents("invited", "hung up");
     }
 
     @Test
-    void setsUpAndEndsACallOverUdp() throws Exception {
-        call(false, "127.0.0.1");
+    void setsUpAndEndsCallOverUdp() throws Exception {
+        assertCallCompletes(false, "127.0.0.1");
     }
 
     @Test
-    void setsUpAndEndsACallOverTcp() throws Exception {
-        call(true, "127.0.0.1");
+    void setsUpAndEndsCallOverTcp() throws Exception {
+        assertCallCompletes(true, "127.0.0.1");
     }
 
-    private static void needsIpv6() {
+    private static void assumeIpv6() {
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName("::1"))) {
             assertThat(socket.isBound()).isTrue();
         } catch (IOException e) {
@@ -158,25 +160,25 @@
     }
 
     @Test
-    void setsUpAndEndsACallOverTcpAndIpv6() throws Exception {
-        needsIpv6();
-        call(true, "[::1]");
+    void setsUpAndEndsCallOverTcpAndIpv6() throws Exception {
+        assumeIpv6();
+        assertCallCompletes(true, "[::1]");
     }
 
     @Test
-    void tellsARefusedStreamAtOnce() throws Exception {
-        Hop here = new Hop(true, "127.0.0.1", freePort());
-        Phone caller = new Phone(here, new Hop(true, "127.0.0.1", freePort()), "a");
-        network.add("caller", here, caller, false);
-        caller.sees("refused", "rejected UNREACHABLE");
+    void reportsRefusedConnection() throws Exception {
+        Hop address = new Hop(true, "127.0.0.1", freePort());
+        UserAgent caller = new UserAgent(address, new Hop(true, "127.0.0.1", freePort()), "a");
+        network.add("caller", address, caller, false);
+        caller.awaitEvents("refused", "rejected UNREACHABLE");
     }
 
     @Test
-    void cutsOffAStreamThatIsNoSip() throws Exception {
-        Hop here = new Hop(true, "127.0.0.1", freePort());
-        Phone phone = new Phone(here, null, "a");
-        network.add("phone", here, phone, false);
-        try (Socket socket = new Socket("127.0.0.1", here.port())) {
+    void closesStreamThatIsNotSip() throws Exception {
+        Hop address = new Hop(true, "127.0.0.1", freePort());
+        UserAgent phone = new UserAgent(address, null, "a");
+        network.add("phone", address, phone, false);
+        try (Socket socket = new Socket("127.0.0.1", address.port())) {
             OutputStream out = socket.getOutputStream();
             out.write("GET / HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
             out.flush();
@@ -184,21 +186,21 @@
         }
     }
 
-    /** What waited for a connection that was never taken grew without a bound. */
+    /** The bytes queued for a connection that is never accepted once grew without bound. */
     @Test
-    void whatWaitsForAConnectionIsBounded() throws Exception {
-        try (ServerSocket deaf = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            List<Socket> fill = new ArrayList<>();
+    void boundsBytesQueuedForPendingConnection() throws Exception {
+        try (ServerSocket notAccepting = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            List<Socket> connections = new ArrayList<>();
             try {
                 for (int i = 0; i < 4; i++) {
-                    Socket each = new Socket();
-                    fill.add(each);
-                    each.connect(deaf.getLocalSocketAddress(), 200);
+                    Socket socket = new Socket();
+                    connections.add(socket);
+                    socket.connect(notAccepting.getLocalSocketAddress(), 200);
                 }
-            } catch (IOException full) {
-                // The backlog is full: from now on a connection waits.
+            } catch (IOException backlogFull) {
+                // The backlog is full: further connection attempts stay pending.
             }
-            CompletableFuture<String> cut = new CompletableFuture<>();
+            CompletableFuture<String> disconnectReason = new CompletableFuture<>();
             Sockets.Listener listener =
                     new Sockets.Listener() {
                         @Override
@@ -209,32 +211,32 @@
 
                         @Override
                         public void cutOff(Hop peer, String reason) {
-                            cut.complete(reason);
+                            disconnectReason.complete(reason);
                         }
                     };
             try (Sockets sockets = new Sockets(new Hop(false, "127.0.0.1", freePort()), listener)) {
-                Hop to = new Hop(true, "127.0.0.1", deaf.getLocalPort());
+                Hop destination = new Hop(true, "127.0.0.1", notAccepting.getLocalPort());
                 for (int i = 0; i < 70; i++) {
-                    sockets.send(to, new byte[1 << 16]);
+                    sockets.send(destination, new byte[1 << 16]);
                 }
-                assertThat(cut.get(5, TimeUnit.SECONDS))
+                assertThat(disconnectReason.get(5, TimeUnit.SECONDS))
                         .startsWith("does not connect: 4194304 bytes wait");
             }
-            for (Socket each : fill) {
-                each.close();
+            for (Socket socket : connections) {
+                socket.close();
             }
         }
     }
 
     /**
-     * A peer that never reads, one that resets and one that closes its half: each is cut off, and
-     * others are served.
+     * One peer never reads, one resets its connection and one closes its sending side: all are
+     * disconnected, and other peers are still served.
      */
     @Test
-    void aBadPeerIsCutOffAndOthersAreServed() throws Exception {
-        Hop here = new Hop(true, "127.0.0.1", freePort());
-        Phone phone = new Phone(here, null, "a");
-        network.add("phone", here, phone, false);
+    void disconnectsMisbehavingPeersAndServesOthers() throws Exception {
+        Hop address = new Hop(true, "127.0.0.1", freePort());
+        UserAgent phone = new UserAgent(address, null, "a");
+        network.add("phone", address, phone, false);
         String options =
                 "OPTIONS sip:a@b SIP/2.0\r\n"
                         + "Via: SIP/2.0/TCP 127.0.0.1:9;rport;branch=z9hG4bK%d\r\n"
@@ -243,44 +245,51 @@
                         + "Call-ID: c%d\r\n"
                         + "CSeq: 1 OPTIONS\r\n"
                         + "Content-Length: 0\r\n\r\n";
-        Socket reset = new Socket("127.0.0.1", here.port());
+        Socket reset = new Socket("127.0.0.1", address.port());
         reset.setSoLinger(true, 0);
         reset.getOutputStream().write(options.substring(0, 40).getBytes(StandardCharsets.US_ASCII));
         reset.close();
-        try (Socket deaf = new Socket();
-                Socket half = new Socket("127.0.0.1", here.port())) {
-            deaf.setReceiveBufferSize(4096);
-            deaf.connect(new java.net.InetSocketAddress("127.0.0.1", here.port()));
-            half.getOutputStream()
+        try (Socket notReading = new Socket();
+                Socket halfClosed = new Socket("127.0.0.1", address.port())) {
+            notReading.setReceiveBufferSize(4096);
+            notReading.connect(new java.net.InetSocketAddress("127.0.0.1", address.port()));
+            halfClosed
+                    .getOutputStream()
                     .write(String.format(options, -1, -1).getBytes(StandardCharsets.US_ASCII));
-            half.shutdownOutput();
+            halfClosed.shutdownOutput();
             byte[] first = new byte[11];
-            half.getInputStream().readNBytes(first, 0, first.length);
-            OutputStream out = deaf.getOutputStream();
-            boolean cut = false;
+            halfClosed.getInputStream().readNBytes(first, 0, first.length);
+            OutputStream out = notReading.getOutputStream();
+            boolean disconnected = false;
             try {
-                // Far more answers than are let wait: at some point the stream is closed under the
-                // writer.
-                for (int i = 0; i < 400_000 && !cut; i++) {
+                // Far more responses than may be queued for one peer: at some point the stream is
+                // closed while the test writes.
+                for (int i = 0; i < 400_000 && !disconnected; i++) {
                     out.write(String.format(options, i, i).getBytes(StandardCharsets.US_ASCII));
                 }
             } catch (IOException e) {
-                cut = true;
+                disconnected = true;
             }
-            assertThat(cut).isTrue();
+            assertThat(disconnected).isTrue();
         }
-        Hop other = new Hop(true, "127.0.0.1", freePort());
-        Phone caller = new Phone(other, here, "c");
-        network.add("caller", other, caller, false);
-        caller.sees("ringing", "answered");
+        Hop callerAddress = new Hop(true, "127.0.0.1", freePort());
+        UserAgent caller = new UserAgent(callerAddress, address, "c");
+        network.add("caller", callerAddress, caller, false);
+        caller.awaitEvents("ringing", "answered");
     }
 
     @Test
-    void namesThePortThatIsInUse() throws Exception {
-        try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            Hop here = new Hop(true, "127.0.0.1", taken.getLocalPort());
-            assertThatThrownBy(() -> network.add("phone", here, new Phone(here, null, "a"), false))
-                    .hasMessageContaining("127.0.0.1:" + taken.getLocalPort());
+    void reportsAddressInUse() throws Exception {
+        try (ServerSocket boundSocket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            Hop address = new Hop(true, "127.0.0.1", boundSocket.getLocalPort());
+            assertThatThrownBy(
+                            () ->
+                                    network.add(
+                                            "phone",
+                                            address,
+                                            new UserAgent(address, null, "a"),
+                                            false))
+                    .hasMessageContaining("127.0.0.1:" + boundSocket.getLocalPort());
         }
     }
 }
