--- a/src/main/java/coralcove/dns/Resolver.java
+++ b/src/main/java/coralcove/dns/Resolver.java
@@ -19,14 +19,14 @@
     public record Server(String host, int port) {}
 
     /**
-     * Settings of a resolver. {@code attemptTimeout} is in µs; {@code sockets} is the number of
+     * Settings of a resolver. {@code attemptTimeout} is in µs; {@code socketCount} is the number of
      * sockets to choose from; {@code maxOutstanding} bounds the queries in progress.
      */
     public record Settings(
             List<Server> servers,
             long attemptTimeout,
             int maxAttempts,
-            int sockets,
+            int socketCount,
             int maxOutstanding) {}
 
     /**
@@ -143,7 +143,7 @@
             return;
         }
         query.id = id;
-        query.socket = random.nextInt(settings.sockets);
+        query.socket = random.nextInt(settings.socketCount);
         query.server = selectServer(now, query.attempts);
         query.attempts++;
         pendingById.put(id, query);
--- a/src/main/java/coralcove/dns/ServiceZone.java
+++ b/src/main/java/coralcove/dns/ServiceZone.java
@@ -45,7 +45,7 @@
     }
 
     /** Adds a CNAME record. */
-    public ServiceZone cname(String name, String target) {
+    public ServiceZone addCname(String name, String target) {
         return add(name, DnsMessage.CNAME, DnsMessage.uncompressedName(target));
     }
 
@@ -94,7 +94,7 @@
                         DnsMessage.uncompressedName(
                                 recordsOf(name, DnsMessage.CNAME).get(0).data(), 0);
             } catch (BadDns e) {
-                throw new IllegalStateException("malformed record in the own zone", e);
+                throw new IllegalStateException("malformed record in the zone of this server", e);
             }
         }
         answers.addAll(recordsOf(name, query.questionType()));
@@ -116,7 +116,8 @@
                     additional.addAll(recordsOf(target, DnsMessage.A));
                     additional.addAll(recordsOf(target, DnsMessage.AAAA));
                 } catch (BadDns e) {
-                    throw new IllegalStateException("malformed record in the own zone", e);
+                    throw new IllegalStateException(
+                            "malformed record in the zone of this server", e);
                 }
             }
         }
--- a/src/main/java/coralcove/network/LiveNetwork.java
+++ b/src/main/java/coralcove/network/LiveNetwork.java
@@ -47,7 +47,7 @@
     private final class Node implements Out, Sockets.Listener, Runnable {
         final String name;
         final Core core;
-        final boolean tapped;
+        final boolean observed;
         final Sockets sockets;
         final Logger log;
         final RandomGenerator random;
@@ -55,10 +55,10 @@
         final Thread thread;
         volatile boolean alive = true;
 
-        Node(String name, Hop self, Core core, boolean tapped) throws IOException {
+        Node(String name, Hop self, Core core, boolean observed) throws IOException {
             this.name = name;
             this.core = core;
-            this.tapped = tapped;
+            this.observed = observed;
             log = LoggerFactory.getLogger(name);
             random = new SplittableRandom(seed * 31 + name.hashCode());
             sockets = new Sockets(self, this);
@@ -133,7 +133,7 @@
         @Override
         public void read(Hop source, byte[] bytes) {
             long receivedAt = now();
-            if (tapped && observer != null && alive) {
+            if (observed && observer != null && alive) {
                 observer.message(receivedAt, name, false, source, bytes);
             }
             inputQueue.offerMessage(source, bytes, receivedAt);
@@ -141,7 +141,7 @@
 
         @Override
         public void broken(Hop peer, boolean refused) {
-            if (tapped && observer != null && alive) {
+            if (observed && observer != null && alive) {
                 observer.broken(now(), name, peer, refused);
             }
             submit((now, out) -> core.broken(now, peer, refused, out));
@@ -158,7 +158,7 @@
                 return;
             }
             byte[] bytes = message.bytes();
-            if (tapped && observer != null) {
+            if (observed && observer != null) {
                 observer.message(now(), name, true, destination, bytes);
             }
             String targetName = namesByPort.get(destination.port());
@@ -238,9 +238,9 @@
     }
 
     @Override
-    public void add(String name, Hop self, Core core, boolean tapped) {
+    public void add(String name, Hop self, Core core, boolean observed) {
         try {
-            Node node = new Node(name, self, core, tapped);
+            Node node = new Node(name, self, core, observed);
             nodes.put(name, node);
             namesByPort.put(self.port(), name);
             node.thread.start();
--- a/src/main/java/coralcove/network/Network.java
+++ b/src/main/java/coralcove/network/Network.java
@@ -15,7 +15,7 @@
         void run(long now, Out out);
     }
 
-    /** Observes every message that a tapped node sends or receives. Times are in µs. */
+    /** Observes every message that an observed node sends or receives. Times are in µs. */
     interface Tap {
         /** A message was sent ({@code out}) to {@code peer} or received from it. */
         void message(long now, String node, boolean out, Hop peer, byte[] bytes);
@@ -28,15 +28,15 @@
             message(now, node, out, peer, message.bytes());
         }
 
-        /** A stream of a tapped node broke, or could not be opened ({@code refused}). */
+        /** A stream of an observed node broke, or could not be opened ({@code refused}). */
         void broken(long now, String node, Hop peer, boolean refused);
     }
 
     /**
      * Starts a core as the node {@code name}, reachable over UDP and TCP at {@code self}. If {@code
-     * tapped}, the observer is informed of its messages.
+     * observed}, the observer is informed of its messages.
      */
-    void add(String name, Hop self, Core core, boolean tapped);
+    void add(String name, Hop self, Core core, boolean observed);
 
     /**
      * Ends a node abruptly, as killing its process would: it sends nothing more, and messages for
--- a/src/main/java/coralcove/network/VirtualNetwork.java
+++ b/src/main/java/coralcove/network/VirtualNetwork.java
@@ -51,17 +51,17 @@
         final String name;
         final Hop self;
         final Core core;
-        final boolean tapped;
+        final boolean observed;
         final int zone;
         final String site;
         boolean alive = true;
         long nextWakeUp = Long.MAX_VALUE;
 
-        Node(String name, Hop self, Core core, boolean tapped, int zone) {
+        Node(String name, Hop self, Core core, boolean observed, int zone) {
             this.name = name;
             this.self = self;
             this.core = core;
-            this.tapped = tapped;
+            this.observed = observed;
             this.zone = zone;
             site = name.substring(name.indexOf('-') + 1);
         }
@@ -72,7 +72,7 @@
                     serialized
                             ? new Packet(message.bytes(), null)
                             : new Packet(null, message.copy());
-            if (tapped && observer != null) {
+            if (observed && observer != null) {
                 notifyObserver(name, true, to, packet);
             }
             transmit(this, to, packet);
@@ -107,7 +107,7 @@
     private final Map<Long, Long> lastArrivalByStream = new HashMap<>();
     private final NetworkPartitions partitions = new NetworkPartitions();
     private long now;
-    private long carried;
+    private long messageCount;
 
     /**
      * A network whose virtual clock begins at {@code start} (µs). {@code zones} maps node names to
@@ -145,8 +145,8 @@
     }
 
     @Override
-    public void add(String name, Hop self, Core core, boolean tapped) {
-        Node node = new Node(name, self, core, tapped, zones.getOrDefault(name, 0));
+    public void add(String name, Hop self, Core core, boolean observed) {
+        Node node = new Node(name, self, core, observed, zones.getOrDefault(name, 0));
         nodesByName.put(name, node);
         nodesByPort.put(self.port(), node);
         core.start(now, node);
@@ -187,8 +187,8 @@
     }
 
     /** Number of messages sent so far, including those that were lost. */
-    public long carried() {
-        return carried;
+    public long messageCount() {
+        return messageCount;
     }
 
     @Override
@@ -231,7 +231,7 @@
     }
 
     private void transmit(Node from, Hop to, Packet packet) {
-        carried++;
+        messageCount++;
         Node target = nodesByPort.get(to.port());
         if (target != null && partitions.isPartitioned(from.name, target.name)) {
             return;
@@ -270,7 +270,7 @@
                     now + 2 * delay,
                     () -> {
                         if (from.alive) {
-                            if (from.tapped && observer != null) {
+                            if (from.observed && observer != null) {
                                 observer.broken(now, from.name, to, refused);
                             }
                             from.core.broken(now, to, refused, from);
@@ -301,7 +301,7 @@
                     if (target == null) {
                         return;
                     }
-                    if (target.tapped && observer != null) {
+                    if (target.observed && observer != null) {
                         notifyObserver(target.name, false, source, packet);
                     }
                     try {
--- a/src/test/java/coralcove/dns/LocatorTest.java
+++ b/src/test/java/coralcove/dns/LocatorTest.java
@@ -96,18 +96,18 @@
     @Test
     void queriesMissingAddressesAndFollowsAliases() {
         zone.includeAdditional(false)
-                .cname(SERVICE_NAME, "svc.example.org")
+                .addCname(SERVICE_NAME, "svc.example.org")
                 .srv("svc.example.org", 1, 1, "a.example.org", 5060)
-                .cname("a.example.org", "host.example.org")
+                .addCname("a.example.org", "host.example.org")
                 .a("host.example.org", 10, 0, 0, 1);
         start().assertTrace("locator-aliases");
     }
 
     @Test
     void stopsAtAliasLoop() {
-        zone.cname(SERVICE_NAME, "x.example.org")
-                .cname("x.example.org", "y.example.org")
-                .cname("y.example.org", SERVICE_NAME);
+        zone.addCname(SERVICE_NAME, "x.example.org")
+                .addCname("x.example.org", "y.example.org")
+                .addCname("y.example.org", SERVICE_NAME);
         start().assertTrace("locator-circle");
     }
 
--- a/src/test/java/coralcove/dns/ResolverTest.java
+++ b/src/test/java/coralcove/dns/ResolverTest.java
@@ -262,7 +262,7 @@
         assertThat(trace.toString()).isEqualTo(Kept.trace("enum"));
     }
 
-    /** Decoding any bytes either succeeds or throws BadDns, nothing else. */
+    /** Decoding any bytes either succeeds or throws {@link BadDns}, nothing else. */
     @Test
     void decodesOrRejectsAnyBytes() throws Exception {
         SplittableRandom random = new SplittableRandom(9);
--- a/src/test/java/coralcove/network/LiveNetworkTest.java
+++ b/src/test/java/coralcove/network/LiveNetworkTest.java
@@ -36,8 +36,8 @@
     private final LiveNetwork network = new LiveNetwork(null);
 
     /**
-     * A user agent that calls {@code to} when started if that is given; otherwise it answers calls
-     * and hangs up once the answer is acknowledged.
+     * A user agent that calls {@code to} when it starts, if that is given; otherwise it answers
+     * calls and hangs up once the answer is acknowledged.
      */
     private static final class UserAgent extends AgentCore {
         final BlockingQueue<String> events = new LinkedBlockingQueue<>();
