--- a/src/main/java/coralcove/judge/Judge.java
+++ b/src/main/java/coralcove/judge/Judge.java
@@ -19,142 +19,150 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Judges the five rules from captured traffic alone: each message that a call router read or wrote,
- * with its time. Call routers are the nodes named {@code edge-N}; {@link #killed} and the end of
- * the capture close what is open.
+ * Checks the five rules from captured traffic alone: each message that a call router received or
+ * sent, with its time in µs. Call routers are the nodes named {@code edge-N}. Pending sessions end
+ * with {@link #killed} or with the end of the capture.
  */
 public final class Judge implements Network.Tap, Witness {
-    /** Services a header may name; the judge holds no settings of the routers. */
-    private static final int SERVICES = 1000;
+    /** Highest service accepted in a header; the settings of the routers are not known here. */
+    private static final int MAX_SERVICES = 1000;
 
-    /** µs: the longest time after a drain that is told apart. */
-    private static final long LONGEST_SENT = 3_600_000_000L;
+    /** Longest delay after a drain that the histogram resolves. */
+    private static final long MAX_RECORDED_DELAY_MICROS = 3_600_000_000L;
 
-    /** One session at one router, from the INVITE it read. */
-    private static final class Seen {
+    /** One session at one router, from the INVITE that the router received. */
+    private static final class ObservedSession {
         final String node;
         final String sessionId;
-        final long at;
-        final long left;
-        final boolean lines;
+        final long receivedAt;
+        final long timeLeft;
+        final boolean endsHere;
         boolean cancelled;
-        int finals;
+        int finalAnswers;
         String answer = "";
         long answeredAt;
-        final List<Sent> sent = new ArrayList<>();
+        final List<SentInvite> invites = new ArrayList<>();
 
-        /**
-         * What was dialled, and the far end of the first INVITE sent for it; null where the far end
-         * was told.
-         */
-        String dialled;
+        /** The dialled number; null where the caller named the far end. */
+        String dialledNumber;
 
-        String farEnd;
+        /** Far end of the first INVITE sent for the dialled number; null before that. */
+        String firstFarEnd;
 
-        Seen(String node, String sessionId, long at, long left, boolean lines) {
+        ObservedSession(String node, String sessionId, long at, long left, boolean lines) {
             this.node = node;
             this.sessionId = sessionId;
-            this.at = at;
-            this.left = left;
-            this.lines = lines;
+            this.receivedAt = at;
+            this.timeLeft = left;
+            this.endsHere = lines;
         }
     }
 
-    /** One INVITE that a router wrote. */
-    private static final class Sent {
-        final long at;
-        final long until;
+    /** One INVITE that a router sent. */
+    private static final class SentInvite {
+        final long sentAt;
+        final long timeLimit;
         long endedAt = Long.MAX_VALUE;
-        boolean waits;
+        boolean needsRelease;
 
-        Sent(long at, long left) {
-            this.at = at;
-            until = at + left;
+        SentInvite(long at, long left) {
+            this.sentAt = at;
+            timeLimit = at + left;
         }
 
-        long over() {
-            return Math.min(endedAt, until);
+        long endTime() {
+            return Math.min(endedAt, timeLimit);
         }
 
-        /** Whether the session must wait for the release: it ended by time, reset or cancel. */
-        boolean mustWait() {
-            return endedAt > until || waits;
+        /**
+         * Whether the session must wait for the release before the next INVITE: this one ended by
+         * time-out, reset or CANCEL.
+         */
+        boolean requiresReleaseWait() {
+            return endedAt > timeLimit || needsRelease;
         }
     }
 
-    /** What one router has been told of one machine, by all its directories together. */
-    private static final class Told {
+    /** What one router knows of one exchange, from all its directories together. */
+    private static final class KnownExchange {
         int number;
         String address;
-        long start = -1;
-        long startAt;
-        long beat;
-        long quiet;
-        boolean off;
+        long startNumber = -1;
+        long startLearntAt;
+        long heartbeat;
+        long silentHeartbeat;
+        boolean drainingOrLeft;
         boolean ready;
         long notReadyAt;
 
-        /** µs from then to the last INVITE sent to it, -1 for none. */
-        long lastSent = -1;
+        /** µs from {@link #notReadyAt} to the last INVITE sent to it, -1 for none. */
+        long lastInviteDelay = -1;
 
-        /** {@code missed}: a list lacks it, or a line calls it silent, as of this sign of life. */
-        void said(long now, long ofStart, long ofBeat, boolean missed, boolean drainsOrLeft) {
-            if (ofStart < start) {
+        /**
+         * Applies one line of a list.
+         *
+         * @param silent the exchange is missing from a complete list, or marked silent, as of this
+         *     heartbeat
+         */
+        void update(long now, long lineStart, long lineHeartbeat, boolean silent, boolean leaving) {
+            if (lineStart < startNumber) {
                 return;
             }
-            if (ofStart > start) {
-                start = ofStart;
-                startAt = now;
-                beat = -1;
-                quiet = -1;
-                off = false;
+            if (lineStart > startNumber) {
+                startNumber = lineStart;
+                startLearntAt = now;
+                heartbeat = -1;
+                silentHeartbeat = -1;
+                drainingOrLeft = false;
             }
-            beat = Math.max(beat, ofBeat);
-            quiet = missed ? Math.max(quiet, ofBeat) : quiet;
-            off |= drainsOrLeft;
-            boolean runs = !off && quiet < beat;
-            if (!runs && (ready || notReadyAt == 0)) {
+            heartbeat = Math.max(heartbeat, lineHeartbeat);
+            silentHeartbeat = silent ? Math.max(silentHeartbeat, lineHeartbeat) : silentHeartbeat;
+            drainingOrLeft |= leaving;
+            boolean running = !drainingOrLeft && silentHeartbeat < heartbeat;
+            if (!running && (ready || notReadyAt == 0)) {
                 notReadyAt = now;
             }
-            ready = runs;
+            ready = running;
         }
     }
 
     /**
-     * A subscription that a router has asked for: only a NOTIFY within it tells the router
-     * anything.
+     * A subscription that a router requested: only a NOTIFY within it changes what the router
+     * knows.
      */
-    private static final class Asked {
+    private static final class Subscription {
         final Hop peer;
-        String tag = "";
-        long sequence = -1;
+        String remoteTag = "";
+        long lastSequence = -1;
 
-        /** What this directory's lists have said to the router, of whom: start and sign of life. */
-        final Map<Long, long[]> named;
+        /** Start number and heartbeat of each exchange in this directory's lists to the router. */
+        final Map<Long, long[]> listed;
 
-        Asked(Hop peer, Map<Long, long[]> named) {
+        Subscription(Hop peer, Map<Long, long[]> listed) {
             this.peer = peer;
-            this.named = named;
+            this.listed = listed;
         }
     }
 
-    private record Arrived(long at, boolean told) {}
+    /** A set-up that reached a cold exchange, and whether its router knew of the cold start. */
+    private record ColdSetUp(long at, boolean startWasKnown) {}
 
     private final Rules rules;
-    private final Map<String, Seen> byCall = new HashMap<>();
-    private final Map<String, Seen> bySession = new LinkedHashMap<>();
-    private final Map<String, Sent> sentByCall = new HashMap<>();
-    private final Map<String, Set<Sent>> open = new HashMap<>();
-    private final Map<String, Map<Long, Told>> lists = new HashMap<>();
-    private final Map<String, Asked> asked = new HashMap<>();
-    private final Map<String, Map<Long, long[]>> named = new HashMap<>();
-    private final Map<String, Boolean> setUps = new HashMap<>();
-    private final Map<Integer, ArrayDeque<Arrived>> cold = new HashMap<>();
-    private final Map<Integer, Long> starts = new HashMap<>();
+    private final Map<String, ObservedSession> sessionsByCall = new HashMap<>();
+    private final Map<String, ObservedSession> sessionsById = new LinkedHashMap<>();
+    private final Map<String, SentInvite> invitesByCall = new HashMap<>();
+    private final Map<String, Set<SentInvite>> invitesByStream = new HashMap<>();
+    private final Map<String, Map<Long, KnownExchange>> knownExchanges = new HashMap<>();
+    private final Map<String, Subscription> subscriptions = new HashMap<>();
+    private final Map<String, Map<Long, long[]>> listedByDirectory = new HashMap<>();
+    private final Map<String, Boolean> countedSetUps = new HashMap<>();
+    private final Map<Integer, ArrayDeque<ColdSetUp>> coldSetUps = new HashMap<>();
+    private final Map<Integer, Long> coldStarts = new HashMap<>();
     private final Map<String, Verdict> verdicts = new LinkedHashMap<>();
-    private FarEnds farEnds;
-    private long unreadable;
+    private FarEnds allowedFarEnds;
+    private long malformed;
 
+    /** Creates a checker of the five rules. */
     public Judge(Rules rules) {
         this.rules = rules;
         for (String rule : List.of("final_answer", "one_invite", "drain", "cold", "release")) {
@@ -162,68 +170,70 @@
         }
     }
 
-    /** Far ends that any one table in service then gives what was dialled at this moment. */
+    /** Far ends that the number tables in service at a given time allow for a dialled number. */
     public interface FarEnds {
         Set<Integer> of(long at, String dialled);
     }
 
     /**
-     * Judges a sixth rule, {@code one_table}: all INVITEs of a session that was dialled go to one
-     * far end, which one table gives that was in service when it came.
+     * Checks a sixth rule too, {@code one_table}: all INVITEs for a dialled number go to one far
+     * end, which a table gives that was in service when the session arrived.
      */
-    public void numbers(FarEnds known) {
-        farEnds = known;
+    public void numbers(FarEnds farEnds) {
+        allowedFarEnds = farEnds;
         verdicts.put("one_table", new Verdict("one_table"));
     }
 
+    /** Results by the name of the rule. */
     public Map<String, Verdict> verdicts() {
         return verdicts;
     }
 
     /**
-     * µs from a router's being told that a machine drains or is gone to the last INVITE it sent
-     * there, 0 for none.
+     * Delays in µs from the notification of a router that an exchange is draining or gone to the
+     * last INVITE that it sent there, 0 for none.
      */
     public Histogram lastSent() {
-        Histogram all = new Histogram(LONGEST_SENT, 3);
-        lists.values()
+        Histogram delays = new Histogram(MAX_RECORDED_DELAY_MICROS, 3);
+        knownExchanges
+                .values()
                 .forEach(
                         list ->
                                 list.values().stream()
-                                        .filter(told -> !told.ready)
+                                        .filter(exchange -> !exchange.ready)
                                         .forEach(
-                                                told ->
-                                                        all.recordValue(
+                                                exchange ->
+                                                        delays.recordValue(
                                                                 Math.min(
-                                                                        LONGEST_SENT,
+                                                                        MAX_RECORDED_DELAY_MICROS,
                                                                         Math.max(
                                                                                 0,
-                                                                                told.lastSent)))));
-        return all;
+                                                                                exchange.lastInviteDelay)))));
+        return delays;
     }
 
-    /** A captured message could not be read; a router's own are never among them. */
+    /** Counts a captured message that cannot be parsed. Routers never send one themselves. */
     public void unreadable() {
-        unreadable++;
+        malformed++;
     }
 
-    /** How many could not. */
+    /** Number of captured messages that could not be parsed. */
     public long unreadables() {
-        return unreadable;
+        return malformed;
     }
 
     @Override
     public void killed(String node) {
-        bySession.values().removeIf(seen -> seen.node.equals(node));
-        byCall.values().removeIf(seen -> seen.node.equals(node));
-        // What it was told holds: a router keeps that over its restart.
-        asked.keySet().removeIf(key -> key.startsWith(node + "|"));
+        sessionsById.values().removeIf(session -> session.node.equals(node));
+        sessionsByCall.values().removeIf(session -> session.node.equals(node));
+        // What it knows of exchanges stays: a router stores that over a restart.
+        subscriptions.keySet().removeIf(key -> key.startsWith(node + "|"));
     }
 
     @Override
     public void started(int number, long since) {
-        starts.put(number, since);
-        cold.remove(number);
+        coldStarts.put(number, since);
+        coldSetUps.remove(number);
     }
 
     @Override
@@ -238,23 +248,23 @@
         read(now, node, out, peer, message);
     }
 
-    /** The same for a message that was read already. */
+    /** Same as {@link #message}, for a message that is already parsed. */
     public void read(long now, String node, boolean out, Hop peer, SipMessage message) {
         switch (message.cseqMethod()) {
             case "INVITE" -> {
                 if (message.isRequest()) {
                     if (message.toTag().isEmpty()) {
                         if (out) {
-                            sent(now, node, peer, message);
+                            inviteSent(now, node, peer, message);
                         } else {
                             read(now, node, message);
                         }
                     }
                 } else if (message.status() >= 200) {
                     if (out) {
-                        answered(now, node, message);
+                        finalAnswerSent(now, node, message);
                     } else {
-                        settled(now, node, message);
+                        inviteAnswered(now, node, message);
                     }
                 }
             }
@@ -264,11 +274,11 @@
                         && message.isRequest()
                         && message.toTag().isEmpty()
                         && message.header("Event", "").equals("exchanges")) {
-                    asked.putIfAbsent(
+                    subscriptions.putIfAbsent(
                             node + "|" + message.callId() + "|" + message.fromTag(),
-                            new Asked(
+                            new Subscription(
                                     peer,
-                                    named.computeIfAbsent(
+                                    listedByDirectory.computeIfAbsent(
                                             node + "|" + peer, n -> new HashMap<>())));
                 }
             }
@@ -282,18 +292,18 @@
     }
 
     /**
-     * INVITEs that a broken stream carried are over; one whose stream was refused was never
-     * written.
+     * Ends the INVITEs sent on a broken stream. If the connection was refused, they were never
+     * sent.
      */
     @Override
     public void broken(long now, String node, Hop peer, boolean refused) {
-        for (Sent sent : open.getOrDefault(node + peer, Set.of())) {
+        for (SentInvite sent : invitesByStream.getOrDefault(node + peer, Set.of())) {
             if (sent.endedAt == Long.MAX_VALUE) {
                 sent.endedAt = now;
-                sent.waits = !refused;
+                sent.needsRelease = !refused;
             }
         }
-        open.remove(node + peer);
+        invitesByStream.remove(node + peer);
     }
 
     private static String key(String node, SipMessage message) {
@@ -301,119 +311,125 @@
     }
 
     private void read(long now, String node, SipMessage invite) {
-        if (byCall.containsKey(key(node, invite))) {
+        if (sessionsByCall.containsKey(key(node, invite))) {
             return;
         }
         CallHeaders headers;
         try {
-            headers = CallHeaders.of(invite, SERVICES);
+            headers = CallHeaders.of(invite, MAX_SERVICES);
         } catch (IllegalArgumentException e) {
             return;
         }
         int number = Integer.parseInt(node.substring(node.indexOf('-') + 1));
         String sessionId = invite.header("Session-ID", "");
-        Seen seen = new Seen(node, sessionId, now, headers.left(), headers.farEnd() == number);
-        seen.dialled = headers.farEnd() < 0 ? headers.number() : null;
-        byCall.put(key(node, invite), seen);
-        bySession.put(node + "|" + sessionId, seen);
+        ObservedSession session =
+                new ObservedSession(
+                        node, sessionId, now, headers.left(), headers.farEnd() == number);
+        session.dialledNumber = headers.farEnd() < 0 ? headers.number() : null;
+        sessionsByCall.put(key(node, invite), session);
+        sessionsById.put(node + "|" + sessionId, session);
         if (headers.origin() >= 0) {
-            arrived(now, node, number, headers.origin(), invite);
+            checkColdRule(now, node, number, headers.origin(), invite);
         }
     }
 
-    private void answered(long now, String node, SipMessage response) {
-        Seen seen = byCall.get(key(node, response));
-        if (seen == null) {
+    private void finalAnswerSent(long now, String node, SipMessage response) {
+        ObservedSession session = sessionsByCall.get(key(node, response));
+        if (session == null) {
             return;
         }
         String answer = response.status() + response.toTag();
-        if (answer.equals(seen.answer)) {
+        if (answer.equals(session.answer)) {
             return;
         }
-        seen.finals++;
-        if (seen.finals == 1) {
-            seen.answer = answer;
-            seen.answeredAt = now;
+        session.finalAnswers++;
+        if (session.finalAnswers == 1) {
+            session.answer = answer;
+            session.answeredAt = now;
         }
-        if (seen.finals > 1) {
+        if (session.finalAnswers > 1) {
             verdicts.get("final_answer")
                     .check(
                             false,
                             now,
                             node,
-                            seen.sessionId,
+                            session.sessionId,
                             "a further final answer " + response.status());
         }
     }
 
-    private void sent(long now, String node, Hop peer, SipMessage invite) {
-        Seen seen = bySession.get(node + "|" + invite.header("Session-ID", ""));
-        if (seen == null) {
+    private void inviteSent(long now, String node, Hop peer, SipMessage invite) {
+        ObservedSession session = sessionsById.get(node + "|" + invite.header("Session-ID", ""));
+        if (session == null) {
             return;
         }
-        Sent known = sentByCall.get(key(node, invite));
-        Verdict one = verdicts.get("one_invite");
+        SentInvite known = invitesByCall.get(key(node, invite));
+        Verdict oneInvite = verdicts.get("one_invite");
         if (known != null) {
-            // A repeat of the same INVITE, once it is over, would put it out again beside the next.
-            // One that crosses its
-            // answer between socket and router does not, as long as the next has not been sent.
+            // A retransmission after the end of an INVITE would make it active again beside the
+            // next.
+            // One that crosses its answer between socket and router does not, as long as the next
+            // INVITE has not been sent.
             boolean crossed =
-                    known.endedAt < known.until && seen.sent.get(seen.sent.size() - 1) == known;
-            one.check(
-                    now <= known.over() + (crossed ? rules.answerGrace() : 0),
+                    known.endedAt < known.timeLimit
+                            && session.invites.get(session.invites.size() - 1) == known;
+            oneInvite.check(
+                    now <= known.endTime() + (crossed ? rules.answerGrace() : 0),
                     now,
                     node,
-                    seen.sessionId,
+                    session.sessionId,
                     "an INVITE that is over is sent again");
             return;
         }
-        if (farEnds != null && seen.dialled != null) {
+        if (allowedFarEnds != null && session.dialledNumber != null) {
             String farEnd = invite.header("X-Far-End", "-1");
-            boolean first = seen.farEnd == null;
-            seen.farEnd = first ? farEnd : seen.farEnd;
+            boolean first = session.firstFarEnd == null;
+            session.firstFarEnd = first ? farEnd : session.firstFarEnd;
             verdicts.get("one_table")
                     .check(
                             first
-                                    ? farEnds.of(seen.at, seen.dialled)
+                                    ? allowedFarEnds
+                                            .of(session.receivedAt, session.dialledNumber)
                                             .contains(Integer.parseInt(farEnd))
-                                    : seen.farEnd.equals(farEnd),
+                                    : session.firstFarEnd.equals(farEnd),
                             now,
                             node,
-                            seen.sessionId,
-                            seen.dialled + " sent to far end " + farEnd);
+                            session.sessionId,
+                            session.dialledNumber + " sent to far end " + farEnd);
         }
         long left = Long.parseLong(invite.header("X-Time-Left", "0").strip());
-        Sent sent = new Sent(now, left);
-        sentByCall.put(key(node, invite), sent);
+        SentInvite sent = new SentInvite(now, left);
+        invitesByCall.put(key(node, invite), sent);
         if (peer.tcp()) {
-            open.computeIfAbsent(node + peer, p -> new LinkedHashSet<>()).add(sent);
+            invitesByStream.computeIfAbsent(node + peer, p -> new LinkedHashSet<>()).add(sent);
         }
-        if (seen.finals > 0 || seen.cancelled) {
+        if (session.finalAnswers > 0 || session.cancelled) {
             verdicts.get("final_answer")
-                    .check(false, now, node, seen.sessionId, "an INVITE after the final answer");
+                    .check(false, now, node, session.sessionId, "an INVITE after the final answer");
         }
-        if (!seen.sent.isEmpty()) {
-            Sent last = seen.sent.get(seen.sent.size() - 1);
-            one.check(now >= last.over(), now, node, seen.sessionId, "two INVITEs out");
-            if (now >= last.over() && last.mustWait()) {
+        if (!session.invites.isEmpty()) {
+            SentInvite previous = session.invites.get(session.invites.size() - 1);
+            oneInvite.check(
+                    now >= previous.endTime(), now, node, session.sessionId, "two INVITEs out");
+            if (now >= previous.endTime() && previous.requiresReleaseWait()) {
                 verdicts.get("release")
                         .check(
-                                now >= last.over() + rules.releaseWait(),
+                                now >= previous.endTime() + rules.releaseWait(),
                                 now,
                                 node,
-                                seen.sessionId,
-                                "sent again " + (now - last.over()) + " us after the end");
+                                session.sessionId,
+                                "sent again " + (now - previous.endTime()) + " us after the end");
             }
         } else {
-            one.check(true, now, node, seen.sessionId, "");
+            oneInvite.check(true, now, node, session.sessionId, "");
         }
-        seen.sent.add(sent);
-        if (!seen.lines) {
-            drained(now, node, seen, invite);
+        session.invites.add(sent);
+        if (!session.endsHere) {
+            checkDrainRule(now, node, session, invite);
         }
     }
 
-    private void drained(long now, String node, Seen seen, SipMessage invite) {
+    private void checkDrainRule(long now, String node, ObservedSession session, SipMessage invite) {
         SipUri route = SipUri.of(invite.header("Route", ""));
         if (route == null || !route.user().matches("\\d{1,5}")) {
             return;
@@ -422,17 +438,17 @@
         long last = Long.MIN_VALUE;
         boolean ready = false;
         boolean listed = false;
-        for (Told told : lists.getOrDefault(node, Map.of()).values()) {
-            if (told.number == number && told.address.equals(route.hop().toString())) {
+        for (KnownExchange exchange : knownExchanges.getOrDefault(node, Map.of()).values()) {
+            if (exchange.number == number && exchange.address.equals(route.hop().toString())) {
                 listed = true;
-                ready |= told.ready;
-                last = Math.max(last, told.notReadyAt);
+                ready |= exchange.ready;
+                last = Math.max(last, exchange.notReadyAt);
             }
         }
         if (listed && !ready) {
-            for (Told told : lists.get(node).values()) {
-                if (told.number == number && told.notReadyAt == last) {
-                    told.lastSent = Math.max(told.lastSent, now - last);
+            for (KnownExchange exchange : knownExchanges.get(node).values()) {
+                if (exchange.number == number && exchange.notReadyAt == last) {
+                    exchange.lastInviteDelay = Math.max(exchange.lastInviteDelay, now - last);
                 }
             }
         }
@@ -441,16 +457,16 @@
                         !listed || ready || now <= last + rules.drainGrace(),
                         now,
                         node,
-                        seen.sessionId,
-                        "to " + number + " " + (now - last) + " us after it was told");
+                        session.sessionId,
+                        "to " + number + " " + (now - last) + " us after it was exchange");
     }
 
-    private void settled(long now, String node, SipMessage response) {
-        Sent sent = sentByCall.get(key(node, response));
+    private void inviteAnswered(long now, String node, SipMessage response) {
+        SentInvite sent = invitesByCall.get(key(node, response));
         if (sent != null && sent.endedAt == Long.MAX_VALUE) {
             sent.endedAt = now;
             int cause = Outcomes.cause(response);
-            sent.waits =
+            sent.needsRelease =
                     response.status() == 408 || response.status() == 487 || cause == Outcomes.CUT;
         }
     }
@@ -460,34 +476,36 @@
             return;
         }
         if (out) {
-            Sent sent = sentByCall.get(key(node, message));
+            SentInvite sent = invitesByCall.get(key(node, message));
             if (sent != null && sent.endedAt == Long.MAX_VALUE) {
                 sent.endedAt = now;
-                sent.waits = true;
+                sent.needsRelease = true;
             }
         } else {
-            Seen seen = byCall.get(key(node, message));
-            if (seen != null) {
-                seen.cancelled = true;
+            ObservedSession session = sessionsByCall.get(key(node, message));
+            if (session != null) {
+                session.cancelled = true;
             }
         }
     }
 
     private void notified(long now, String node, Hop peer, SipMessage notify) {
-        Asked in = asked.get(node + "|" + notify.callId() + "|" + notify.toTag());
-        if (in == null
-                || !in.peer.host().equals(peer.host())
-                || !peer.tcp() && peer.port() != in.peer.port()
-                || !in.tag.isEmpty() && !in.tag.equals(notify.fromTag())) {
-            // Anyone can send one; this is no word of a directory.
+        Subscription subscription =
+                subscriptions.get(node + "|" + notify.callId() + "|" + notify.toTag());
+        if (subscription == null
+                || !subscription.peer.host().equals(peer.host())
+                || !peer.tcp() && peer.port() != subscription.peer.port()
+                || !subscription.remoteTag.isEmpty()
+                        && !subscription.remoteTag.equals(notify.fromTag())) {
+            // Anyone can send a NOTIFY; this one does not come from a directory.
             return;
         }
-        in.tag = notify.fromTag();
-        boolean inOrder = notify.sequence() > in.sequence;
-        in.sequence = Math.max(in.sequence, notify.sequence());
+        subscription.remoteTag = notify.fromTag();
+        boolean inOrder = notify.sequence() > subscription.lastSequence;
+        subscription.lastSequence = Math.max(subscription.lastSequence, notify.sequence());
         List<String> lines = notify.text().lines().toList();
-        Map<Long, Told> list = lists.computeIfAbsent(node, n -> new HashMap<>());
-        Set<Long> here = new LinkedHashSet<>();
+        Map<Long, KnownExchange> list = knownExchanges.computeIfAbsent(node, n -> new HashMap<>());
+        Set<Long> present = new LinkedHashSet<>();
         for (String line : lines) {
             String[] parts = line.split(" ");
             if (parts.length != 7 || !parts[0].matches("\\d+")) {
@@ -496,12 +514,12 @@
             long id = Long.parseLong(parts[0]);
             long start = Long.parseLong(parts[3]);
             long beat = Long.parseLong(parts[4]);
-            here.add(id);
-            in.named.put(id, new long[] {start, beat});
-            Told told = list.computeIfAbsent(id, n -> new Told());
-            told.number = Integer.parseInt(parts[1]);
-            told.address = parts[6];
-            told.said(
+            present.add(id);
+            subscription.listed.put(id, new long[] {start, beat});
+            KnownExchange exchange = list.computeIfAbsent(id, n -> new KnownExchange());
+            exchange.number = Integer.parseInt(parts[1]);
+            exchange.address = parts[6];
+            exchange.update(
                     now,
                     start,
                     beat,
@@ -509,33 +527,37 @@
                     parts[2].equals("draining") || parts[2].equals("left"));
         }
         if (inOrder && !lines.isEmpty() && lines.get(0).endsWith(" whole")) {
-            in.named.forEach(
+            subscription.listed.forEach(
                     (id, last) -> {
-                        if (!here.contains(id)) {
-                            list.get(id).said(now, last[0], last[1], true, false);
+                        if (!present.contains(id)) {
+                            list.get(id).update(now, last[0], last[1], true, false);
                         }
                     });
         }
     }
 
     /**
-     * Rule 4, by a budget for every window: what reached a cold exchange against what it could do
-     * then.
+     * Checks rule 4 with a budget per window: the set-ups that reached a cold exchange must not
+     * exceed its capacity then.
      */
-    private void arrived(long now, String node, int number, int origin, SipMessage invite) {
-        long since = starts.getOrDefault(number, 0L);
+    private void checkColdRule(long now, String node, int number, int origin, SipMessage invite) {
+        long since = coldStarts.getOrDefault(number, 0L);
         long age = now - since;
         if (since <= 0
                 || age < 0
                 || age >= rules.warmUp()
-                || setUps.putIfAbsent(key(node, invite), true) != null) {
+                || countedSetUps.putIfAbsent(key(node, invite), true) != null) {
             return;
         }
-        ArrayDeque<Arrived> window = cold.computeIfAbsent(number, n -> new ArrayDeque<>());
-        boolean told =
-                lists.getOrDefault("edge-" + origin, Map.of()).values().stream()
-                        .anyMatch(t -> t.number == number && t.start == since && t.startAt <= now);
-        window.add(new Arrived(now, told));
+        ArrayDeque<ColdSetUp> window = coldSetUps.computeIfAbsent(number, n -> new ArrayDeque<>());
+        boolean startWasKnown =
+                knownExchanges.getOrDefault("edge-" + origin, Map.of()).values().stream()
+                        .anyMatch(
+                                known ->
+                                        known.number == number
+                                                && known.startNumber == since
+                                                && known.startLearntAt <= now);
+        window.add(new ColdSetUp(now, startWasKnown));
         while (window.peek().at <= now - rules.fallWindow()) {
             window.poll();
         }
@@ -546,11 +568,11 @@
                         * rules.setUpsPerSecond()
                         * rules.fallWindow()
                         / 1e6;
-        long knowing = window.stream().filter(Arrived::told).count();
-        boolean kept = window.size() <= budget || knowing * 3 < window.size() * 2L;
+        long informed = window.stream().filter(ColdSetUp::startWasKnown).count();
+        boolean passed = window.size() <= budget || informed * 3 < window.size() * 2L;
         verdicts.get("cold")
                 .check(
-                        kept,
+                        passed,
                         now,
                         node,
                         invite.header("Session-ID", ""),
@@ -560,25 +582,24 @@
     }
 
     /**
-     * Closes the capture: every session whose time has run out by then must have had its answer in
-     * time.
+     * Ends the capture: every session whose time limit has passed must have been answered in time.
      */
     public void end(long now) {
         Verdict verdict = verdicts.get("final_answer");
-        for (Seen seen : byCall.values()) {
-            long limit = seen.at + seen.left + rules.answerGrace();
-            if (seen.finals == 0 && (limit > now || seen.cancelled)) {
+        for (ObservedSession session : sessionsByCall.values()) {
+            long limit = session.receivedAt + session.timeLeft + rules.answerGrace();
+            if (session.finalAnswers == 0 && (limit > now || session.cancelled)) {
                 continue;
             }
-            boolean kept = seen.finals > 0 && seen.answeredAt <= limit;
+            boolean passed = session.finalAnswers > 0 && session.answeredAt <= limit;
             verdict.check(
-                    kept,
-                    seen.finals == 0 ? now : seen.answeredAt,
-                    seen.node,
-                    seen.sessionId,
-                    seen.finals == 0
+                    passed,
+                    session.finalAnswers == 0 ? now : session.answeredAt,
+                    session.node,
+                    session.sessionId,
+                    session.finalAnswers == 0
                             ? "no final answer"
-                            : "answered " + (seen.answeredAt - limit) + " us too late");
+                            : "answered " + (session.answeredAt - limit) + " us too late");
         }
     }
 }
--- a/src/main/java/coralcove/judge/Rules.java
+++ b/src/main/java/coralcove/judge/Rules.java
@@ -1,6 +1,17 @@
 package coralcove.judge;
 
-/** The figures of the five rules, in µs; {@code setUpsPerSecond} is what a warm exchange can do. */
+/**
+ * Parameters of the five rules. Times are in µs.
+ *
+ * @param answerGrace how late a final answer may be
+ * @param drainGrace how long after the notification of a drain INVITEs may still be sent
+ * @param releaseWait least wait before another INVITE after a time-out, reset or CANCEL
+ * @param fallMultiple multiple of its capacity that overloads a cold exchange
+ * @param fallWindow span over which set-ups to a cold exchange are counted
+ * @param coldFrom capacity at a cold start, as a share of the warm capacity
+ * @param warmUp time from a cold start to the warm capacity
+ * @param setUpsPerSecond warm capacity of an exchange
+ */
 public record Rules(
         long answerGrace,
         long drainGrace,
--- a/src/main/java/coralcove/judge/Verdict.java
+++ b/src/main/java/coralcove/judge/Verdict.java
@@ -4,12 +4,11 @@
 import java.util.List;
 
 /**
- * What the judge found of one rule: how often it was put to the test, how often broken, and the
- * first breaches.
+ * Result of one rule: how often it was checked, how often it was broken, and the first breaches.
  */
 public final class Verdict {
-    /** Breaches kept in words. */
-    private static final int KEPT = 20;
+    /** Most breaches recorded with a description. */
+    private static final int MAX_BREACHES = 20;
 
     public final String rule;
     private long checked;
@@ -20,12 +19,12 @@
         this.rule = rule;
     }
 
-    void check(boolean kept, long at, String node, String session, String what) {
+    void check(boolean passed, long at, String node, String session, String description) {
         checked++;
-        if (!kept) {
+        if (!passed) {
             broken++;
-            if (breaches.size() < KEPT) {
-                breaches.add(at + " " + node + " " + session + " " + rule + ": " + what);
+            if (breaches.size() < MAX_BREACHES) {
+                breaches.add(at + " " + node + " " + session + " " + rule + ": " + description);
             }
         }
     }
--- a/src/main/java/coralcove/judge/Witness.java
+++ b/src/main/java/coralcove/judge/Witness.java
@@ -1,10 +1,10 @@
 package coralcove.judge;
 
-/** Hears of what a day does that no traffic shows. */
+/** Receives events of a day that captured traffic does not show. */
 public interface Witness {
-    /** A call router was killed: what it held is no longer its duty. */
+    /** A call router was killed: it owes no answers for its pending sessions any more. */
     void killed(String node);
 
-    /** A processor started cold at {@code since}, as its registration tells. */
+    /** An exchange's processor started cold at {@code since}, in µs, as its registration says. */
     void started(int number, long since);
 }
--- a/src/test/java/coralcove/judge/JudgeTest.java
+++ b/src/test/java/coralcove/judge/JudgeTest.java
@@ -8,14 +8,15 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** Captures that break a rule by a hair, each beside its twin that just keeps it. */
+/** Captures that just break a rule, each paired with one that just complies with it. */
 class JudgeTest {
     private static final long MS = 1000;
     private static final Hop EXCHANGE = new Hop(true, "x", 2);
     private static final String NODE = "edge-1";
 
     /**
-     * 10 ms to answer, 1 s after a drain, 300 ms release, cold: 2 times 0.5 of 10 a second for 1 s.
+     * Answer grace 10 ms, drain grace 1 s, release wait 300 ms; a cold exchange is overloaded by
+     * twice half of 10 set-ups a second in 1 s.
      */
     private final Judge judge =
             new Judge(
@@ -39,12 +40,12 @@
                 .add("Session-ID", session);
     }
 
-    private JudgeTest read(long at, SipMessage message) {
+    private JudgeTest received(long at, SipMessage message) {
         judge.message(at * MS, NODE, false, EXCHANGE, message.bytes());
         return this;
     }
 
-    private JudgeTest wrote(long at, SipMessage message) {
+    private JudgeTest sent(long at, SipMessage message) {
         judge.message(at * MS, NODE, true, EXCHANGE, message.bytes());
         return this;
     }
@@ -58,26 +59,26 @@
     }
 
     private JudgeTest session(long at) {
-        return read(at, invite("in", "s", 2000));
+        return received(at, invite("in", "s", 2000));
     }
 
     private JudgeTest answer(long at, int status, String tag) {
-        return wrote(at, SipMessage.reply(invite("in", "s", 2000), status, "x", tag));
+        return sent(at, SipMessage.reply(invite("in", "s", 2000), status, "x", tag));
     }
 
     private JudgeTest reply(long at, String call, int status, int cause) {
         SipMessage reply = SipMessage.reply(invite(call, "s", 0), status, "x", "t");
-        return read(at, cause == 0 ? reply : reply.add("Reason", Outcomes.reason(cause, "t")));
+        return received(at, cause == 0 ? reply : reply.add("Reason", Outcomes.reason(cause, "t")));
     }
 
     private JudgeTest list(long at, String body) {
         return list(at, "d", body);
     }
 
-    /** A NOTIFY in the dialog {@code call}, which is the router's own where that is "d". */
+    /** A NOTIFY in the dialog {@code call}; "d" is the dialog that the router subscribed with. */
     private JudgeTest list(long at, String call, String body) {
-        wrote(at, message("SUBSCRIBE", "d", "").add("Event", "exchanges"));
-        return read(
+        sent(at, message("SUBSCRIBE", "d", "").add("Event", "exchanges"));
+        return received(
                 at,
                 message("NOTIFY", call, "")
                         .set("CSeq", at + 1 + " NOTIFY")
@@ -87,7 +88,7 @@
                         .body("text/plain", body.getBytes(StandardCharsets.UTF_8)));
     }
 
-    private void broken(String rule) {
+    private void expectBroken(String rule) {
         judge.end(60_000 * MS);
         judge.verdicts()
                 .forEach(
@@ -101,134 +102,134 @@
     }
 
     @Test
-    void twoFinalAnswers() {
-        session(0).answer(5, 480, "a").answer(6, 480, "b").broken("final_answer");
+    void rejectsTwoFinalAnswers() {
+        session(0).answer(5, 480, "a").answer(6, 480, "b").expectBroken("final_answer");
     }
 
     @Test
-    void oneFinalAnswerSentTwice() {
-        session(0).answer(5, 480, "a").answer(6, 480, "a").broken("");
+    void acceptsRetransmittedFinalAnswer() {
+        session(0).answer(5, 480, "a").answer(6, 480, "a").expectBroken("");
     }
 
     @Test
-    void anAnswerAMillisecondLate() {
-        session(0).answer(2011, 480, "a").broken("final_answer");
+    void rejectsAnswerOneMillisecondLate() {
+        session(0).answer(2011, 480, "a").expectBroken("final_answer");
     }
 
     @Test
-    void anAnswerJustInTime() {
-        session(0).answer(2010, 480, "a").broken("");
+    void acceptsAnswerAtTheLimit() {
+        session(0).answer(2010, 480, "a").expectBroken("");
     }
 
     @Test
-    void noAnswer() {
-        session(0).broken("final_answer");
+    void rejectsSessionWithoutAnswer() {
+        session(0).expectBroken("final_answer");
     }
 
     @Test
-    void noAnswerOwedAfterAKill() {
+    void requiresNoAnswerFromAKilledRouter() {
         session(0);
         judge.killed(NODE);
-        broken("");
+        expectBroken("");
     }
 
     @Test
-    void anInviteAfterTheFinalAnswer() {
-        session(0).answer(5, 480, "a").wrote(6, invite("o", "s", 1000)).broken("final_answer");
+    void rejectsInviteAfterFinalAnswer() {
+        session(0).answer(5, 480, "a").sent(6, invite("o", "s", 1000)).expectBroken("final_answer");
     }
 
     @Test
-    void twoInvitesOverlappingByAMillisecond() {
+    void rejectsInvitesThatOverlapByOneMillisecond() {
         session(0)
-                .wrote(1, invite("o", "s", 1000))
-                .wrote(99, invite("p", "s", 800))
+                .sent(1, invite("o", "s", 1000))
+                .sent(99, invite("p", "s", 800))
                 .reply(100, "o", 503, 42)
                 .reply(200, "p", 200, 0)
                 .answer(201, 200, "a")
-                .broken("one_invite");
+                .expectBroken("one_invite");
     }
 
     @Test
-    void twoInvitesOneAfterTheOther() {
+    void acceptsConsecutiveInvites() {
         session(0)
-                .wrote(1, invite("o", "s", 1000))
+                .sent(1, invite("o", "s", 1000))
                 .reply(100, "o", 503, 42)
-                .wrote(100, invite("p", "s", 800))
+                .sent(100, invite("p", "s", 800))
                 .reply(200, "p", 200, 0)
                 .answer(201, 200, "a")
-                .broken("");
+                .expectBroken("");
     }
 
     @Test
-    void anInviteSentAgainOnceItsTimeIsUp() {
+    void rejectsRetransmissionAfterTheTimeLimit() {
         session(0)
-                .wrote(1, invite("o", "s", 100))
-                .wrote(102, invite("o", "s", 100))
+                .sent(1, invite("o", "s", 100))
+                .sent(102, invite("o", "s", 100))
                 .answer(500, 480, "a")
-                .broken("one_invite");
+                .expectBroken("one_invite");
     }
 
     /**
-     * The answer was on the socket when the INVITE was sent again, and the router had not looked at
-     * it yet.
+     * The answer was in the socket buffer when the INVITE was retransmitted, and the router had not
+     * read it yet.
      */
     @Test
-    void anInviteThatCrossesItsAnswerIsNoSecondOne() {
+    void acceptsRetransmissionThatCrossesItsAnswer() {
         session(0)
-                .wrote(1, invite("o", "s", 1000))
+                .sent(1, invite("o", "s", 1000))
                 .reply(500, "o", 503, 42)
-                .wrote(502, invite("o", "s", 1000))
+                .sent(502, invite("o", "s", 1000))
                 .answer(600, 480, "a")
-                .broken("");
+                .expectBroken("");
     }
 
     @Test
-    void anInviteSentAgainLongAfterItsAnswer() {
+    void rejectsRetransmissionLongAfterItsAnswer() {
         session(0)
-                .wrote(1, invite("o", "s", 1000))
+                .sent(1, invite("o", "s", 1000))
                 .reply(500, "o", 503, 42)
-                .wrote(512, invite("o", "s", 1000))
+                .sent(512, invite("o", "s", 1000))
                 .answer(600, 480, "a")
-                .broken("one_invite");
+                .expectBroken("one_invite");
     }
 
     @Test
-    void aResendAMillisecondInsideTheReleaseWait() {
+    void rejectsRetryOneMillisecondBeforeTheReleaseWaitEnds() {
         session(0)
-                .wrote(1, invite("o", "s", 100))
-                .wrote(101, message("CANCEL", "o", "s"))
-                .wrote(400, invite("p", "s", 800))
+                .sent(1, invite("o", "s", 100))
+                .sent(101, message("CANCEL", "o", "s"))
+                .sent(400, invite("p", "s", 800))
                 .answer(900, 480, "a")
-                .broken("release");
+                .expectBroken("release");
     }
 
     @Test
-    void aResendAtTheEndOfTheReleaseWait() {
+    void acceptsRetryAtTheEndOfTheReleaseWait() {
         session(0)
-                .wrote(1, invite("o", "s", 100))
-                .wrote(101, message("CANCEL", "o", "s"))
-                .wrote(401, invite("p", "s", 800))
+                .sent(1, invite("o", "s", 100))
+                .sent(101, message("CANCEL", "o", "s"))
+                .sent(401, invite("p", "s", 800))
                 .answer(900, 480, "a")
-                .broken("");
+                .expectBroken("");
     }
 
     @Test
-    void theWaitAfterATimeOutThatNoCancelTells() {
+    void requiresReleaseWaitAfterTimeOutWithoutCancel() {
         session(0)
-                .wrote(1, invite("o", "s", 100))
-                .wrote(400, invite("p", "s", 800))
+                .sent(1, invite("o", "s", 100))
+                .sent(400, invite("p", "s", 800))
                 .answer(900, 480, "a")
-                .broken("release");
+                .expectBroken("release");
     }
 
     @Test
-    void theWaitAfterABrokenStreamAndNoneAfterARefusedOne() {
-        session(0).wrote(1, invite("o", "s", 1000));
+    void requiresReleaseWaitAfterBrokenButNotAfterRefusedStream() {
+        session(0).sent(1, invite("o", "s", 1000));
         judge.broken(50 * MS, NODE, EXCHANGE, true);
-        wrote(51, invite("p", "s", 800)).answer(900, 480, "a").broken("");
-        read(2000, invite("in2", "u", 2000)).wrote(2001, invite("q", "u", 1000));
+        sent(51, invite("p", "s", 800)).answer(900, 480, "a").expectBroken("");
+        received(2000, invite("in2", "u", 2000)).sent(2001, invite("q", "u", 1000));
         judge.broken(2050 * MS, NODE, EXCHANGE, false);
-        wrote(2349, invite("r", "u", 800));
+        sent(2349, invite("r", "u", 800));
         assertThat(judge.verdicts().get("release").broken()).isEqualTo(1);
     }
 
@@ -237,103 +238,104 @@
             "epoch e version 2 changes after 1\n102 2 draining 7 2 - udp:far:4\n";
 
     @Test
-    void anInviteAMillisecondPastTheGrace() {
+    void rejectsInviteOneMillisecondAfterDrainGrace() {
         list(0, READY)
                 .list(100, DRAINING)
                 .session(1000)
-                .wrote(1101, invite("o", "s", 900))
+                .sent(1101, invite("o", "s", 900))
                 .reply(1200, "o", 503, 42)
                 .answer(1300, 480, "a")
-                .broken("drain");
+                .expectBroken("drain");
     }
 
     @Test
-    void anInviteAtTheEndOfTheGrace() {
+    void acceptsInviteAtTheEndOfDrainGrace() {
         list(0, READY)
                 .list(100, DRAINING)
                 .session(1000)
-                .wrote(1100, invite("o", "s", 900))
+                .sent(1100, invite("o", "s", 900))
                 .reply(1200, "o", 503, 42)
                 .answer(1300, 480, "a")
-                .broken("");
+                .expectBroken("");
         assertThat(judge.lastSent().getMaxValue()).isBetween(1000 * MS, 1001 * MS);
     }
 
     @Test
-    void anExchangeThatTheWholeListLeavesOutIsGone() {
+    void treatsExchangeMissingFromCompleteListAsGone() {
         list(0, READY)
                 .list(100, "epoch e version 3 whole\n")
                 .session(2000)
-                .wrote(2001, invite("o", "s", 900))
+                .sent(2001, invite("o", "s", 900))
                 .reply(2100, "o", 503, 42)
                 .answer(2200, 480, "a")
-                .broken("drain");
+                .expectBroken("drain");
     }
 
     @Test
-    void aStrangersNotifyTellsNothing() {
+    void ignoresNotifyOutsideOfTheSubscription() {
         list(0, READY)
                 .list(100, "other", DRAINING)
                 .session(2000)
-                .wrote(2001, invite("o", "s", 900))
+                .sent(2001, invite("o", "s", 900))
                 .reply(2100, "o", 503, 42)
                 .answer(2200, 480, "a")
-                .broken("");
+                .expectBroken("");
     }
 
     @Test
-    void aLearningListLeavesNobodyOut() {
+    void doesNotInferDeparturesFromLearningList() {
         list(0, READY)
                 .list(100, "epoch f version 1 learning\n")
                 .session(2000)
-                .wrote(2001, invite("o", "s", 900))
+                .sent(2001, invite("o", "s", 900))
                 .reply(2100, "o", 503, 42)
                 .answer(2200, 480, "a")
-                .broken("");
+                .expectBroken("");
     }
 
     @Test
-    void onlyANewStartTakesADrainBack() {
+    void drainingExchangeIsReadyAgainOnlyAfterANewStart() {
         list(0, READY)
                 .list(100, DRAINING)
                 .list(200, "epoch f version 1 whole\n102 2 ready 7 9 - udp:far:4\n")
                 .session(2000)
-                .wrote(2001, invite("o", "s", 900))
+                .sent(2001, invite("o", "s", 900))
                 .reply(2100, "o", 503, 42)
                 .answer(2200, 480, "a")
-                .broken("drain");
+                .expectBroken("drain");
     }
 
     @Test
-    void aNewStartDoes() {
+    void newStartEndsDraining() {
         list(0, READY)
                 .list(100, DRAINING)
                 .list(200, "epoch f version 1 whole\n102 2 ready 8 1 - udp:far:4\n")
                 .session(2000)
-                .wrote(2001, invite("o", "s", 900))
+                .sent(2001, invite("o", "s", 900))
                 .reply(2100, "o", 503, 42)
                 .answer(2200, 480, "a")
-                .broken("");
+                .expectBroken("");
     }
 
     @Test
-    void aDrainToldHoldsOverTheRoutersDeath() {
+    void drainStateSurvivesRestartOfTheRouter() {
         list(0, READY).list(100, DRAINING);
         judge.killed(NODE);
         session(2000)
-                .wrote(2001, invite("o", "s", 900))
+                .sent(2001, invite("o", "s", 900))
                 .reply(2100, "o", 503, 42)
                 .answer(2200, 480, "a")
-                .broken("drain");
+                .expectBroken("drain");
     }
 
     /**
-     * The budget of each second is ten set-ups; all come from router 2, which knows of the start or
-     * does not.
+     * Sends set-ups from router 2 to a cold exchange whose budget is ten a second.
+     *
+     * @param notified whether router 2 was notified of the start
      */
-    private JudgeTest cold(int setUps, boolean told) {
+    private JudgeTest coldStart(int setUps, boolean notified) {
         judge.started(1, 50 * MS);
-        if (told) {
+        if (notified) {
             judge.message(
                     59 * MS,
                     "edge-2",
@@ -358,23 +360,24 @@
         for (int i = 0; i < setUps; i++) {
             SipMessage invite =
                     invite("c" + i, "c" + i, 2000).set("X-Far-End", "1").add("X-Origin", "2");
-            read(100 + i * 90, invite).wrote(101 + i * 90, SipMessage.reply(invite, 480, "x", "t"));
+            received(100 + i * 90, invite)
+                    .sent(101 + i * 90, SipMessage.reply(invite, 480, "x", "t"));
         }
         return this;
     }
 
     @Test
-    void aColdBudgetOverByOne() {
-        cold(11, true).broken("cold");
+    void rejectsOneSetUpOverTheColdBudget() {
+        coldStart(11, true).expectBroken("cold");
     }
 
     @Test
-    void aColdBudgetJustSpent() {
-        cold(10, true).broken("");
+    void acceptsColdBudgetUsedUp() {
+        coldStart(10, true).expectBroken("");
     }
 
     @Test
-    void aColdBudgetSpentByThoseWhoWereNotTold() {
-        cold(11, false).broken("");
+    void ignoresColdOverloadByRoutersUnawareOfTheStart() {
+        coldStart(11, false).expectBroken("");
     }
 }
