--- a/src/main/java/coralcove/sip/BadMessage.java
+++ b/src/main/java/coralcove/sip/BadMessage.java
@@ -6,14 +6,14 @@
  */
 public final class BadMessage extends Exception {
     private static final long serialVersionUID = 1;
-    private final transient SipMessage partial;
+    private final transient SipMessage partialMessage;
 
     public BadMessage(String reason, SipMessage partial) {
         super(reason);
-        this.partial = partial;
+        this.partialMessage = partial;
     }
 
-    public SipMessage partial() {
-        return partial;
+    public SipMessage partialMessage() {
+        return partialMessage;
     }
 }
--- a/src/main/java/coralcove/sip/Hop.java
+++ b/src/main/java/coralcove/sip/Hop.java
@@ -11,11 +11,11 @@
 public record Hop(boolean tcp, String host, int port) {
     public Hop {
         if (host.indexOf(':') >= 0) {
-            host = six(host);
+            host = normalizeIpv6(host);
         }
     }
 
-    private static String six(String host) {
+    private static String normalizeIpv6(String host) {
         String bare =
                 host.startsWith("[") && host.endsWith("]")
                         ? host.substring(1, host.length() - 1)
--- a/src/main/java/coralcove/sip/Params.java
+++ b/src/main/java/coralcove/sip/Params.java
@@ -6,14 +6,14 @@
  * generic-param).
  */
 public final class Params {
-    private static final String[] NONE = {};
+    private static final String[] NO_PARAMETERS = {};
 
     private final String value;
 
     /**
      * Names and values in turn: a value has few parameters, and looking through them beats any map.
      */
-    private String[] pairs = NONE;
+    private String[] namesAndValues = NO_PARAMETERS;
 
     private int count;
 
@@ -22,11 +22,11 @@
     }
 
     public static Params of(String text) {
-        int end = next(text, 0, ';');
+        int end = indexOfUnquoted(text, 0, ';');
         Params out = new Params(text.substring(0, end).strip());
         while (end < text.length()) {
             int from = end + 1;
-            end = next(text, from, ';');
+            end = indexOfUnquoted(text, from, ';');
             String param = text.substring(from, end).strip();
             int equals = param.indexOf('=');
             String name = (equals < 0 ? param : param.substring(0, equals)).strip();
@@ -40,19 +40,20 @@
     }
 
     private void add(String name, String found) {
-        if (2 * count == pairs.length) {
-            pairs = java.util.Arrays.copyOf(pairs, Math.max(4, 2 * pairs.length));
+        if (2 * count == namesAndValues.length) {
+            namesAndValues =
+                    java.util.Arrays.copyOf(namesAndValues, Math.max(4, 2 * namesAndValues.length));
         }
-        pairs[2 * count] = name;
-        pairs[2 * count + 1] = found;
+        namesAndValues[2 * count] = name;
+        namesAndValues[2 * count + 1] = found;
         count++;
     }
 
     /** The first parameter of this name, or null. */
     private String find(String name) {
         for (int i = 0; i < count; i++) {
-            if (pairs[2 * i].equalsIgnoreCase(name)) {
-                return pairs[2 * i + 1];
+            if (namesAndValues[2 * i].equalsIgnoreCase(name)) {
+                return namesAndValues[2 * i + 1];
             }
         }
         return null;
@@ -61,7 +62,7 @@
     /**
      * The index of the next {@code mark} outside quotes and angle brackets, or the text's length.
      */
-    static int next(String text, int from, char mark) {
+    static int indexOfUnquoted(String text, int from, char mark) {
         boolean quoted = false;
         int depth = 0;
         for (int i = from; i < text.length(); i++) {
--- a/src/main/java/coralcove/sip/SipMessage.java
+++ b/src/main/java/coralcove/sip/SipMessage.java
@@ -18,9 +18,9 @@
     private final String reason;
     private final List<Field> fields = new ArrayList<>(12);
     private byte[] body = NO_BODY;
-    private String viaText;
+    private String parsedViaText;
     private Via via;
-    private String fromText;
+    private String parsedFromText;
     private String fromTag = "";
 
     private SipMessage(String method, String uri, int status, String reason) {
@@ -63,9 +63,9 @@
         SipMessage copy = new SipMessage(method, uri, status, reason);
         copy.fields.addAll(fields);
         copy.body = body;
-        copy.viaText = viaText;
+        copy.parsedViaText = parsedViaText;
         copy.via = via;
-        copy.fromText = fromText;
+        copy.parsedFromText = parsedFromText;
         copy.fromTag = fromTag;
         return copy;
     }
@@ -153,23 +153,24 @@
         return this;
     }
 
-    void rawBody(byte[] bytes) {
+    void setBody(byte[] bytes) {
         body = bytes;
     }
 
     /** The topmost Via, or null where it cannot be read; kept until that field changes. */
     public Via via() {
         String text = header("Via");
-        if (text != viaText) {
-            viaText = text;
+        if (text != parsedViaText) {
+            parsedViaText = text;
             via = text == null ? null : Via.of(text);
         }
         return via;
     }
 
     /** Whether it has all that a response copies, so that even a bad request can be answered. */
-    public boolean answerable() {
-        return SipParser.NEEDED.stream().allMatch(name -> header(name) != null) && via() != null;
+    public boolean canBeAnswered() {
+        return SipParser.MANDATORY_HEADERS.stream().allMatch(name -> header(name) != null)
+                && via() != null;
     }
 
     /** A header's value as a whole number, {@code otherwise} where it is absent or none. */
@@ -208,8 +209,8 @@
 
     public String fromTag() {
         String text = header("From", "");
-        if (text != fromText) {
-            fromText = text;
+        if (text != parsedFromText) {
+            parsedFromText = text;
             fromTag = Params.of(text).get("tag", "");
         }
         return fromTag;
@@ -220,7 +221,7 @@
     }
 
     /** The length of {@link #bytes}, without writing them. */
-    public int length() {
+    public int encodedLength() {
         int length = isRequest() ? method.length() + uri.length() + 11 : 14 + reason.length();
         for (Field field : fields) {
             length +=
--- a/src/main/java/coralcove/sip/SipParser.java
+++ b/src/main/java/coralcove/sip/SipParser.java
@@ -7,17 +7,17 @@
 
 /**
  * Reads one message from bytes (RFC 3261 sections 7 and 25). Folded lines are unfolded, compact
- * names written out, Via and Route lists split into one field a value. Bounds: {@link #MOST_BYTES},
- * {@link #MOST_FIELDS}.
+ * names written out, Via and Route lists split into one field a value. Bounds: {@link
+ * #MAX_MESSAGE_BYTES}, {@link #MAX_HEADER_FIELDS}.
  */
 public final class SipParser {
     /** Bytes: a datagram cannot be longer; a stream's message longer than this is cut off. */
-    public static final int MOST_BYTES = 65_535;
+    public static final int MAX_MESSAGE_BYTES = 65_535;
 
     /** Fields: forty times what a call takes, and few enough to look through one by one. */
-    public static final int MOST_FIELDS = 256;
+    public static final int MAX_HEADER_FIELDS = 256;
 
-    private static final Map<String, String> COMPACT =
+    private static final Map<String, String> COMPACT_FORMS =
             Map.ofEntries(
                     Map.entry("v", "Via"),
                     Map.entry("f", "From"),
@@ -33,7 +33,7 @@
                     Map.entry("u", "Allow-Events"));
 
     /** Names as this program writes them; a name read in any other case is written like this. */
-    private static final String[] KNOWN = {
+    private static final String[] KNOWN_NAMES = {
         "Via",
         "From",
         "To",
@@ -59,10 +59,10 @@
         "Event"
     };
 
-    private static final String[][] BY_LENGTH = byLength();
-    private static final boolean[] TOKEN = tokens();
+    private static final String[][] KNOWN_NAMES_BY_LENGTH = groupByLength();
+    private static final boolean[] TOKEN_CHARS = tokenChars();
 
-    static final List<String> NEEDED = List.of("Via", "From", "To", "Call-ID", "CSeq");
+    static final List<String> MANDATORY_HEADERS = List.of("Via", "From", "To", "Call-ID", "CSeq");
 
     private SipParser() {}
 
@@ -84,8 +84,8 @@
 
     private static SipMessage parse(byte[] data, int from, int length, boolean whole)
             throws BadMessage {
-        if (length > MOST_BYTES) {
-            throw new BadMessage("longer than " + MOST_BYTES + " bytes", null);
+        if (length > MAX_MESSAGE_BYTES) {
+            throw new BadMessage("longer than " + MAX_MESSAGE_BYTES + " bytes", null);
         }
         int end = headerEnd(data, from, from + length);
         if (end < 0) {
@@ -94,13 +94,13 @@
         // A char a byte: what is not looked at crosses unchanged, also where it is no UTF-8.
         String head = new String(data, from, end - from, StandardCharsets.ISO_8859_1);
         int line = head.indexOf('\r');
-        SipMessage message = startLine(line < 0 ? head : head.substring(0, line));
-        String wrong = fields(head, line < 0 ? head.length() : line, message);
+        SipMessage message = parseStartLine(line < 0 ? head : head.substring(0, line));
+        String wrong = parseFields(head, line < 0 ? head.length() : line, message);
         int given = from + length - end;
         int wanted = given;
         String announced = message.header("Content-Length");
         if (announced != null) {
-            wanted = contentLength(announced);
+            wanted = parseNumber(announced);
             if (wanted < 0 || wanted > given) {
                 wrong =
                         wrong == null
@@ -112,14 +112,14 @@
         if (wanted > 0) {
             byte[] body = new byte[wanted];
             System.arraycopy(data, end, body, 0, wanted);
-            message.rawBody(body);
+            message.setBody(body);
         }
-        if (announced == null && message.fields().size() >= MOST_FIELDS && wrong == null) {
+        if (announced == null && message.fields().size() >= MAX_HEADER_FIELDS && wrong == null) {
             // It is written with a Content-Length, and would then be past the bound for whoever
             // reads it.
-            wrong = "more than " + MOST_FIELDS + " header fields";
+            wrong = "more than " + MAX_HEADER_FIELDS + " header fields";
         }
-        wrong = wrong == null && whole ? check(message) : wrong;
+        wrong = wrong == null && whole ? validate(message) : wrong;
         if (wrong != null) {
             throw new BadMessage(wrong, message);
         }
@@ -139,16 +139,16 @@
         return -1;
     }
 
-    static int contentLength(String value) {
+    static int parseNumber(String value) {
         try {
             int length = Integer.parseInt(value.strip());
-            return length > MOST_BYTES ? -1 : length;
+            return length > MAX_MESSAGE_BYTES ? -1 : length;
         } catch (NumberFormatException e) {
             return -1;
         }
     }
 
-    private static SipMessage startLine(String line) throws BadMessage {
+    private static SipMessage parseStartLine(String line) throws BadMessage {
         if (line.startsWith("SIP/2.0 ")) {
             if (line.length() >= 11
                     && line.substring(8, 11).chars().allMatch(c -> c >= '0' && c <= '9')
@@ -159,25 +159,25 @@
                         Integer.parseInt(line.substring(8, 11)),
                         line.length() > 12 ? line.substring(12) : "");
             }
-            throw new BadMessage("status line: " + cut(line), null);
+            throw new BadMessage("status line: " + abbreviate(line), null);
         }
         int first = line.indexOf(' ');
         int last = line.lastIndexOf(' ');
         if (first <= 0
                 || last <= first + 1
                 || !line.substring(last + 1).equals("SIP/2.0")
-                || !token(line.substring(0, first))
+                || !isToken(line.substring(0, first))
                 || line.substring(first + 1, last).indexOf(' ') >= 0) {
-            throw new BadMessage("request line: " + cut(line), null);
+            throw new BadMessage("request line: " + abbreviate(line), null);
         }
         return SipMessage.request(line.substring(0, first), line.substring(first + 1, last));
     }
 
-    private static String cut(String line) {
+    private static String abbreviate(String line) {
         return line.length() > 60 ? line.substring(0, 60) + "..." : line;
     }
 
-    private static String fields(String head, int from, SipMessage message) {
+    private static String parseFields(String head, int from, SipMessage message) {
         int at = from + 2;
         while (at < head.length()) {
             int end = head.indexOf("\r\n", at);
@@ -202,30 +202,30 @@
                     && (line.charAt(nameEnd - 1) == ' ' || line.charAt(nameEnd - 1) == '\t')) {
                 nameEnd--;
             }
-            if (nameEnd < 0 || !token(line, from0, nameEnd)) {
-                return "header line: " + cut(line.substring(from0, stop));
+            if (nameEnd < 0 || !isToken(line, from0, nameEnd)) {
+                return "header line: " + abbreviate(line.substring(from0, stop));
             }
-            if (message.fields().size() >= MOST_FIELDS) {
-                return "more than " + MOST_FIELDS + " header fields";
+            if (message.fields().size() >= MAX_HEADER_FIELDS) {
+                return "more than " + MAX_HEADER_FIELDS + " header fields";
             }
-            add(message, name(line, from0, nameEnd), trimmed(line, colon + 1, stop));
-            if (message.fields().size() > MOST_FIELDS) {
+            addValues(message, fullName(line, from0, nameEnd), trimmed(line, colon + 1, stop));
+            if (message.fields().size() > MAX_HEADER_FIELDS) {
                 // A list that was cut at the bound would be written shorter than it was read.
-                return "more than " + MOST_FIELDS + " header fields";
+                return "more than " + MAX_HEADER_FIELDS + " header fields";
             }
             at = next;
         }
         return null;
     }
 
-    private static void add(SipMessage message, String name, String value) {
+    private static void addValues(SipMessage message, String name, String value) {
         if (!name.equals("Via") && !name.equals("Route") && !name.equals("Record-Route")) {
             message.add(name, value);
             return;
         }
         int from = 0;
-        while (from <= value.length() && message.fields().size() <= MOST_FIELDS) {
-            int comma = Params.next(value, from, ',');
+        while (from <= value.length() && message.fields().size() <= MAX_HEADER_FIELDS) {
+            int comma = Params.indexOfUnquoted(value, from, ',');
             message.add(name, trimmed(value, from, comma));
             from = comma + 1;
         }
@@ -244,14 +244,14 @@
     }
 
     /** The name in full form: one of the known, written out, or as it stands. */
-    private static String name(String line, int from, int to) {
+    private static String fullName(String line, int from, int to) {
         int length = to - from;
         if (length == 1) {
             String name = line.substring(from, to);
-            return COMPACT.getOrDefault(name.toLowerCase(Locale.ROOT), name);
+            return COMPACT_FORMS.getOrDefault(name.toLowerCase(Locale.ROOT), name);
         }
-        if (length < BY_LENGTH.length) {
-            for (String known : BY_LENGTH[length]) {
+        if (length < KNOWN_NAMES_BY_LENGTH.length) {
+            for (String known : KNOWN_NAMES_BY_LENGTH[length]) {
                 if (line.regionMatches(true, from, known, 0, length)) {
                     return known;
                 }
@@ -260,19 +260,19 @@
         return line.substring(from, to);
     }
 
-    private static String[][] byLength() {
+    private static String[][] groupByLength() {
         String[][] found = new String[20][];
         for (int length = 0; length < found.length; length++) {
             int wanted = length;
             found[length] =
-                    java.util.Arrays.stream(KNOWN)
+                    java.util.Arrays.stream(KNOWN_NAMES)
                             .filter(k -> k.length() == wanted)
                             .toArray(String[]::new);
         }
         return found;
     }
 
-    private static boolean[] tokens() {
+    private static boolean[] tokenChars() {
         boolean[] found = new boolean[128];
         for (char c = 0; c < found.length; c++) {
             found[c] =
@@ -284,22 +284,22 @@
         return found;
     }
 
-    private static boolean token(String text) {
-        return token(text, 0, text.length());
+    private static boolean isToken(String text) {
+        return isToken(text, 0, text.length());
     }
 
-    private static boolean token(String text, int from, int to) {
+    private static boolean isToken(String text, int from, int to) {
         for (int i = from; i < to; i++) {
             char c = text.charAt(i);
-            if (c >= TOKEN.length || !TOKEN[c]) {
+            if (c >= TOKEN_CHARS.length || !TOKEN_CHARS[c]) {
                 return false;
             }
         }
         return to > from;
     }
 
-    private static String check(SipMessage message) {
-        for (String name : NEEDED) {
+    private static String validate(SipMessage message) {
+        for (String name : MANDATORY_HEADERS) {
             if (message.header(name) == null) {
                 return name + " is missing";
             }
@@ -307,21 +307,21 @@
         long sequence = message.sequence();
         String cseq = message.header("CSeq");
         if (sequence < 0 || sequence > 0x7fffffffL) {
-            return "CSeq: " + cut(cseq);
+            return "CSeq: " + abbreviate(cseq);
         }
         if (message.isRequest()
                 && !cseq.substring(cseq.indexOf(' ') + 1).strip().equals(message.method())) {
-            return "CSeq names another method: " + cut(cseq);
+            return "CSeq names another method: " + abbreviate(cseq);
         }
         if (message.via() == null) {
-            return "Via: " + cut(message.header("Via"));
+            return "Via: " + abbreviate(message.header("Via"));
         }
         if (message.callId().isEmpty() || message.fromTag().isEmpty()) {
             return "Call-ID or the tag of From is empty";
         }
         String forwards = message.header("Max-Forwards");
-        if (forwards != null && (contentLength(forwards) < 0 || contentLength(forwards) > 255)) {
-            return "Max-Forwards: " + cut(forwards);
+        if (forwards != null && (parseNumber(forwards) < 0 || parseNumber(forwards) > 255)) {
+            return "Max-Forwards: " + abbreviate(forwards);
         }
         return null;
     }
--- a/src/main/java/coralcove/sip/StreamFramer.java
+++ b/src/main/java/coralcove/sip/StreamFramer.java
@@ -6,19 +6,19 @@
 /**
  * Cuts a stream into messages by Content-Length (RFC 3261 18.3); CRLFs between messages are
  * keep-alives (RFC 5626) and skipped. Holds at most one message of the bound, {@link
- * SipParser#MOST_BYTES} if none is given; past that the stream is bad.
+ * SipParser#MAX_MESSAGE_BYTES} if none is given; past that the stream is bad.
  */
 public final class StreamFramer {
-    private byte[] held = new byte[2048];
+    private byte[] buffer = new byte[2048];
     private int length;
-    private final int most;
+    private final int maxMessageBytes;
 
     public StreamFramer() {
-        this(SipParser.MOST_BYTES);
+        this(SipParser.MAX_MESSAGE_BYTES);
     }
 
     public StreamFramer(int most) {
-        this.most = most;
+        this.maxMessageBytes = most;
     }
 
     /** Whether a message has begun and not ended. */
@@ -31,28 +31,28 @@
      * stream.
      */
     public void take(byte[] data, int from, int count, Consumer<byte[]> whole) throws BadMessage {
-        if (length + count > held.length) {
-            held = Arrays.copyOf(held, Math.max(length + count, 2 * held.length));
+        if (length + count > buffer.length) {
+            buffer = Arrays.copyOf(buffer, Math.max(length + count, 2 * buffer.length));
         }
-        System.arraycopy(data, from, held, length, count);
+        System.arraycopy(data, from, buffer, length, count);
         length += count;
         int at = 0;
         while (true) {
-            while (at + 1 < length && held[at] == '\r' && held[at + 1] == '\n') {
+            while (at + 1 < length && buffer[at] == '\r' && buffer[at + 1] == '\n') {
                 at += 2;
             }
-            int end = SipParser.headerEnd(held, at, length);
+            int end = SipParser.headerEnd(buffer, at, length);
             int total = end < 0 ? length - at : end - at + bodyLength(at, end);
-            if (total > most) {
-                throw new BadMessage("a message longer than " + most + " bytes", null);
+            if (total > maxMessageBytes) {
+                throw new BadMessage("a message longer than " + maxMessageBytes + " bytes", null);
             }
             if (end < 0 || at + total > length) {
                 break;
             }
-            whole.accept(Arrays.copyOfRange(held, at, at + total));
+            whole.accept(Arrays.copyOfRange(buffer, at, at + total));
             at += total;
         }
-        System.arraycopy(held, at, held, 0, length - at);
+        System.arraycopy(buffer, at, buffer, 0, length - at);
         length -= at;
     }
 
@@ -60,12 +60,12 @@
         int line = from;
         while (line < end - 2) {
             int stop = line;
-            while (held[stop] != '\r' || held[stop + 1] != '\n') {
+            while (buffer[stop] != '\r' || buffer[stop + 1] != '\n') {
                 stop++;
             }
-            String text = named(line, stop);
+            String text = contentLengthValue(line, stop);
             if (text != null) {
-                int found = SipParser.contentLength(text);
+                int found = SipParser.parseNumber(text);
                 if (found < 0) {
                     throw new BadMessage("Content-Length: " + text, null);
                 }
@@ -76,22 +76,25 @@
         throw new BadMessage("a message on a stream without Content-Length", null);
     }
 
-    private String named(int from, int to) {
-        char first = Character.toLowerCase((char) held[from]);
+    private String contentLengthValue(int from, int to) {
+        char first = Character.toLowerCase((char) buffer[from]);
         if (first != 'c' && first != 'l') {
             return null;
         }
         int colon = from;
-        while (colon < to && held[colon] != ':') {
+        while (colon < to && buffer[colon] != ':') {
             colon++;
         }
         String name =
-                new String(held, from, colon - from, java.nio.charset.StandardCharsets.US_ASCII)
+                new String(buffer, from, colon - from, java.nio.charset.StandardCharsets.US_ASCII)
                         .strip();
         boolean wanted = name.equalsIgnoreCase("Content-Length") || name.equalsIgnoreCase("l");
         return wanted && colon < to
                 ? new String(
-                        held, colon + 1, to - colon - 1, java.nio.charset.StandardCharsets.US_ASCII)
+                        buffer,
+                        colon + 1,
+                        to - colon - 1,
+                        java.nio.charset.StandardCharsets.US_ASCII)
                 : null;
     }
 }
--- a/src/main/java/coralcove/sip/Timers.java
+++ b/src/main/java/coralcove/sip/Timers.java
@@ -17,21 +17,21 @@
 
     /** One timer that has been set; cancelling it twice, or after it fired, does nothing. */
     public static final class Timer {
-        private final long at;
-        private final long order;
+        private final long deadline;
+        private final long sequence;
         private Task task;
-        private Timer before;
-        private Timer after;
-        private int slot = NOWHERE;
+        private Timer previous;
+        private Timer next;
+        private int slot = NO_SLOT;
 
         private Timer(long at, long order, Task task) {
-            this.at = at;
-            this.order = order;
+            this.deadline = at;
+            this.sequence = order;
             this.task = task;
         }
     }
 
-    private static final int NOWHERE = -1;
+    private static final int NO_SLOT = -1;
 
     /** µs a tick, as a power of two: about a millisecond, as fine as any limit here. */
     private static final int TICK_BITS = 10;
@@ -42,22 +42,22 @@
     /** Levels: 2^48 ticks reach past any time of day that a clock in µs tells. */
     private static final int LEVELS = 6;
 
-    private static final long MOST_TICK = (1L << LEVEL_BITS * LEVELS) - 1;
+    private static final long MAX_TICK = (1L << LEVEL_BITS * LEVELS) - 1;
 
     private final Timer[] slots = new Timer[LEVELS * SLOTS];
-    private final long[] used = new long[LEVELS * SLOTS / Long.SIZE];
-    private long current;
-    private long set;
+    private final long[] occupiedSlots = new long[LEVELS * SLOTS / Long.SIZE];
+    private long currentTick;
+    private long nextSequence;
     private int size;
     private long earliest = Long.MAX_VALUE;
-    private boolean known = true;
-    private final List<Timer> firing = new ArrayList<>();
+    private boolean earliestKnown = true;
+    private final List<Timer> expiredTimers = new ArrayList<>();
 
     public Timer set(long at, Task task) {
-        Timer timer = new Timer(at, set++, task);
-        place(timer);
+        Timer timer = new Timer(at, nextSequence++, task);
+        insert(timer);
         size++;
-        if (known) {
+        if (earliestKnown) {
             earliest = Math.min(earliest, at);
         }
         return timer;
@@ -68,10 +68,10 @@
             return;
         }
         timer.task = null;
-        if (timer.slot != NOWHERE) {
+        if (timer.slot != NO_SLOT) {
             unlink(timer);
             size--;
-            known &= timer.at > earliest;
+            earliestKnown &= timer.deadline > earliest;
         }
     }
 
@@ -80,31 +80,33 @@
     }
 
     /** The time of the earliest timer, or Long.MAX_VALUE. */
-    public long due() {
-        if (!known) {
-            earliest = find();
-            known = true;
+    public long nextDeadline() {
+        if (!earliestKnown) {
+            earliest = advanceToEarliest();
+            earliestKnown = true;
         }
         return earliest;
     }
 
     public void run(long now, Out out) {
-        while (due() <= now) {
+        while (nextDeadline() <= now) {
             // The earliest slot is on the lowest level now: find() has brought it there.
-            known = false;
-            find();
-            for (Timer timer = slots[(int) (current & SLOTS - 1)]; timer != null; ) {
-                Timer next = timer.after;
-                if (timer.at <= now) {
+            earliestKnown = false;
+            advanceToEarliest();
+            for (Timer timer = slots[(int) (currentTick & SLOTS - 1)]; timer != null; ) {
+                Timer next = timer.next;
+                if (timer.deadline <= now) {
                     unlink(timer);
                     size--;
-                    firing.add(timer);
+                    expiredTimers.add(timer);
                 }
                 timer = next;
             }
-            firing.sort(Comparator.<Timer>comparingLong(t -> t.at).thenComparingLong(t -> t.order));
-            List<Timer> due = new ArrayList<>(firing);
-            firing.clear();
+            expiredTimers.sort(
+                    Comparator.<Timer>comparingLong(t -> t.deadline)
+                            .thenComparingLong(t -> t.sequence));
+            List<Timer> due = new ArrayList<>(expiredTimers);
+            expiredTimers.clear();
             for (Timer timer : due) {
                 Task task = timer.task;
                 timer.task = null;
@@ -113,92 +115,95 @@
                     task.run(now, out);
                 }
             }
-            known = false;
+            earliestKnown = false;
         }
     }
 
-    private void place(Timer timer) {
-        long tick = Math.min(MOST_TICK, Math.max(current, timer.at >> TICK_BITS));
-        long differs = tick ^ current;
+    private void insert(Timer timer) {
+        long tick = Math.min(MAX_TICK, Math.max(currentTick, timer.deadline >> TICK_BITS));
+        long differs = tick ^ currentTick;
         int level =
                 differs == 0
                         ? 0
                         : (Long.SIZE - 1 - Long.numberOfLeadingZeros(differs)) / LEVEL_BITS;
         int slot = level * SLOTS + (int) (tick >> level * LEVEL_BITS & SLOTS - 1);
         timer.slot = slot;
-        timer.before = null;
-        timer.after = slots[slot];
-        if (timer.after != null) {
-            timer.after.before = timer;
+        timer.previous = null;
+        timer.next = slots[slot];
+        if (timer.next != null) {
+            timer.next.previous = timer;
         }
         slots[slot] = timer;
-        used[slot >> 6] |= 1L << slot;
+        occupiedSlots[slot >> 6] |= 1L << slot;
     }
 
     private void unlink(Timer timer) {
         int slot = timer.slot;
-        if (timer.before == null) {
-            slots[slot] = timer.after;
-            if (timer.after == null) {
-                used[slot >> 6] &= ~(1L << slot);
+        if (timer.previous == null) {
+            slots[slot] = timer.next;
+            if (timer.next == null) {
+                occupiedSlots[slot >> 6] &= ~(1L << slot);
             }
         } else {
-            timer.before.after = timer.after;
+            timer.previous.next = timer.next;
         }
-        if (timer.after != null) {
-            timer.after.before = timer.before;
+        if (timer.next != null) {
+            timer.next.previous = timer.previous;
         }
-        timer.slot = NOWHERE;
-        timer.before = null;
-        timer.after = null;
+        timer.slot = NO_SLOT;
+        timer.previous = null;
+        timer.next = null;
     }
 
     /**
      * Moves on to the earliest slot that is used, spreading higher ones over lower levels; its
      * earliest time.
      */
-    private long find() {
+    private long advanceToEarliest() {
         while (size > 0) {
             int level = 0;
-            int slot = NOWHERE;
-            while (slot == NOWHERE && level < LEVELS) {
-                slot = next(level, (int) (current >> level * LEVEL_BITS & SLOTS - 1));
-                if (slot == NOWHERE) {
+            int slot = NO_SLOT;
+            while (slot == NO_SLOT && level < LEVELS) {
+                slot =
+                        nextOccupiedSlot(
+                                level, (int) (currentTick >> level * LEVEL_BITS & SLOTS - 1));
+                if (slot == NO_SLOT) {
                     level++;
                 }
             }
             long low = (1L << level * LEVEL_BITS) - 1;
             long start =
-                    current & ~((low + 1 << LEVEL_BITS) - 1) | (long) slot << level * LEVEL_BITS;
-            current = Math.max(current, level == 0 ? start : start & ~low);
+                    currentTick & ~((low + 1 << LEVEL_BITS) - 1)
+                            | (long) slot << level * LEVEL_BITS;
+            currentTick = Math.max(currentTick, level == 0 ? start : start & ~low);
             if (level == 0) {
                 long least = Long.MAX_VALUE;
-                for (Timer timer = slots[slot]; timer != null; timer = timer.after) {
-                    least = Math.min(least, timer.at);
+                for (Timer timer = slots[slot]; timer != null; timer = timer.next) {
+                    least = Math.min(least, timer.deadline);
                 }
                 return least;
             }
             int from = level * SLOTS + slot;
             Timer timer = slots[from];
             slots[from] = null;
-            used[from >> 6] &= ~(1L << from);
+            occupiedSlots[from >> 6] &= ~(1L << from);
             while (timer != null) {
-                Timer after = timer.after;
-                place(timer);
+                Timer after = timer.next;
+                insert(timer);
                 timer = after;
             }
         }
         return Long.MAX_VALUE;
     }
 
-    private int next(int level, int from) {
+    private int nextOccupiedSlot(int level, int from) {
         for (int slot = from; slot < SLOTS; slot = (slot | 63) + 1) {
             int at = level * SLOTS + slot;
-            long bits = used[at >> 6] >>> at;
+            long bits = occupiedSlots[at >> 6] >>> at;
             if (bits != 0) {
                 return slot + Long.numberOfTrailingZeros(bits);
             }
         }
-        return NOWHERE;
+        return NO_SLOT;
     }
 }
--- a/src/main/java/coralcove/sip/Via.java
+++ b/src/main/java/coralcove/sip/Via.java
@@ -1,7 +1,7 @@
 package coralcove.sip;
 
 /** The topmost Via as far as it is looked at (RFC 3261 18.1, 20.42; RFC 3581). */
-public record Via(boolean tcp, String host, int port, Params params) {
+public record Via(boolean tcp, String isHost, int port, Params params) {
     public static final String COOKIE = "z9hG4bK";
 
     public static Via of(String text) {
@@ -17,7 +17,7 @@
         SipUri sentBy = SipUri.of("sip:" + value.substring(space + 1).strip());
         String transport = value.substring(8, space).strip();
         if (sentBy == null
-                || !host(sentBy.host())
+                || !isHost(sentBy.host())
                 || !transport.equals("UDP") && !transport.equals("TCP")) {
             return null;
         }
@@ -29,7 +29,7 @@
     }
 
     /** Letters, digits, dots and dashes, or what stands in brackets (RFC 3261 section 25, host). */
-    private static boolean host(String host) {
+    private static boolean isHost(String host) {
         boolean six = host.startsWith("[") && host.endsWith("]");
         for (int i = six ? 1 : 0; i < host.length() - (six ? 1 : 0); i++) {
             char c = host.charAt(i);
@@ -50,8 +50,8 @@
      * Where a response goes (18.2.2): to received and rport if the receiver wrote them, else to
      * sent-by.
      */
-    public Hop back() {
-        return new Hop(tcp, params.get("received", host), (int) params.number("rport", port));
+    public Hop responseAddress() {
+        return new Hop(tcp, params.get("received", isHost), (int) params.number("rport", port));
     }
 
     public static String text(Hop from, String branch) {
--- a/src/main/java/coralcove/sip/dialog/AgentCore.java
+++ b/src/main/java/coralcove/sip/dialog/AgentCore.java
@@ -46,6 +46,6 @@
 
     @Override
     public long due() {
-        return timers.due();
+        return timers.nextDeadline();
     }
 }
--- a/src/main/java/coralcove/sip/dialog/Call.java
+++ b/src/main/java/coralcove/sip/dialog/Call.java
@@ -14,8 +14,8 @@
 public final class Call {
     enum State {
         TRYING,
-        STANDS,
-        ENDED
+        ESTABLISHED,
+        TERMINATED
     }
 
     final boolean outgoing;
@@ -27,24 +27,24 @@
     String remoteTarget = "";
 
     /** The route set (RFC 3261 12.1), in the order in which in-dialog requests pass it. */
-    List<String> routes = List.of();
+    List<String> routeSet = List.of();
 
     /** The re-INVITE or UPDATE that is out, and the one that came and waits for its answer. */
-    ClientTx change;
+    ClientTx outgoingChange;
 
-    ServerTx changing;
+    ServerTx incomingChange;
 
     /** µs of the session interval (RFC 4028), 0 for none. */
-    long interval;
+    long sessionIntervalMicros;
 
-    Timers.Timer refresh;
-    Hop remoteHop;
+    Timers.Timer sessionTimer;
+    Hop remoteAddress;
     long localSequence;
     long remoteSequence = -1;
-    ClientTx client;
-    ServerTx server;
+    ClientTx clientTransaction;
+    ServerTx serverTransaction;
     SipMessage ack;
-    boolean heard;
+    boolean provisionalReceived;
     boolean cancelled;
     State state = State.TRYING;
 
@@ -77,7 +77,7 @@
     }
 
     public boolean stands() {
-        return state == State.STANDS;
+        return state == State.ESTABLISHED;
     }
 
     public boolean trying() {
--- a/src/main/java/coralcove/sip/event/Notifier.java
+++ b/src/main/java/coralcove/sip/event/Notifier.java
@@ -27,35 +27,35 @@
         State state(long now);
     }
 
-    private static final class Watcher {
-        SipMessage first;
-        Hop hop;
-        String tag;
+    private static final class RemoteSubscription {
+        SipMessage initialRequest;
+        Hop address;
+        String localTag;
         long sequence;
-        long until;
-        Timers.Timer end;
+        long expiresAt;
+        Timers.Timer expiryTimer;
     }
 
     /** Subscribers at most; a SUBSCRIBE past that is answered 503. */
-    private static final int MOST = 10_000;
+    private static final int MAX_SUBSCRIPTIONS = 10_000;
 
     /** Seconds a subscription lasts at most, and where none are named. */
-    private static final long LIFE_MOST = 3600;
+    private static final long MAX_DURATION_SECONDS = 3600;
 
     private final Agent agent;
     private final Timers timers;
     private final String event;
-    private final String seed;
+    private final String startTag;
     private final Source source;
-    private final Map<String, Watcher> watchers = new LinkedHashMap<>();
-    private long tags;
+    private final Map<String, RemoteSubscription> watchers = new LinkedHashMap<>();
+    private long nextTag;
 
     /** {@code seed} makes the tags of this start unlike those of any other. */
     public Notifier(Agent agent, Timers timers, String event, String seed, Source source) {
         this.agent = agent;
         this.timers = timers;
         this.event = event;
-        this.seed = seed;
+        this.startTag = seed;
         this.source = source;
     }
 
@@ -64,44 +64,53 @@
     }
 
     /** A SUBSCRIBE, answered here. */
-    public void subscribe(long now, ServerTx tx, Out out) {
-        SipMessage request = tx.request();
+    public void subscribe(long now, ServerTx transaction, Out out) {
+        SipMessage request = transaction.request();
         SipUri contact = SipUri.of(request.header("Contact", ""));
-        long seconds = Math.min(LIFE_MOST, request.number("Expires", LIFE_MOST));
-        Watcher known = watchers.get(request.callId() + "|" + request.toTag());
+        long seconds =
+                Math.min(MAX_DURATION_SECONDS, request.number("Expires", MAX_DURATION_SECONDS));
+        RemoteSubscription known = watchers.get(request.callId() + "|" + request.toTag());
         if (!request.header("Event", "").equals(event)) {
             agent.respond(
-                    now, tx, agent.reply(tx, 489, "Bad Event").add("Allow-Events", event), out);
+                    now,
+                    transaction,
+                    agent.reply(transaction, 489, "Bad Event").add("Allow-Events", event),
+                    out);
         } else if (!request.toTag().isEmpty() && known == null) {
             // 4.2.1.1: the dialog is of an earlier start of this program, or has ended.
-            agent.respond(now, tx, agent.reply(tx, 481, "No such subscription"), out);
+            agent.respond(
+                    now, transaction, agent.reply(transaction, 481, "No such subscription"), out);
         } else if (contact == null || seconds < 0) {
-            agent.respond(now, tx, agent.reply(tx, 400, "Bad Request"), out);
-        } else if (known == null && watchers.size() >= MOST) {
-            agent.respond(now, tx, agent.reply(tx, 503, "Full").add("Retry-After", "5"), out);
+            agent.respond(now, transaction, agent.reply(transaction, 400, "Bad Request"), out);
+        } else if (known == null && watchers.size() >= MAX_SUBSCRIPTIONS) {
+            agent.respond(
+                    now,
+                    transaction,
+                    agent.reply(transaction, 503, "Full").add("Retry-After", "5"),
+                    out);
         } else {
             boolean first = known == null;
-            Watcher it = first ? new Watcher() : known;
+            RemoteSubscription it = first ? new RemoteSubscription() : known;
             State state = source.state(now);
             if (first) {
-                it.first = request.copy();
-                it.tag = seed + "w" + tags++;
-                watchers.put(request.callId() + "|" + it.tag, it);
+                it.initialRequest = request.copy();
+                it.localTag = startTag + "w" + nextTag++;
+                watchers.put(request.callId() + "|" + it.localTag, it);
             }
-            it.hop = contact.hop();
-            it.until = now + seconds * 1_000_000;
-            timers.cancel(it.end);
-            it.end = timers.set(it.until, (at, o) -> watchers.values().remove(it));
+            it.address = contact.hop();
+            it.expiresAt = now + seconds * 1_000_000;
+            timers.cancel(it.expiryTimer);
+            it.expiryTimer = timers.set(it.expiresAt, (at, o) -> watchers.values().remove(it));
             boolean same = state.tag().equals(request.header("Suppress-If-Match"));
             SipMessage reply =
                     SipMessage.reply(
                                     request,
                                     same ? 204 : 200,
                                     same ? "No Notification" : "OK",
-                                    it.tag)
+                                    it.localTag)
                             .add("Expires", Long.toString(seconds))
                             .add("Contact", "<" + SipUri.text("", agent.self()) + ">");
-            agent.respond(now, tx, reply, out);
+            agent.respond(now, transaction, reply, out);
             if (!same) {
                 notify(now, it, state.tag(), state.text(), out);
             }
@@ -116,15 +125,15 @@
         new ArrayList<>(watchers.values()).forEach(it -> notify(now, it, tag, text, out));
     }
 
-    private void notify(long now, Watcher it, String tag, String text, Out out) {
+    private void notify(long now, RemoteSubscription it, String tag, String text, Out out) {
         it.sequence++;
-        long left = Math.max(0, it.until - now + 999_999) / 1_000_000;
+        long left = Math.max(0, it.expiresAt - now + 999_999) / 1_000_000;
         SipMessage notify =
-                SipMessage.request("NOTIFY", SipUri.text("", it.hop))
+                SipMessage.request("NOTIFY", SipUri.text("", it.address))
                         .add("Max-Forwards", "70")
-                        .add("From", it.first.header("To") + ";tag=" + it.tag)
-                        .add("To", it.first.header("From"))
-                        .add("Call-ID", it.first.callId())
+                        .add("From", it.initialRequest.header("To") + ";tag=" + it.localTag)
+                        .add("To", it.initialRequest.header("From"))
+                        .add("Call-ID", it.initialRequest.callId())
                         .add("CSeq", it.sequence + " NOTIFY")
                         .add("Contact", "<" + SipUri.text("", agent.self()) + ">")
                         .add("Event", event)
@@ -135,19 +144,19 @@
         agent.send(
                 now,
                 notify.body("text/plain", text.getBytes(StandardCharsets.UTF_8)),
-                it.hop,
+                it.address,
                 it,
                 out);
     }
 
     /** The answer to a NOTIFY; false if the request was another's. */
-    public boolean replied(ClientTx tx, SipMessage response) {
-        if (!(tx.owner() instanceof Watcher it)) {
+    public boolean replied(ClientTx transaction, SipMessage response) {
+        if (!(transaction.owner() instanceof RemoteSubscription it)) {
             return false;
         }
         if (response == null || response.status() == 481) {
             // 4.2.2: nobody is there.
-            timers.cancel(it.end);
+            timers.cancel(it.expiryTimer);
             watchers.values().remove(it);
         }
         return true;
--- a/src/main/java/coralcove/sip/event/Subscriber.java
+++ b/src/main/java/coralcove/sip/event/Subscriber.java
@@ -45,31 +45,31 @@
      * Share of its life after which a subscription is renewed, and what chance adds: many must not
      * come together.
      */
-    private static final double RENEW_FROM = 0.35;
+    private static final double MIN_RENEWAL_SHARE = 0.35;
 
-    private static final double RENEW_SPREAD = 0.15;
+    private static final double RENEWAL_JITTER_SHARE = 0.15;
 
     /** Subscriptions of one node at most. */
-    private static final int MOST = 64;
+    private static final int MAX_SUBSCRIPTIONS = 64;
 
     /**
      * Seconds: lives granted outside of this are taken as the nearest (an hour is RFC 6665's common
      * one).
      */
-    private static final long LIFE_LEAST = 1;
+    private static final long MIN_DURATION_SECONDS = 1;
 
-    private static final long LIFE_MOST = 3600;
+    private static final long MAX_DURATION_SECONDS = 3600;
 
     private final Agent agent;
     private final Timers timers;
-    private final RandomGenerator chance;
+    private final RandomGenerator random;
     private final User user;
-    private final Map<String, Subscription> standing = new HashMap<>();
+    private final Map<String, Subscription> subscriptions = new HashMap<>();
 
     public Subscriber(Agent agent, Timers timers, RandomGenerator chance, User user) {
         this.agent = agent;
         this.timers = timers;
-        this.chance = chance;
+        this.random = chance;
         this.user = user;
     }
 
@@ -79,7 +79,7 @@
      */
     public Subscription subscribe(
             long now, Hop to, String event, long seconds, Object owner, String ownNumber, Out out) {
-        if (standing.size() >= MOST) {
+        if (subscriptions.size() >= MAX_SUBSCRIPTIONS) {
             agent.count("too-many-subscriptions");
             return null;
         }
@@ -89,12 +89,12 @@
                         .add("Expires", Long.toString(seconds))
                         .add("X-Number", ownNumber);
         Subscription it = new Subscription(to, event, owner, request.copy());
-        it.seconds = seconds;
-        it.asking = true;
-        standing.put(it.key(), it);
+        it.durationSeconds = seconds;
+        it.requestPending = true;
+        subscriptions.put(it.key(), it);
         // 4.1.2.4, timer N: no NOTIFY within one life and the subscription never was.
         it.expiresAt = now + seconds * 1_000_000;
-        it.end = timers.set(it.expiresAt, (at, o) -> end(at, it, "no NOTIFY", o));
+        it.expiryTimer = timers.set(it.expiresAt, (at, o) -> end(at, it, "no NOTIFY", o));
         agent.send(now, request, to, it, out);
         return it;
     }
@@ -104,25 +104,25 @@
      * has changed.
      */
     public void refresh(long now, Subscription it, boolean whole, Out out) {
-        if (!it.stands() || it.asking || it.remoteTag.isEmpty()) {
-            it.again |= whole;
+        if (!it.stands() || it.requestPending || it.remoteTag.isEmpty()) {
+            it.fullRefreshWanted |= whole;
             return;
         }
-        it.asking = true;
-        it.sequence++;
+        it.requestPending = true;
+        it.localSequence++;
         SipMessage request =
                 SipMessage.request("SUBSCRIBE", SipUri.text("", it.to))
                         .add("Max-Forwards", "70")
-                        .add("From", it.first.header("From"))
-                        .add("To", it.first.header("To") + ";tag=" + it.remoteTag)
-                        .add("Call-ID", it.first.callId())
-                        .add("CSeq", it.sequence + " SUBSCRIBE")
-                        .add("Contact", it.first.header("Contact"))
+                        .add("From", it.initialRequest.header("From"))
+                        .add("To", it.initialRequest.header("To") + ";tag=" + it.remoteTag)
+                        .add("Call-ID", it.initialRequest.callId())
+                        .add("CSeq", it.localSequence + " SUBSCRIBE")
+                        .add("Contact", it.initialRequest.header("Contact"))
                         .add("Event", it.event)
-                        .add("Expires", Long.toString(it.seconds))
-                        .add("X-Number", it.first.header("X-Number", ""));
-        if (!whole && !it.etag.isEmpty()) {
-            request.add("Suppress-If-Match", it.etag);
+                        .add("Expires", Long.toString(it.durationSeconds))
+                        .add("X-Number", it.initialRequest.header("X-Number", ""));
+        if (!whole && !it.entityTag.isEmpty()) {
+            request.add("Suppress-If-Match", it.entityTag);
         }
         agent.send(now, request, it.to, it, out);
     }
@@ -132,47 +132,49 @@
             return;
         }
         it.ended = true;
-        timers.cancel(it.renew);
-        timers.cancel(it.end);
-        standing.remove(it.key());
+        timers.cancel(it.renewalTimer);
+        timers.cancel(it.expiryTimer);
+        subscriptions.remove(it.key());
         agent.count("subscription-ended");
         user.ended(now, it, why, out);
     }
 
-    private void lives(long now, Subscription it, long seconds) {
-        long life = Math.max(LIFE_LEAST, Math.min(LIFE_MOST, seconds)) * 1_000_000;
+    private void startDuration(long now, Subscription it, long seconds) {
+        long life =
+                Math.max(MIN_DURATION_SECONDS, Math.min(MAX_DURATION_SECONDS, seconds)) * 1_000_000;
         it.expiresAt = now + life;
-        timers.cancel(it.end);
-        timers.cancel(it.renew);
-        it.end = timers.set(it.expiresAt, (at, o) -> end(at, it, "not renewed", o));
-        long wait = (long) (life * (RENEW_FROM + RENEW_SPREAD * chance.nextDouble()));
-        it.renew = timers.set(now + wait, (at, o) -> refresh(at, it, false, o));
+        timers.cancel(it.expiryTimer);
+        timers.cancel(it.renewalTimer);
+        it.expiryTimer = timers.set(it.expiresAt, (at, o) -> end(at, it, "not renewed", o));
+        long wait =
+                (long) (life * (MIN_RENEWAL_SHARE + RENEWAL_JITTER_SHARE * random.nextDouble()));
+        it.renewalTimer = timers.set(now + wait, (at, o) -> refresh(at, it, false, o));
     }
 
     /**
      * The answer to one of this class's requests, or null where none came; false if the request was
      * another's.
      */
-    public boolean replied(long now, ClientTx tx, SipMessage response, Out out) {
-        if (!(tx.owner() instanceof Subscription it)) {
+    public boolean replied(long now, ClientTx transaction, SipMessage response, Out out) {
+        if (!(transaction.owner() instanceof Subscription it)) {
             return false;
         }
         if (response != null && response.status() < 200) {
             return true;
         }
-        it.asking = false;
+        it.requestPending = false;
         if (!it.stands()) {
             return true;
         }
-        boolean again = it.again;
-        it.again = false;
+        boolean again = it.fullRefreshWanted;
+        it.fullRefreshWanted = false;
         boolean renewal = !it.remoteTag.isEmpty();
         int status = response == null ? 408 : response.status();
         if (status < 300) {
             if (it.remoteTag.isEmpty()) {
                 it.remoteTag = response.toTag();
             }
-            lives(now, it, response.number("Expires", it.seconds));
+            startDuration(now, it, response.number("Expires", it.durationSeconds));
             if (renewal && status == 204) {
                 user.renewed(now, it, out);
             }
@@ -180,19 +182,19 @@
                 refresh(now, it, true, out);
             }
         } else if (status == 423
-                && response.number("Min-Expires", 0) > it.seconds
-                && it.seconds < LIFE_MOST
+                && response.number("Min-Expires", 0) > it.durationSeconds
+                && it.durationSeconds < MAX_DURATION_SECONDS
                 && !renewal) {
             // The notifier wants longer lives: asked once more, with its least.
-            it.seconds = Math.min(LIFE_MOST, response.number("Min-Expires", 0));
-            it.sequence++;
-            it.asking = true;
+            it.durationSeconds = Math.min(MAX_DURATION_SECONDS, response.number("Min-Expires", 0));
+            it.localSequence++;
+            it.requestPending = true;
             agent.send(
                     now,
-                    it.first
+                    it.initialRequest
                             .copy()
-                            .set("CSeq", it.sequence + " SUBSCRIBE")
-                            .set("Expires", Long.toString(it.seconds)),
+                            .set("CSeq", it.localSequence + " SUBSCRIBE")
+                            .set("Expires", Long.toString(it.durationSeconds)),
                     it.to,
                     it,
                     out);
@@ -201,7 +203,7 @@
         } else {
             // 4.1.2.2: a renewal that failed otherwise leaves the subscription in force to its end;
             // it is tried again.
-            it.renew =
+            it.renewalTimer =
                     timers.set(
                             now + Math.max(1, (it.expiresAt - now) / 2),
                             (at, o) -> refresh(at, it, false, o));
@@ -210,32 +212,38 @@
     }
 
     /** A NOTIFY, answered here. */
-    public void notified(long now, ServerTx tx, Hop from, Out out) {
-        SipMessage notify = tx.request();
-        Subscription it = standing.get(notify.callId() + "|" + notify.toTag());
+    public void notified(long now, ServerTx transaction, Hop from, Out out) {
+        SipMessage notify = transaction.request();
+        Subscription it = subscriptions.get(notify.callId() + "|" + notify.toTag());
         boolean dialog =
                 it != null && (it.remoteTag.isEmpty() || it.remoteTag.equals(notify.fromTag()));
         if (!dialog
-                || !asked(it, from)
+                || !isFromNotifier(it, from)
                 || !Params.of(notify.header("Event", "")).value().equals(it.event)) {
             // Anyone who reaches the port can send one: it is not looked into.
             agent.count(dialog ? "notify-elsewhere" : "notify-no-dialog");
-            agent.respond(now, tx, agent.reply(tx, 481, "No such subscription"), out);
+            agent.respond(
+                    now, transaction, agent.reply(transaction, 481, "No such subscription"), out);
             return;
         }
-        if (notify.sequence() <= it.heardSequence) {
+        if (notify.sequence() <= it.remoteSequence) {
             agent.count("notify-order");
-            agent.respond(now, tx, agent.reply(tx, 500, "CSeq out of order"), out);
+            agent.respond(
+                    now, transaction, agent.reply(transaction, 500, "CSeq out of order"), out);
             return;
         }
         Params state = Params.of(notify.header("Subscription-State", ""));
         if (state.value().isEmpty() || notify.fromTag().isEmpty()) {
             agent.count("bad-notify");
-            agent.respond(now, tx, agent.reply(tx, 400, "Subscription-State is missing"), out);
+            agent.respond(
+                    now,
+                    transaction,
+                    agent.reply(transaction, 400, "Subscription-State is missing"),
+                    out);
             return;
         }
         it.remoteTag = notify.fromTag();
-        it.heardSequence = notify.sequence();
+        it.remoteSequence = notify.sequence();
         boolean over = state.value().equalsIgnoreCase("terminated");
         News news = notify.body().length == 0 ? News.GAP : user.notified(now, it, notify, out);
         boolean taken = news != News.BAD;
@@ -244,22 +252,24 @@
         }
         agent.respond(
                 now,
-                tx,
-                taken ? agent.reply(tx, 200, "OK") : agent.reply(tx, 400, "Bad Request"),
+                transaction,
+                taken
+                        ? agent.reply(transaction, 200, "OK")
+                        : agent.reply(transaction, 400, "Bad Request"),
                 out);
         if (over) {
             end(now, it, "terminated, " + state.get("reason", "no reason"), out);
             return;
         }
         // After a gap the tag would suppress the very list that is wanted.
-        it.etag = news == News.WHOLE ? notify.header("SIP-ETag", "") : "";
-        lives(now, it, state.number("expires", it.seconds));
+        it.entityTag = news == News.WHOLE ? notify.header("SIP-ETag", "") : "";
+        startDuration(now, it, state.number("expires", it.durationSeconds));
     }
 
     /**
      * Only the host that was asked, and over UDP only its port: a stream comes from any port of it.
      */
-    private static boolean asked(Subscription it, Hop from) {
+    private static boolean isFromNotifier(Subscription it, Hop from) {
         boolean literal = it.to.host().matches("[0-9.]+|\\[.*]|.*:.*");
         return (from.host().equals(it.to.host()) || !literal)
                 && (from.tcp() || from.port() == it.to.port());
--- a/src/main/java/coralcove/sip/event/Subscription.java
+++ b/src/main/java/coralcove/sip/event/Subscription.java
@@ -14,28 +14,28 @@
     final Object owner;
 
     /** The first SUBSCRIBE: its From, Call-ID and Contact are the dialog's. */
-    final SipMessage first;
+    final SipMessage initialRequest;
 
     boolean ended;
     String remoteTag = "";
-    long sequence = 1;
-    long heardSequence = -1;
-    String etag = "";
-    long seconds;
+    long localSequence = 1;
+    long remoteSequence = -1;
+    String entityTag = "";
+    long durationSeconds;
     long expiresAt;
-    boolean asking;
+    boolean requestPending;
 
     /** The whole state is wanted as soon as the answer under way has come. */
-    boolean again;
+    boolean fullRefreshWanted;
 
-    Timers.Timer renew;
-    Timers.Timer end;
+    Timers.Timer renewalTimer;
+    Timers.Timer expiryTimer;
 
     Subscription(Hop to, String event, Object owner, SipMessage first) {
         this.to = to;
         this.event = event;
         this.owner = owner;
-        this.first = first;
+        this.initialRequest = first;
     }
 
     public Hop to() {
@@ -57,6 +57,6 @@
     }
 
     String key() {
-        return first.callId() + "|" + first.fromTag();
+        return initialRequest.callId() + "|" + initialRequest.fromTag();
     }
 }
--- a/src/main/java/coralcove/sip/transaction/ClientTx.java
+++ b/src/main/java/coralcove/sip/transaction/ClientTx.java
@@ -15,7 +15,7 @@
         PROCEEDING,
         COMPLETED,
         ACCEPTED,
-        ENDED
+        TERMINATED
     }
 
     final String key;
@@ -23,11 +23,11 @@
     final Hop to;
     final Object owner;
     State state = State.CALLING;
-    long gap;
-    Timers.Timer resend;
-    Timers.Timer end;
+    long retransmitInterval;
+    Timers.Timer retransmitTimer;
+    Timers.Timer endTimer;
     SipMessage ack;
-    boolean quiet;
+    boolean retransmissionStopped;
 
     ClientTx(String key, SipMessage request, Hop to, Object owner) {
         this.key = key;
@@ -49,11 +49,11 @@
         return owner;
     }
 
-    boolean invite() {
+    boolean isInvite() {
         return request.method().equals("INVITE");
     }
 
-    void resend(Out out) {
+    void transmit(Out out) {
         out.send(to, request);
     }
 }
--- a/src/main/java/coralcove/sip/transaction/ServerTx.java
+++ b/src/main/java/coralcove/sip/transaction/ServerTx.java
@@ -14,24 +14,24 @@
         COMPLETED,
         ACCEPTED,
         CONFIRMED,
-        ENDED
+        TERMINATED
     }
 
     final String key;
     final SipMessage request;
-    Hop back;
+    Hop responseAddress;
     State state = State.PROCEEDING;
-    SipMessage last;
-    long gap;
-    Timers.Timer resend;
-    Timers.Timer end;
-    String dialog;
+    SipMessage lastResponse;
+    long retransmitInterval;
+    Timers.Timer retransmitTimer;
+    Timers.Timer endTimer;
+    String ackKey;
     private Object owner;
 
     ServerTx(String key, SipMessage request, Hop back) {
         this.key = key;
         this.request = request;
-        this.back = back;
+        this.responseAddress = back;
     }
 
     public SipMessage request() {
@@ -47,11 +47,11 @@
         owner = it;
     }
 
-    public boolean answered() {
+    public boolean hasFinalResponse() {
         return state != State.PROCEEDING;
     }
 
-    boolean invite() {
+    boolean isInvite() {
         return request.method().equals("INVITE");
     }
 }
--- a/src/main/java/coralcove/sip/transport/Sockets.java
+++ b/src/main/java/coralcove/sip/transport/Sockets.java
@@ -27,25 +27,25 @@
  */
 public final class Sockets implements AutoCloseable {
     /** Connections of one node at most, both ways: past it a new one is closed at once. */
-    private static final int MOST_CONNECTIONS = 10_000;
+    private static final int MAX_CONNECTIONS = 10_000;
 
     /**
      * Bytes waiting to be written to one peer at most: past it the peer does not read, and is cut
      * off.
      */
-    private static final long MOST_WAITING = 4L << 20;
+    private static final long MAX_QUEUED_BYTES = 4L << 20;
 
     /** Seconds after which a connection that carried nothing is closed. */
-    private static final int IDLE = 120;
+    private static final int IDLE_TIMEOUT_SECONDS = 120;
 
     /**
      * Bytes of a socket's receive buffer for datagrams: some thousand messages, a tenth of a
      * second's worth.
      */
-    private static final int RECEIVE_BUFFER = 4 << 20;
+    private static final int RECEIVE_BUFFER_BYTES = 4 << 20;
 
-    private static final String HOP = "hop";
-    private static final String FRAMER = "framer";
+    private static final String ADDRESS_ATTRIBUTE = "hop";
+    private static final String FRAMER_ATTRIBUTE = "framer";
 
     /** Hears what comes in; called on MINA's threads. */
     public interface Listener {
@@ -58,35 +58,35 @@
 
     private final Hop self;
     private final Listener listener;
-    private final InetSocketAddress local;
-    private final NioDatagramAcceptor datagrams = new NioDatagramAcceptor();
-    private final NioSocketAcceptor acceptor = new NioSocketAcceptor(1);
-    private final NioSocketConnector connector = new NioSocketConnector(1);
+    private final InetSocketAddress bindAddress;
+    private final NioDatagramAcceptor datagramAcceptor = new NioDatagramAcceptor();
+    private final NioSocketAcceptor streamAcceptor = new NioSocketAcceptor(1);
+    private final NioSocketConnector streamConnector = new NioSocketConnector(1);
     private final Map<Hop, IoSession> streams = new ConcurrentHashMap<>();
-    private final Map<Hop, Waiting> waiting = new HashMap<>();
+    private final Map<Hop, ConnectionQueue> connectionQueues = new HashMap<>();
     private volatile boolean closed;
 
     /** Binds both; a port in use ends in an IOException that names the address. */
     public Sockets(Hop self, Listener listener) throws IOException {
         this.self = self;
         this.listener = listener;
-        local = new InetSocketAddress(self.host(), self.port());
-        Stream handler = new Stream();
-        acceptor.setHandler(handler);
-        acceptor.setReuseAddress(true);
-        acceptor.setBacklog(1024);
-        acceptor.getSessionConfig().setTcpNoDelay(true);
-        acceptor.getSessionConfig().setBothIdleTime(IDLE);
-        connector.setHandler(handler);
-        connector.setConnectTimeoutMillis(2000);
-        connector.getSessionConfig().setTcpNoDelay(true);
-        connector.getSessionConfig().setBothIdleTime(IDLE);
-        datagrams.setHandler(new Datagram());
-        datagrams.getSessionConfig().setReadBufferSize(SipParser.MOST_BYTES);
-        datagrams.getSessionConfig().setReceiveBufferSize(RECEIVE_BUFFER);
+        bindAddress = new InetSocketAddress(self.host(), self.port());
+        StreamHandler handler = new StreamHandler();
+        streamAcceptor.setHandler(handler);
+        streamAcceptor.setReuseAddress(true);
+        streamAcceptor.setBacklog(1024);
+        streamAcceptor.getSessionConfig().setTcpNoDelay(true);
+        streamAcceptor.getSessionConfig().setBothIdleTime(IDLE_TIMEOUT_SECONDS);
+        streamConnector.setHandler(handler);
+        streamConnector.setConnectTimeoutMillis(2000);
+        streamConnector.getSessionConfig().setTcpNoDelay(true);
+        streamConnector.getSessionConfig().setBothIdleTime(IDLE_TIMEOUT_SECONDS);
+        datagramAcceptor.setHandler(new DatagramHandler());
+        datagramAcceptor.getSessionConfig().setReadBufferSize(SipParser.MAX_MESSAGE_BYTES);
+        datagramAcceptor.getSessionConfig().setReceiveBufferSize(RECEIVE_BUFFER_BYTES);
         try {
-            acceptor.bind(local);
-            datagrams.bind(local);
+            streamAcceptor.bind(bindAddress);
+            datagramAcceptor.bind(bindAddress);
         } catch (IOException | RuntimeException e) {
             close();
             throw Mina.cannotListen(self.host(), self.port(), e);
@@ -108,8 +108,8 @@
             return;
         }
         if (!to.tcp()) {
-            datagrams
-                    .newSession(new InetSocketAddress(to.host(), to.port()), local)
+            datagramAcceptor
+                    .newSession(new InetSocketAddress(to.host(), to.port()), bindAddress)
                     .write(IoBuffer.wrap(bytes));
             return;
         }
@@ -130,9 +130,9 @@
     }
 
     private void write(IoSession stream, byte[] bytes) {
-        if (stream.getScheduledWriteBytes() > MOST_WAITING) {
+        if (stream.getScheduledWriteBytes() > MAX_QUEUED_BYTES) {
             listener.cutOff(
-                    hop(stream),
+                    peerAddress(stream),
                     "reads too slowly: " + stream.getScheduledWriteBytes() + " bytes wait");
             stream.closeNow();
         } else {
@@ -141,10 +141,10 @@
     }
 
     /** What waits for a connection that is being opened. */
-    private static final class Waiting {
+    private static final class ConnectionQueue {
         final List<byte[]> messages = new ArrayList<>();
         long bytes;
-        boolean full;
+        boolean overflowReported;
 
         void add(byte[] message) {
             messages.add(message);
@@ -153,14 +153,14 @@
     }
 
     private void connect(Hop to, byte[] bytes) {
-        synchronized (waiting) {
-            Waiting queue = waiting.get(to);
+        synchronized (connectionQueues) {
+            ConnectionQueue queue = connectionQueues.get(to);
             if (queue != null) {
                 // A peer that takes no connection must not fill the memory: its transactions send
                 // again or end.
-                if (queue.bytes + bytes.length > MOST_WAITING) {
-                    if (!queue.full) {
-                        queue.full = true;
+                if (queue.bytes + bytes.length > MAX_QUEUED_BYTES) {
+                    if (!queue.overflowReported) {
+                        queue.overflowReported = true;
                         listener.cutOff(
                                 to,
                                 "does not connect: "
@@ -172,22 +172,22 @@
                 queue.add(bytes);
                 return;
             }
-            Waiting first = new Waiting();
+            ConnectionQueue first = new ConnectionQueue();
             first.add(bytes);
-            waiting.put(to, first);
+            connectionQueues.put(to, first);
         }
-        connector
+        streamConnector
                 .connect(new InetSocketAddress(to.host(), to.port()))
                 .addListener(
                         future -> {
                             org.apache.mina.core.future.ConnectFuture done =
                                     (org.apache.mina.core.future.ConnectFuture) future;
-                            Waiting queue;
-                            synchronized (waiting) {
-                                queue = waiting.remove(to);
+                            ConnectionQueue queue;
+                            synchronized (connectionQueues) {
+                                queue = connectionQueues.remove(to);
                                 if (done.isConnected()) {
                                     streams.put(to, done.getSession());
-                                    done.getSession().setAttribute(HOP, to);
+                                    done.getSession().setAttribute(ADDRESS_ATTRIBUTE, to);
                                     queue.messages.forEach(each -> write(done.getSession(), each));
                                 }
                             }
@@ -197,64 +197,65 @@
                         });
     }
 
-    private static Hop remote(IoSession session, boolean tcp) {
+    private static Hop remoteAddress(IoSession session, boolean tcp) {
         InetSocketAddress address = (InetSocketAddress) session.getRemoteAddress();
         return new Hop(tcp, address.getAddress().getHostAddress(), address.getPort());
     }
 
-    private static Hop hop(IoSession session) {
-        Hop known = (Hop) session.getAttribute(HOP);
-        return known != null ? known : remote(session, true);
+    private static Hop peerAddress(IoSession session) {
+        Hop known = (Hop) session.getAttribute(ADDRESS_ATTRIBUTE);
+        return known != null ? known : remoteAddress(session, true);
     }
 
     @Override
     public void close() {
         closed = true;
-        datagrams.dispose(false);
-        acceptor.getManagedSessions().values().forEach(IoSession::closeNow);
-        acceptor.dispose(false);
-        connector.getManagedSessions().values().forEach(IoSession::closeNow);
-        connector.dispose(false);
+        datagramAcceptor.dispose(false);
+        streamAcceptor.getManagedSessions().values().forEach(IoSession::closeNow);
+        streamAcceptor.dispose(false);
+        streamConnector.getManagedSessions().values().forEach(IoSession::closeNow);
+        streamConnector.dispose(false);
     }
 
-    private final class Datagram extends IoHandlerAdapter {
+    private final class DatagramHandler extends IoHandlerAdapter {
         @Override
         public void messageReceived(IoSession session, Object message) {
             byte[] bytes = Mina.bytes(message);
             // RFC 5626 keep-alives carry nothing.
             if (bytes.length > 4) {
-                listener.read(remote(session, false), bytes);
+                listener.read(remoteAddress(session, false), bytes);
             }
         }
 
         @Override
         public void exceptionCaught(IoSession session, Throwable cause) {
             if (!closed && session.getRemoteAddress() != null) {
-                listener.cutOff(remote(session, false), String.valueOf(cause.getMessage()));
+                listener.cutOff(remoteAddress(session, false), String.valueOf(cause.getMessage()));
             }
         }
     }
 
-    private final class Stream extends IoHandlerAdapter {
+    private final class StreamHandler extends IoHandlerAdapter {
         @Override
         public void sessionOpened(IoSession session) {
-            if (acceptor.getManagedSessionCount() + connector.getManagedSessionCount()
-                    > MOST_CONNECTIONS) {
+            if (streamAcceptor.getManagedSessionCount() + streamConnector.getManagedSessionCount()
+                    > MAX_CONNECTIONS) {
                 listener.cutOff(
-                        remote(session, true), "more than " + MOST_CONNECTIONS + " connections");
+                        remoteAddress(session, true),
+                        "more than " + MAX_CONNECTIONS + " connections");
                 session.closeNow();
                 return;
             }
-            session.setAttribute(FRAMER, new StreamFramer());
-            streams.putIfAbsent(remote(session, true), session);
+            session.setAttribute(FRAMER_ATTRIBUTE, new StreamFramer());
+            streams.putIfAbsent(remoteAddress(session, true), session);
         }
 
         @Override
         public void messageReceived(IoSession session, Object message) {
             byte[] bytes = Mina.bytes(message);
-            Hop from = remote(session, true);
+            Hop from = remoteAddress(session, true);
             try {
-                ((StreamFramer) session.getAttribute(FRAMER))
+                ((StreamFramer) session.getAttribute(FRAMER_ATTRIBUTE))
                         .take(bytes, 0, bytes.length, whole -> listener.read(from, whole));
             } catch (BadMessage e) {
                 listener.cutOff(from, e.getMessage());
@@ -269,9 +270,9 @@
 
         @Override
         public void sessionClosed(IoSession session) {
-            Hop hop = hop(session);
+            Hop hop = peerAddress(session);
             streams.remove(hop, session);
-            streams.remove(remote(session, true), session);
+            streams.remove(remoteAddress(session, true), session);
             if (!closed) {
                 listener.broken(hop, false);
             }
--- a/src/test/java/coralcove/sip/OracleTest.java
+++ b/src/test/java/coralcove/sip/GrammarOracleTest.java
@@ -25,12 +25,12 @@
  * The fast parser against the grammar of RFC 3261 section 25: what is legal is read, and read as
  * the same.
  */
-class OracleTest {
+class GrammarOracleTest {
     /**
      * What the oracle makes of a message, in words that both can be asked for; null where it is not
      * legal.
      */
-    private static List<String> oracle(byte[] bytes) {
+    private static List<String> parseWithGrammar(byte[] bytes) {
         SipLexer lexer =
                 new SipLexer(
                         CharStreams.fromString(new String(bytes, StandardCharsets.ISO_8859_1)));
@@ -89,10 +89,10 @@
         }
     }
 
-    private static final List<String> LOOKED_AT =
+    private static final List<String> COMPARED_SEPARATELY =
             List.of("Via", "From", "To", "Call-ID", "CSeq", "Max-Forwards", "Content-Length");
 
-    private static List<String> fast(SipMessage message) {
+    private static List<String> describe(SipMessage message) {
         List<String> found = new ArrayList<>();
         if (message.isRequest()) {
             found.add("uri " + message.uri());
@@ -111,7 +111,7 @@
                 case "Call-ID" -> found.add("call " + field.value());
                 case "CSeq" -> found.add("cseq " + message.sequence() + " " + message.cseqMethod());
                 default -> {
-                    if (!LOOKED_AT.contains(field.name())) {
+                    if (!COMPARED_SEPARATELY.contains(field.name())) {
                         found.add("other " + field.name().toLowerCase(java.util.Locale.ROOT));
                     }
                 }
@@ -121,7 +121,7 @@
     }
 
     /** Legal by the grammar and refused all the same, each by a stated rule of this program. */
-    private static boolean statedRefusal(String reason) {
+    private static boolean isStatedRejection(String reason) {
         return reason.startsWith("CSeq names another method")
                 || reason.startsWith("CSeq:")
                 || reason.startsWith("Max-Forwards")
@@ -134,14 +134,14 @@
     }
 
     @Test
-    void whatIsLegalIsReadAsTheSame() throws Exception {
+    void parsesLegalMessagesAsTheGrammarDoes() throws Exception {
         SplittableRandom chance = new SplittableRandom(3);
         int legal = 0;
         int compared = 0;
         for (byte[] each : SipFuzz.corpus()) {
             for (int i = 0; i < 12; i++) {
-                byte[] bytes = i == 0 ? each : SipFuzz.mutated(each, chance);
-                List<String> wanted = oracle(bytes);
+                byte[] bytes = i == 0 ? each : SipFuzz.mutate(each, chance);
+                List<String> wanted = parseWithGrammar(bytes);
                 if (wanted == null) {
                     continue;
                 }
@@ -149,14 +149,21 @@
                 try {
                     SipMessage message = SipParser.parse(bytes, 0, bytes.length);
                     compared++;
-                    List<String> known = wanted.stream().map(OracleTest::short1).sorted().toList();
+                    List<String> known =
+                            wanted.stream()
+                                    .map(GrammarOracleTest::maskCompactForm)
+                                    .sorted()
+                                    .toList();
                     List<String> read =
-                            fast(message).stream().map(OracleTest::short1).sorted().toList();
+                            describe(message).stream()
+                                    .map(GrammarOracleTest::maskCompactForm)
+                                    .sorted()
+                                    .toList();
                     assertThat(read)
                             .as(new String(bytes, StandardCharsets.ISO_8859_1))
                             .isEqualTo(known);
                 } catch (BadMessage e) {
-                    assertThat(statedRefusal(e.getMessage()))
+                    assertThat(isStatedRejection(e.getMessage()))
                             .as(
                                     e.getMessage()
                                             + "\n"
@@ -170,14 +177,14 @@
     }
 
     /** Names with a compact form count as one: the grammar does not write them out. */
-    private static String short1(String what) {
+    private static String maskCompactForm(String what) {
         return what.startsWith("other ")
-                        && (what.length() == 7 || COMPACT.contains(what.substring(6)))
+                        && (what.length() == 7 || COMPACT_NAMES.contains(what.substring(6)))
                 ? "other, may be compact"
                 : what;
     }
 
-    private static final List<String> COMPACT =
+    private static final List<String> COMPACT_NAMES =
             List.of(
                     "contact",
                     "content-type",
--- a/src/test/java/coralcove/sip/SipFuzz.java
+++ b/src/test/java/coralcove/sip/SipFuzz.java
@@ -15,11 +15,11 @@
     private SipFuzz() {}
 
     public static void fuzzerTestOneInput(byte[] data) {
-        parse(data);
-        stream(data);
+        checkParser(data);
+        checkFramer(data);
     }
 
-    private static void parse(byte[] data) {
+    private static void checkParser(byte[] data) {
         SipMessage message;
         try {
             message = SipParser.parse(data, 0, data.length);
@@ -31,11 +31,11 @@
         }
         try {
             byte[] bytes = message.bytes();
-            if (message.length() != bytes.length) {
+            if (message.encodedLength() != bytes.length) {
                 throw new IllegalStateException(
-                        "a message of " + bytes.length + " bytes says " + message.length());
+                        "a message of " + bytes.length + " bytes says " + message.encodedLength());
             }
-            if (bytes.length <= SipParser.MOST_BYTES) {
+            if (bytes.length <= SipParser.MAX_MESSAGE_BYTES) {
                 SipMessage again = SipParser.parse(bytes, 0, bytes.length);
                 if (!Arrays.equals(again.bytes(), bytes)) {
                     throw new IllegalStateException("written and read again, a message differs");
@@ -50,12 +50,12 @@
         }
     }
 
-    private static void stream(byte[] data) {
+    private static void checkFramer(byte[] data) {
         List<byte[]> whole = new ArrayList<>();
         List<byte[]> parts = new ArrayList<>();
-        boolean bad = take(data, data.length, whole);
+        boolean bad = frame(data, data.length, whole);
         int cut = data.length == 0 ? 1 : 1 + (data[data.length - 1] & 0x1f);
-        boolean badInParts = take(data, cut, parts);
+        boolean badInParts = frame(data, cut, parts);
         boolean equal = bad == badInParts && whole.size() == parts.size();
         for (int i = 0; equal && i < whole.size(); i++) {
             equal = Arrays.equals(whole.get(i), parts.get(i));
@@ -66,7 +66,7 @@
         }
     }
 
-    private static boolean take(byte[] data, int step, List<byte[]> found) {
+    private static boolean frame(byte[] data, int step, List<byte[]> found) {
         StreamFramer framer = new StreamFramer();
         try {
             for (int at = 0; at < data.length; at += step) {
@@ -79,7 +79,7 @@
     }
 
     /** Bytes of {@code from}, changed here and there: the regression corpus is made of these. */
-    static byte[] mutated(byte[] from, SplittableRandom chance) {
+    static byte[] mutate(byte[] from, SplittableRandom chance) {
         byte[] bytes = Arrays.copyOf(from, Math.max(0, from.length + chance.nextInt(9) - 4));
         String odd = "\r\n \t:;,<>\"\\@=/0\u0000[]";
         for (int i = chance.nextInt(8); i > 0 && bytes.length > 0; i--) {
@@ -108,7 +108,7 @@
         SplittableRandom chance = new SplittableRandom(System.nanoTime());
         long runs = 0;
         while (System.nanoTime() < end) {
-            byte[] data = mutated(corpus.get(chance.nextInt(corpus.size())), chance);
+            byte[] data = mutate(corpus.get(chance.nextInt(corpus.size())), chance);
             try {
                 fuzzerTestOneInput(data);
             } catch (RuntimeException e) {
@@ -126,7 +126,7 @@
             for (String each :
                     new String(in.readAllBytes(), StandardCharsets.UTF_8).split("(?m)^=== .*\n")) {
                 if (!each.isBlank()) {
-                    corpus.add(TortureTest.wire(each));
+                    corpus.add(TortureTest.toWireFormat(each));
                 }
             }
         }
--- a/src/test/java/coralcove/sip/SipFuzzTest.java
+++ b/src/test/java/coralcove/sip/SipFuzzTest.java
@@ -10,7 +10,7 @@
      * that are no UTF-8.
      */
     @Test
-    void holdsForEachFind() throws Exception {
+    void acceptsEarlierFindings() throws Exception {
         for (String find :
                 List.of("odd-control-in-via", "list-past-the-bound", "fields-at-the-bound")) {
             try (java.io.InputStream in =
@@ -27,13 +27,13 @@
 
     /** The regression corpus: each torture message as it is and changed in 300 seeded ways. */
     @Test
-    void holdsForTheCorpus() throws Exception {
+    void acceptsMutatedCorpus() throws Exception {
         List<byte[]> corpus = SipFuzz.corpus();
         SplittableRandom chance = new SplittableRandom(1);
         for (byte[] each : corpus) {
             SipFuzz.fuzzerTestOneInput(each);
             for (int i = 0; i < 300; i++) {
-                SipFuzz.fuzzerTestOneInput(SipFuzz.mutated(each, chance));
+                SipFuzz.fuzzerTestOneInput(SipFuzz.mutate(each, chance));
             }
         }
     }
--- a/src/test/java/coralcove/sip/SipParserTest.java
+++ b/src/test/java/coralcove/sip/SipParserTest.java
@@ -11,11 +11,11 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class SipParserTest {
-    private static final String HEAD = "INVITE sip:77@h:5061;transport=tcp SIP/2.0\r\n";
-    private static final String REST =
+    private static final String REQUEST_LINE = "INVITE sip:77@h:5061;transport=tcp SIP/2.0\r\n";
+    private static final String COMMON_HEADERS =
             "f: \"A; <b>, \\\"c\\\"\" <sip:a@h>;tag=1\r\nt: <sip:b@h>\r\ni: x@y\r\n"
                     + "CSeq: 7 INVITE\r\n";
-    private static final String VIA =
+    private static final String VIA_HEADER =
             "v: SIP/2.0/UDP a:5062;branch=z9hG4bKq;rport, SIP/2.0/TCP [::1];branch=z9hG4bKr\r\n";
 
     static SipMessage parse(String text) throws BadMessage {
@@ -27,9 +27,9 @@
     void readsFoldingCompactNamesListsAndQuotes() throws BadMessage {
         SipMessage message =
                 parse(
-                        HEAD
-                                + VIA
-                                + REST
+                        REQUEST_LINE
+                                + VIA_HEADER
+                                + COMMON_HEADERS
                                 + "Subject: one\r\n"
                                 + "  two\r\n"
                                 + "\tthree\r\n"
@@ -38,7 +38,7 @@
         assertThat(message.headers("Via")).hasSize(2);
         Via via = Via.of(message.header("Via"));
         assertThat(via.branch()).isEqualTo("z9hG4bKq");
-        assertThat(Via.of(message.headers("Via").get(1)).host()).isEqualTo("[::1]");
+        assertThat(Via.of(message.headers("Via").get(1)).isHost()).isEqualTo("[::1]");
         assertThat(message.header("Subject")).isEqualTo("one two three");
         assertThat(message.fromTag()).isEqualTo("1");
         assertThat(message.sequence()).isEqualTo(7);
@@ -61,9 +61,10 @@
                 "INV(TE sip:a@b SIP/2.0\r\n\r\n",
                 "INVITE sip:a b SIP/2.0\r\n\r\n"
             })
-    void namesNoPartOfWhatHasNoStartLine(String text) {
+    void hasNoPartialMessageWithoutStartLine(String text) {
         assertThatThrownBy(() -> parse(text))
-                .isInstanceOfSatisfying(BadMessage.class, e -> assertThat(e.partial()).isNull());
+                .isInstanceOfSatisfying(
+                        BadMessage.class, e -> assertThat(e.partialMessage()).isNull());
     }
 
     @ParameterizedTest
@@ -77,23 +78,27 @@
                 "CSeq: 7 INVITE\r\nContent-Length: -1\r\n",
                 "CSeq: 7 INVITE\r\nno colon\r\n"
             })
-    void keepsWhatA400Needs(String wrong) {
+    void keepsHeadersNeededForA400Response(String wrong) {
         String text =
-                HEAD
-                        + VIA
+                REQUEST_LINE
+                        + VIA_HEADER
                         + "From: <sip:a@h>;tag=1\r\nTo: <sip:b@h>\r\nCall-ID: x\r\n"
                         + wrong
                         + "\r\n";
         assertThatThrownBy(() -> parse(text))
                 .isInstanceOfSatisfying(
-                        BadMessage.class, e -> assertThat(e.partial().callId()).isEqualTo("x"));
+                        BadMessage.class,
+                        e -> assertThat(e.partialMessage().callId()).isEqualTo("x"));
     }
 
     @Test
-    void cutsAStreamAtAnyPointIntoTheSameMessages() throws BadMessage {
-        byte[] one = (HEAD + VIA + REST + "l: 4\r\n\r\nbody").getBytes(StandardCharsets.UTF_8);
+    void framesSameMessagesWhereverStreamIsSplit() throws BadMessage {
+        byte[] one =
+                (REQUEST_LINE + VIA_HEADER + COMMON_HEADERS + "l: 4\r\n\r\nbody")
+                        .getBytes(StandardCharsets.UTF_8);
         byte[] two =
-                (HEAD + VIA + REST + "Content-Length : 0\r\n\r\n").getBytes(StandardCharsets.UTF_8);
+                (REQUEST_LINE + VIA_HEADER + COMMON_HEADERS + "Content-Length : 0\r\n\r\n")
+                        .getBytes(StandardCharsets.UTF_8);
         byte[] both = new byte[one.length + 4 + two.length];
         System.arraycopy(one, 0, both, 0, one.length);
         System.arraycopy("\r\n\r\n".getBytes(StandardCharsets.UTF_8), 0, both, one.length, 4);
@@ -114,12 +119,14 @@
     }
 
     @Test
-    void endsAStreamThatCannotBeCut() {
-        byte[] none = (HEAD + VIA + REST + "\r\n").getBytes(StandardCharsets.UTF_8);
+    void rejectsStreamThatCannotBeFramed() {
+        byte[] none =
+                (REQUEST_LINE + VIA_HEADER + COMMON_HEADERS + "\r\n")
+                        .getBytes(StandardCharsets.UTF_8);
         assertThatThrownBy(() -> new StreamFramer().take(none, 0, none.length, m -> {}))
                 .isInstanceOf(BadMessage.class)
                 .hasMessageContaining("Content-Length");
-        byte[] endless = new byte[SipParser.MOST_BYTES + 1];
+        byte[] endless = new byte[SipParser.MAX_MESSAGE_BYTES + 1];
         java.util.Arrays.fill(endless, (byte) 'a');
         assertThatThrownBy(() -> new StreamFramer().take(endless, 0, endless.length, m -> {}))
                 .isInstanceOf(BadMessage.class)
--- a/src/test/java/coralcove/sip/TimersTest.java
+++ b/src/test/java/coralcove/sip/TimersTest.java
@@ -14,7 +14,7 @@
      * far.
      */
     @Test
-    void firesAsASortedMapWould() {
+    void firesInOrderOfASortedMap() {
         for (int seed = 0; seed < 60; seed++) {
             SplittableRandom chance = new SplittableRandom(seed);
             Timers timers = new Timers();
@@ -41,7 +41,7 @@
                         wanted.addAll(plain.pollFirstEntry().getValue().keySet());
                     }
                 }
-                assertThat(timers.due())
+                assertThat(timers.nextDeadline())
                         .isEqualTo(plain.isEmpty() ? Long.MAX_VALUE : plain.firstKey());
             }
             assertThat(fired).as("seed %d", seed).isEqualTo(wanted);
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void aTimerMaySetOrCancelOthersOfItsOwnMoment() {
+    void allowsTaskToSetOrCancelTimersOfSameDeadline() {
         Timers timers = new Timers();
         List<String> fired = new ArrayList<>();
         Timers.Timer[] second = new Timers.Timer[1];
@@ -65,6 +65,6 @@
         second[0] = timers.set(10, (now, out) -> fired.add("second"));
         timers.run(10, null);
         assertThat(fired).containsExactly("first", "third");
-        assertThat(timers.due()).isEqualTo(Long.MAX_VALUE);
+        assertThat(timers.nextDeadline()).isEqualTo(Long.MAX_VALUE);
     }
 }
--- a/src/test/java/coralcove/sip/TortureCorpus.java
+++ b/src/test/java/coralcove/sip/TortureCorpusWriter.java
@@ -6,8 +6,8 @@
 import java.util.List;
 
 /** Not a test: writes the torture messages as files, a corpus for a fuzzer to start from. */
-public final class TortureCorpus {
-    private TortureCorpus() {}
+public final class TortureCorpusWriter {
+    private TortureCorpusWriter() {}
 
     public static void main(String[] args) throws IOException {
         Path folder = Files.createDirectories(Path.of(args[0]));
--- a/src/test/java/coralcove/sip/TortureTest.java
+++ b/src/test/java/coralcove/sip/TortureTest.java
@@ -22,7 +22,7 @@
     private final List<String> sent = new ArrayList<>();
 
     @TestFactory
-    List<DynamicTest> eachGetsItsVerdict() throws IOException {
+    List<DynamicTest> givesExpectedVerdicts() throws IOException {
         List<DynamicTest> tests = new ArrayList<>();
         try (InputStream in = TortureTest.class.getResourceAsStream("/sip/torture.txt")) {
             String all = new String(in.readAllBytes(), StandardCharsets.UTF_8);
@@ -40,7 +40,7 @@
         return tests;
     }
 
-    static byte[] wire(String text) {
+    static byte[] toWireFormat(String text) {
         int body = text.indexOf("\n\n");
         String head = body < 0 ? text : text.substring(0, body + 1);
         String rest = body < 0 ? "" : text.substring(body + 2, text.length() - 1);
@@ -48,7 +48,7 @@
     }
 
     private void check(String verdict, String text) {
-        byte[] bytes = wire(text);
+        byte[] bytes = toWireFormat(text);
         sent.clear();
         Agent agent = new Agent(new Hop(false, "h", 1), new Timers(), "s", this);
         String found;
@@ -64,10 +64,10 @@
             agent.malformed(0, new Hop(false, "h", 2), e, this);
             found =
                     sent.isEmpty()
-                            ? e.partial() == null
-                                            || e.partial().header("Via") == null
-                                            || Via.of(e.partial().header("Via")) == null
-                                            || !e.partial().isRequest()
+                            ? e.partialMessage() == null
+                                            || e.partialMessage().header("Via") == null
+                                            || Via.of(e.partialMessage().header("Via")) == null
+                                            || !e.partialMessage().isRequest()
                                     ? "drop"
                                     : "400-short"
                             : String.join(",", sent);
@@ -116,12 +116,12 @@
     }
 
     @Override
-    public void request(long now, ServerTx tx, Hop from, Out out) {
+    public void request(long now, ServerTx transaction, Hop from, Out out) {
         throw new IllegalStateException();
     }
 
     @Override
-    public void replied(long now, ClientTx tx, SipMessage response, Out out) {
+    public void replied(long now, ClientTx transaction, SipMessage response, Out out) {
         throw new IllegalStateException();
     }
 }
--- a/src/test/java/coralcove/sip/dialog/InviteModelTest.java
+++ b/src/test/java/coralcove/sip/dialog/InviteModelTest.java
@@ -15,15 +15,15 @@
     /** Steps that are chosen freely; the rest is fair. */
     private static final int DEPTH = Integer.getInteger("coralcove.model.depth", 6);
 
-    private static final int MOST_LOST = 2;
-    private static final int MOST_COPIES = 1;
+    private static final int MAX_LOST = 2;
+    private static final int MAX_COPIES = 1;
 
     private long paths;
-    private long stood;
-    private long refused;
+    private long established;
+    private long notEstablished;
 
     @Test
-    void everyOrderLeadsToOneFinalAnswer() {
+    void everyOrderYieldsOneFinalResponse() {
         explore(new ArrayList<>());
         System.out.println(
                 "INVITE model: "
@@ -31,13 +31,13 @@
                         + " paths to depth "
                         + DEPTH
                         + ", "
-                        + stood
+                        + established
                         + " stand, "
-                        + refused
+                        + notEstablished
                         + " do not");
         assertThat(paths).isGreaterThan(10_000);
-        assertThat(stood).isPositive();
-        assertThat(refused).isPositive();
+        assertThat(established).isPositive();
+        assertThat(notEstablished).isPositive();
     }
 
     /**
@@ -61,14 +61,15 @@
     }
 
     private final class Run {
-        private final Wire wire = new Wire(false, (what, nth) -> new int[] {0});
+        private final SimulatedNetwork wire =
+                new SimulatedNetwork(false, (what, nth) -> new int[] {0});
         private int lost;
         private int copies;
         private boolean cancelled;
         private boolean decided;
 
         Run() {
-            wire.b.answers = false;
+            wire.b.autoAnswer = false;
             wire.a.call(wire.b);
         }
 
@@ -82,10 +83,10 @@
 
         /** Deliver any, lose any, copy any, let a timer fire, cancel, answer, refuse. */
         int choices() {
-            int messages = wire.inFlight();
+            int messages = wire.inFlightCount();
             return messages
-                    + (lost < MOST_LOST ? messages : 0)
-                    + (copies < MOST_COPIES ? messages : 0)
+                    + (lost < MAX_LOST ? messages : 0)
+                    + (copies < MAX_COPIES ? messages : 0)
                     + 1
                     + (mayCancel() ? 1 : 0)
                     + (mayDecide() ? 2 : 0);
@@ -93,30 +94,30 @@
 
         void step(int choice) {
             int left = choice;
-            int messages = wire.inFlight();
+            int messages = wire.inFlightCount();
             if (left < messages) {
-                wire.settle(left, true, false);
+                wire.resolve(left, true, false);
                 return;
             }
             left -= messages;
-            if (lost < MOST_LOST) {
+            if (lost < MAX_LOST) {
                 if (left < messages) {
                     lost++;
-                    wire.settle(left, false, false);
+                    wire.resolve(left, false, false);
                     return;
                 }
                 left -= messages;
             }
-            if (copies < MOST_COPIES) {
+            if (copies < MAX_COPIES) {
                 if (left < messages) {
                     copies++;
-                    wire.settle(left, true, true);
+                    wire.resolve(left, true, true);
                     return;
                 }
                 left -= messages;
             }
             if (left == 0) {
-                wire.nextTimer();
+                wire.fireNextTimer();
                 return;
             }
             left--;
@@ -141,11 +142,11 @@
             paths++;
             wire.note("from here on all is fair");
             // The callee takes its time, and the last sending of an INVITE may be what it hears of.
-            wire.pass(33_000);
+            wire.runFor(33_000);
             if (mayDecide()) {
                 wire.b.agent.answer(wire.now, wire.b.call, wire.b);
             }
-            wire.pass(70_000);
+            wire.runFor(70_000);
             String trace = wire.trace();
             int finals = count(trace, "a: answered") + count(trace, "a: rejected");
             assertThat(finals).as("final answers at the caller%n%s", trace).isEqualTo(1);
@@ -161,8 +162,8 @@
             assertThat(count(trace, "b: invited"))
                     .as("one INVITE taken%n%s", trace)
                     .isLessThanOrEqualTo(1);
-            stood += wire.a.call.stands() ? 1 : 0;
-            refused += wire.a.call.stands() ? 0 : 1;
+            established += wire.a.call.stands() ? 1 : 0;
+            notEstablished += wire.a.call.stands() ? 0 : 1;
         }
 
         private int count(String text, String part) {
--- a/src/test/java/coralcove/sip/dialog/Wire.java
+++ b/src/test/java/coralcove/sip/dialog/SimulatedNetwork.java
@@ -19,36 +19,36 @@
  * Two user agents on a wire that a test drops, doubles and delays messages on; all that crosses it
  * is printed.
  */
-final class Wire {
+final class SimulatedNetwork {
     /**
      * What becomes of the n-th message of this kind ("INVITE", "200 INVITE"): lost, or how often
      * and how late in ms.
      */
-    interface Fate {
-        int[] of(String what, int nth);
+    interface DeliveryPolicy {
+        int[] delaysFor(String what, int nth);
     }
 
     static final int[] LOST = {};
-    static final int[] FAIR = {10};
+    static final int[] DELIVERED = {10};
 
-    final class Phone implements Agent.User, Out {
+    final class TestUserAgent implements Agent.User, Out {
         final String name;
         final Hop self;
         final Timers timers = new Timers();
         final Agent agent;
         Call call;
-        boolean answers = true;
+        boolean autoAnswer = true;
 
         /** Answers a change with this status. */
-        int changeStatus = 200;
+        int reinviteStatus = 200;
 
-        Phone(String name, Hop self) {
+        TestUserAgent(String name, Hop self) {
             this.name = name;
             this.self = self;
             agent = new Agent(self, timers, name, this);
         }
 
-        void call(Phone to) {
+        void call(TestUserAgent to) {
             SipMessage invite = agent.request("INVITE", "sip:7@" + to.self.host());
             call = agent.invite(now, invite, to.self, null, this);
         }
@@ -64,7 +64,7 @@
                 nth += each.equals(name + what) ? 1 : 0;
             }
             sent.add(name + what);
-            int[] delays = fate.of(name + " " + what, nth);
+            int[] delays = deliveryPolicy.delaysFor(name + " " + what, nth);
             note(
                     name
                             + " "
@@ -73,7 +73,9 @@
                                     ? " (lost)"
                                     : delays.length > 1 ? " (doubled)" : ""));
             for (int delay : delays) {
-                flights.add(new Flight(now + delay * 1000L, orders++, this, to, message.bytes()));
+                messagesInFlight.add(
+                        new InFlightMessage(
+                                now + delay * 1000L, nextOrder++, this, to, message.bytes()));
             }
         }
 
@@ -82,109 +84,110 @@
             note(name + " logs " + event);
         }
 
-        private void says(String text) {
+        private void record(String text) {
             note(name + ": " + text);
         }
 
         @Override
         public void invited(long at, Call it, Hop from, Out out) {
             call = it;
-            says("invited");
-            if (answers) {
+            record("invited");
+            if (autoAnswer) {
                 agent.answer(at, it, out);
             }
         }
 
         @Override
         public void progressed(long at, Call it, SipMessage response, Out out) {
-            says("hears " + response.status());
+            record("hears " + response.status());
         }
 
         @Override
         public void answered(long at, Call it, SipMessage response, Out out) {
-            says("answered");
+            record("answered");
         }
 
         @Override
         public void rejected(long at, Call it, SipMessage response, Agent.Lost lost, Out out) {
-            says("rejected " + (response == null ? lost : response.status()));
+            record("rejected " + (response == null ? lost : response.status()));
         }
 
         @Override
         public void cancelled(long at, Call it, Out out) {
-            says("cancelled");
+            record("cancelled");
         }
 
         @Override
         public void hungUp(long at, Call it, SipMessage bye, Out out) {
-            says("hung up" + (bye == null ? " by itself" : ""));
+            record("hung up" + (bye == null ? " by itself" : ""));
         }
 
         @Override
         public void changing(long at, Call it, SipMessage invite, Out out) {
-            says("asked to change to " + invite.text());
-            if (changeStatus > 0) {
-                agent.answerChange(at, it, changeStatus, "x", "text/plain", invite.body(), out);
+            record("asked to change to " + invite.text());
+            if (reinviteStatus > 0) {
+                agent.answerChange(at, it, reinviteStatus, "x", "text/plain", invite.body(), out);
             }
         }
 
         @Override
         public void changed(long at, Call it, SipMessage response, Out out) {
-            says("its change came to " + response.status());
+            record("its change came to " + response.status());
         }
 
         @Override
-        public void request(long at, ServerTx tx, Hop from, Out out) {
-            agent.respond(at, tx, agent.reply(tx, 200, "OK"), out);
+        public void request(long at, ServerTx transaction, Hop from, Out out) {
+            agent.respond(at, transaction, agent.reply(transaction, 200, "OK"), out);
         }
 
         @Override
-        public void replied(long at, ClientTx tx, SipMessage response, Out out) {
-            says("replied");
+        public void replied(long at, ClientTx transaction, SipMessage response, Out out) {
+            record("replied");
         }
     }
 
-    private record Flight(long at, long order, Phone from, Hop to, byte[] bytes) {}
+    private record InFlightMessage(
+            long arrivesAt, long order, TestUserAgent from, Hop to, byte[] bytes) {}
 
-    final Phone a;
-    final Phone b;
-    private final Fate fate;
+    final TestUserAgent a;
+    final TestUserAgent b;
+    private final DeliveryPolicy deliveryPolicy;
     private final StringBuilder trace = new StringBuilder();
-    private final List<Flight> flights = new ArrayList<>();
+    private final List<InFlightMessage> messagesInFlight = new ArrayList<>();
     private final List<String> sent = new ArrayList<>();
     long now;
-    private long orders;
+    private long nextOrder;
 
-    Wire(boolean tcp, Fate fate) {
-        this.fate = fate;
-        a = new Phone("a", new Hop(tcp, "ha", 1));
-        b = new Phone("b", new Hop(tcp, "hb", 2));
+    SimulatedNetwork(boolean tcp, DeliveryPolicy fate) {
+        this.deliveryPolicy = fate;
+        a = new TestUserAgent("a", new Hop(tcp, "ha", 1));
+        b = new TestUserAgent("b", new Hop(tcp, "hb", 2));
     }
 
-    Wire note(String text) {
+    SimulatedNetwork note(String text) {
         trace.append(now / 1000).append(" ms  ").append(text).append('\n');
         return this;
     }
 
     /** Runs for so many ms. */
-    Wire pass(long millis) {
+    SimulatedNetwork runFor(long millis) {
         long end = now + millis * 1000;
         while (true) {
-            Flight next =
-                    flights.stream()
+            InFlightMessage next =
+                    messagesInFlight.stream()
                             .min(
-                                    Comparator.comparingLong(Flight::at)
-                                            .thenComparingLong(Flight::order))
+                                    Comparator.comparingLong(InFlightMessage::arrivesAt)
+                                            .thenComparingLong(InFlightMessage::order))
                             .orElse(null);
-            long timer = Math.min(a.timers.due(), b.timers.due());
-            long at = Math.min(timer, next == null ? Long.MAX_VALUE : next.at);
+            long timer = Math.min(a.timers.nextDeadline(), b.timers.nextDeadline());
+            long at = Math.min(timer, next == null ? Long.MAX_VALUE : next.arrivesAt);
             if (at > end) {
                 now = end;
                 return this;
             }
             now = Math.max(now, at);
-            if (next != null && next.at <= timer) {
-                flights.remove(next);
+            if (next != null && next.arrivesAt <= timer) {
+                messagesInFlight.remove(next);
                 deliver(next.from.self, next.to, next.bytes);
             } else {
                 a.timers.run(now, a);
@@ -195,13 +198,13 @@
 
     // ---- driven by hand, for the model checker: messages stand until one of these is called
 
-    int inFlight() {
-        return flights.size();
+    int inFlightCount() {
+        return messagesInFlight.size();
     }
 
     /** Takes message {@code i} off the wire and delivers it, or not; {@code keep} leaves a copy. */
-    void settle(int i, boolean delivered, boolean keep) {
-        Flight flight = keep ? flights.get(i) : flights.remove(i);
+    void resolve(int i, boolean delivered, boolean keep) {
+        InFlightMessage flight = keep ? messagesInFlight.get(i) : messagesInFlight.remove(i);
         note(delivered ? "delivered" + (keep ? ", and a copy kept" : "") : "lost");
         if (delivered) {
             deliver(flight.from.self, flight.to, flight.bytes);
@@ -209,8 +212,8 @@
     }
 
     /** Lets time pass to the next timer of either side, and fires it. */
-    boolean nextTimer() {
-        long at = Math.min(a.timers.due(), b.timers.due());
+    boolean fireNextTimer() {
+        long at = Math.min(a.timers.nextDeadline(), b.timers.nextDeadline());
         if (at == Long.MAX_VALUE) {
             return false;
         }
@@ -218,7 +221,10 @@
         a.timers.run(now, a);
         b.timers.run(now, b);
         // Every message lives less than T4 in a network that RFC 3261 is made for.
-        flights.removeIf(flight -> flight.at <= now - coralcove.sip.transaction.Transactions.T4);
+        messagesInFlight.removeIf(
+                flight ->
+                        flight.arrivesAt
+                                <= now - coralcove.sip.transaction.TransactionLayer.T4_MICROS);
         return true;
     }
 
@@ -226,8 +232,8 @@
         return trace.toString();
     }
 
-    Wire deliver(Hop from, Hop to, byte[] bytes) {
-        Phone target = to.host().equals("ha") ? a : to.host().equals("hb") ? b : null;
+    SimulatedNetwork deliver(Hop from, Hop to, byte[] bytes) {
+        TestUserAgent target = to.host().equals("ha") ? a : to.host().equals("hb") ? b : null;
         if (target != null) {
             try {
                 target.agent.receive(now, from, SipParser.parse(bytes, 0, bytes.length), target);
@@ -238,7 +244,7 @@
         return this;
     }
 
-    void reads(String name) {
+    void assertTraceEquals(String name) {
         assertThat(trace.toString()).isEqualTo(Kept.trace(name));
     }
 }
--- a/src/test/java/coralcove/sip/event/SubscriptionTest.java
+++ b/src/test/java/coralcove/sip/event/SubscriptionTest.java
@@ -26,13 +26,13 @@
     private final Subscriber subscriber =
             new Subscriber(agent, timers, new SplittableRandom(1), this);
     private final StringBuilder trace = new StringBuilder();
-    private SipMessage asked;
-    private Subscriber.News next = Subscriber.News.WHOLE;
+    private SipMessage lastRequest;
+    private Subscriber.News nextResult = Subscriber.News.WHOLE;
     private long now = 1_000_000;
     private long cseq;
-    private int ids;
+    private int nextBranch;
 
-    private SubscriptionTest ask() {
+    private SubscriptionTest subscribe() {
         subscriber.subscribe(now, NOTIFIER, "exchanges", 12, "owner", "0", this);
         return this;
     }
@@ -42,18 +42,18 @@
         return this;
     }
 
-    private SubscriptionTest pass(long millis) {
+    private SubscriptionTest runFor(long millis) {
         long to = now + millis * 1000;
-        while (timers.due() <= to) {
-            now = Math.max(now, timers.due());
+        while (timers.nextDeadline() <= to) {
+            now = Math.max(now, timers.nextDeadline());
             timers.run(now, this);
         }
         now = to;
         return this;
     }
 
-    private SubscriptionTest answered(int status, String... extra) {
-        SipMessage reply = SipMessage.reply(asked, status, "x", "d");
+    private SubscriptionTest answer(int status, String... extra) {
+        SipMessage reply = SipMessage.reply(lastRequest, status, "x", "d");
         for (int i = 0; i < extra.length; i += 2) {
             reply.set(extra[i], extra[i + 1]);
         }
@@ -61,15 +61,15 @@
         return this;
     }
 
-    private SipMessage notice(String state) {
-        ids++;
+    private SipMessage createNotify(String state) {
+        nextBranch++;
         cseq++;
         return SipMessage.request("NOTIFY", "sip:127.0.0.1:1")
-                .add("Via", "SIP/2.0/UDP 127.0.0.1:3;branch=z9hG4bKn" + ids)
+                .add("Via", "SIP/2.0/UDP 127.0.0.1:3;branch=z9hG4bKn" + nextBranch)
                 .add("Max-Forwards", "70")
                 .add("From", "<sip:d>;tag=d")
-                .add("To", asked.header("From"))
-                .add("Call-ID", asked.callId())
+                .add("To", lastRequest.header("From"))
+                .add("Call-ID", lastRequest.callId())
                 .add("CSeq", cseq + " NOTIFY")
                 .add("Contact", "<sip:127.0.0.1:3>")
                 .add("Event", "exchanges")
@@ -78,89 +78,105 @@
                 .body("text/plain", "x".getBytes(StandardCharsets.UTF_8));
     }
 
-    private SubscriptionTest take(Hop from, SipMessage message) {
+    private SubscriptionTest receive(Hop from, SipMessage message) {
         agent.receive(now, from, message, this);
         return this;
     }
 
-    private SubscriptionTest told(String state) {
-        return take(NOTIFIER, notice(state));
+    private SubscriptionTest receiveNotify(String state) {
+        return receive(NOTIFIER, createNotify(state));
     }
 
-    private void reads(String name) {
+    private void assertTraceEquals(String name) {
         assertThat(trace.toString()).isEqualTo(Kept.trace(name));
     }
 
     @Test
-    void renewsBeforeItsEndAndTakesNoAnswerForUnchanged() {
-        ask().answered(200, "Expires", "12")
-                .told("active;expires=12")
-                .pass(6000)
-                .answered(204, "Expires", "12")
-                .pass(6000)
+    void renewsBeforeExpiryAndAccepts204() {
+        subscribe()
+                .answer(200, "Expires", "12")
+                .receiveNotify("active;expires=12")
+                .runFor(6000)
+                .answer(204, "Expires", "12")
+                .runFor(6000)
                 .note("no answer comes any more")
-                .pass(14_000)
-                .reads("subscription-renewed");
+                .runFor(14_000)
+                .assertTraceEquals("subscription-renewed");
     }
 
     @Test
-    void aNotifyCountsOnlyInItsDialogAndFromWhoWasAsked() {
-        ask().told("active;expires=12").note("before its 200").answered(200, "Expires", "12");
-        take(NOTIFIER, notice("active").set("Call-ID", "other")).note("another dialog");
-        take(NOTIFIER, notice("active").set("From", "<sip:d>;tag=forged")).note("another tag");
-        take(new Hop(false, "127.0.0.1", 9), notice("active")).note("another port");
-        take(new Hop(true, "127.0.0.2", 3), notice("active")).note("another host");
-        take(NOTIFIER, notice("active").set("Event", "trunk-groups")).note("another event");
-        SipMessage late = notice("active;expires=12");
-        told("active;expires=12").take(NOTIFIER, late).note("out of order");
-        take(NOTIFIER, notice("")).note("no state");
-        next = Subscriber.News.BAD;
-        told("active;expires=12").note("a body that cannot be read");
+    void acceptsNotifyOnlyInItsDialogAndFromTheNotifier() {
+        subscribe()
+                .receiveNotify("active;expires=12")
+                .note("before its 200")
+                .answer(200, "Expires", "12");
+        receive(NOTIFIER, createNotify("active").set("Call-ID", "other")).note("another dialog");
+        receive(NOTIFIER, createNotify("active").set("From", "<sip:d>;tag=forged"))
+                .note("another tag");
+        receive(new Hop(false, "127.0.0.1", 9), createNotify("active")).note("another port");
+        receive(new Hop(true, "127.0.0.2", 3), createNotify("active")).note("another host");
+        receive(NOTIFIER, createNotify("active").set("Event", "trunk-groups"))
+                .note("another event");
+        SipMessage late = createNotify("active;expires=12");
+        receiveNotify("active;expires=12").receive(NOTIFIER, late).note("out of order");
+        receive(NOTIFIER, createNotify("")).note("no state");
+        nextResult = Subscriber.News.BAD;
+        receiveNotify("active;expires=12").note("a body that cannot be read");
         assertThat(agent.counters())
                 .containsEntry("notify-no-dialog", 2L)
                 .containsEntry("notify-elsewhere", 3L)
                 .containsEntry("notify-order", 1L);
-        reads("subscription-forged");
+        assertTraceEquals("subscription-forged");
     }
 
     @Test
-    void afterAGapTheWholeIsAskedForAlsoWhileARenewalIsUnderWay() {
-        ask().answered(200).told("active;expires=12").pass(5700).note("a renewal is under way");
-        next = Subscriber.News.GAP;
-        told("active;expires=6");
+    void requestsFullStateAfterGapDuringRenewal() {
+        subscribe()
+                .answer(200)
+                .receiveNotify("active;expires=12")
+                .runFor(5700)
+                .note("a renewal is under way");
+        nextResult = Subscriber.News.GAP;
+        receiveNotify("active;expires=6");
         // The user asks, as it does after a gap; the answer to the renewal would be 204 and bring
         // nothing.
-        subscriber.refresh(now, lastTold, true, this);
-        answered(204, "Expires", "12").reads("subscription-gap");
+        subscriber.refresh(now, lastNotified, true, this);
+        answer(204, "Expires", "12").assertTraceEquals("subscription-gap");
     }
 
     @Test
-    void endsWhenTheNotifierSaysSoOrKnowsNothingOfIt() {
-        ask().answered(200)
-                .told("active;expires=12")
-                .told("terminated;reason=deactivated")
-                .told("active");
-        ask().answered(200);
+    void endsWhenNotifierTerminatesOrDoesNotKnowIt() {
+        subscribe()
+                .answer(200)
+                .receiveNotify("active;expires=12")
+                .receiveNotify("terminated;reason=deactivated")
+                .receiveNotify("active");
+        subscribe().answer(200);
         cseq = 0;
-        told("active;expires=12").pass(6000).answered(481).pass(20_000).reads("subscription-ended");
+        receiveNotify("active;expires=12")
+                .runFor(6000)
+                .answer(481)
+                .runFor(20_000)
+                .assertTraceEquals("subscription-ended");
     }
 
     @Test
-    void takesALongerLifeWhereTheNotifierWantsOne() {
-        ask().answered(423, "Min-Expires", "30")
-                .answered(200, "Expires", "30")
-                .told("active;expires=30")
-                .pass(14_000)
-                .reads("subscription-brief");
+    void acceptsLongerDurationRequiredByNotifier() {
+        subscribe()
+                .answer(423, "Min-Expires", "30")
+                .answer(200, "Expires", "30")
+                .receiveNotify("active;expires=30")
+                .runFor(14_000)
+                .assertTraceEquals("subscription-brief");
     }
 
-    private Subscription lastTold;
+    private Subscription lastNotified;
 
     @Override
     public Subscriber.News notified(long at, Subscription it, SipMessage notify, Out out) {
-        lastTold = it;
-        note("news " + notify.text() + " is " + next);
-        return next;
+        lastNotified = it;
+        note("news " + notify.text() + " is " + nextResult);
+        return nextResult;
     }
 
     @Override
@@ -176,7 +192,7 @@
     @Override
     public void send(Hop to, SipMessage message) {
         if (message.isRequest()) {
-            asked = message.copy();
+            lastRequest = message.copy();
         }
         note(
                 "-> "
@@ -195,13 +211,13 @@
     public void log(String event, String session, String detail) {}
 
     @Override
-    public void request(long at, ServerTx tx, Hop from, Out out) {
-        subscriber.notified(at, tx, from, out);
+    public void request(long at, ServerTx transaction, Hop from, Out out) {
+        subscriber.notified(at, transaction, from, out);
     }
 
     @Override
-    public void replied(long at, ClientTx tx, SipMessage response, Out out) {
-        subscriber.replied(at, tx, response, out);
+    public void replied(long at, ClientTx transaction, SipMessage response, Out out) {
+        subscriber.replied(at, transaction, response, out);
     }
 
     @Override
