--- a/src/main/java/coralcove/sip/Via.java
+++ b/src/main/java/coralcove/sip/Via.java
@@ -1,7 +1,7 @@
 package coralcove.sip;
 
 /** The topmost Via as far as it is looked at (RFC 3261 18.1, 20.42; RFC 3581). */
-public record Via(boolean tcp, String isHost, int port, Params params) {
+public record Via(boolean tcp, String host, int port, Params params) {
     public static final String COOKIE = "z9hG4bK";
 
     public static Via of(String text) {
@@ -51,7 +51,7 @@
      * sent-by.
      */
     public Hop responseAddress() {
-        return new Hop(tcp, params.get("received", isHost), (int) params.number("rport", port));
+        return new Hop(tcp, params.get("received", host), (int) params.number("rport", port));
     }
 
     public static String text(Hop from, String branch) {
--- a/src/main/java/coralcove/sip/transaction/ClientTx.java
+++ b/src/main/java/coralcove/sip/transaction/ClientTx.java
@@ -6,8 +6,8 @@
 import coralcove.sip.Timers;
 
 /**
- * A client transaction (RFC 3261 17.1): one request sent until it is answered, timed out or given
- * up on.
+ * A client transaction (RFC 3261 17.1): one request that is retransmitted until it is answered,
+ * times out or is abandoned.
  */
 public final class ClientTx {
     enum State {
@@ -21,12 +21,23 @@
     final String key;
     final SipMessage request;
     final Hop to;
+
+    /** The object that the transaction user attached. */
     final Object owner;
+
     State state = State.CALLING;
+
+    /** Microseconds between the last two transmissions (timers A and E). */
     long retransmitInterval;
+
     Timers.Timer retransmitTimer;
+
+    /** Ends the transaction: timers B, D, F and K. */
     Timers.Timer endTimer;
+
+    /** The ACK of a failure response, sent again for each copy of the response. */
     SipMessage ack;
+
     boolean retransmissionStopped;
 
     ClientTx(String key, SipMessage request, Hop to, Object owner) {
@@ -40,11 +51,12 @@
         return request;
     }
 
+    /** The address that the request is sent to. */
     public Hop to() {
         return to;
     }
 
-    /** What the user attached when it sent the request. */
+    /** The object that the transaction user attached when it sent the request, or null. */
     public Object owner() {
         return owner;
     }
--- a/src/main/java/coralcove/sip/transaction/ServerTx.java
+++ b/src/main/java/coralcove/sip/transaction/ServerTx.java
@@ -5,8 +5,8 @@
 import coralcove.sip.Timers;
 
 /**
- * A server transaction (RFC 3261 17.2): one request received, and the answer that is sent again as
- * needed.
+ * A server transaction (RFC 3261 17.2): one request received, and its last response, which is
+ * retransmitted as needed.
  */
 public final class ServerTx {
     enum State {
@@ -19,34 +19,46 @@
 
     final String key;
     final SipMessage request;
+
+    /** The address that responses are sent to. */
     Hop responseAddress;
+
     State state = State.PROCEEDING;
     SipMessage lastResponse;
+
+    /** Microseconds between the last two transmissions of the response (timer G). */
     long retransmitInterval;
+
     Timers.Timer retransmitTimer;
+
+    /** Ends the transaction: timers H, I, J and L. */
     Timers.Timer endTimer;
+
+    /** The key by which the ACK of a 2xx is matched; null until a 2xx was sent. */
     String ackKey;
+
     private Object owner;
 
-    ServerTx(String key, SipMessage request, Hop back) {
+    ServerTx(String key, SipMessage request, Hop responseAddress) {
         this.key = key;
         this.request = request;
-        this.responseAddress = back;
+        this.responseAddress = responseAddress;
     }
 
     public SipMessage request() {
         return request;
     }
 
-    /** What the user attached. */
+    /** The object that the transaction user attached, or null. */
     public Object owner() {
         return owner;
     }
 
-    public void owner(Object it) {
-        owner = it;
+    public void owner(Object owner) {
+        this.owner = owner;
     }
 
+    /** Whether a final response was sent. */
     public boolean hasFinalResponse() {
         return state != State.PROCEEDING;
     }
--- a/src/main/java/coralcove/sip/transaction/TransactionLayer.java
+++ b/src/main/java/coralcove/sip/transaction/TransactionLayer.java
@@ -11,33 +11,34 @@
 
 /**
  * The transaction layer of one node (RFC 3261 section 17, with the Accepted states of RFC 6026):
- * requests are sent again over UDP until answered, answers until acknowledged, repeats are
- * absorbed. It does no I/O.
+ * requests are retransmitted over UDP until answered, final responses to INVITE until acknowledged,
+ * and retransmissions that arrive are absorbed. It does no I/O.
  */
 public final class TransactionLayer {
-    /** µs: RFC 3261's T1, the first gap between two sends of a request over UDP. */
+    /** T1 of RFC 3261: the first retransmission interval of a request over UDP. */
     public static final long T1_MICROS = 500_000;
 
-    /** µs: T2, the longest gap for requests other than INVITE and for answers to INVITE. */
+    /**
+     * T2: the longest retransmission interval of requests other than INVITE and of final responses
+     * to INVITE.
+     */
     public static final long T2_MICROS = 4_000_000;
 
-    /** µs: T4, how long a message may stay in the network. */
+    /** T4: the longest time that a message remains in the network. */
     public static final long T4_MICROS = 5_000_000;
 
-    /**
-     * Multiples of T1 after which a transaction without an answer has failed (timers B, F and H).
-     */
+    /** Multiples of T1 after which a transaction times out (timers B, F and H). */
     private static final long TIMEOUT_T1_MULTIPLE = 64;
 
     /**
-     * Transactions held; past this a new request is dropped and counted: its sender will send it
-     * again.
+     * Server transactions at most. A new request beyond that is dropped and counted; its sender
+     * retransmits it.
      */
     private static final int MAX_SERVER_TRANSACTIONS = 400_000;
 
     /**
-     * Why no answer came: none in time, no stream to carry the request, or a stream that broke
-     * under it.
+     * Why a request got no final response: none arrived in time, the connection for it could not be
+     * opened, or the connection that carried it was lost.
      */
     public enum Failure {
         TIMED_OUT,
@@ -46,26 +47,32 @@
     }
 
     /**
-     * Marks the branch of a request that is sent once, outside any transaction: its answer is not
-     * waited for.
+     * Marks the branch of a request that is sent once, outside any transaction: responses to it are
+     * ignored.
      */
     public static final String NO_TRANSACTION_MARK = ".o";
 
-    /** The layer above. */
+    /** The transaction user (RFC 3261 section 5): the layer above. */
     public interface TransactionUser {
+        /** A new request arrived; ACK and CANCEL are reported by their own methods. */
         void requestReceived(long now, ServerTx transaction, Hop from, Out out);
 
-        /** The ACK of a 2xx. */
+        /** The ACK of a 2xx arrived. */
         void ackReceived(long now, ServerTx transaction, Out out);
 
-        /** No ACK came for a 2xx within 64 T1 (RFC 3261 13.3.1.4). */
+        /** No ACK of a 2xx arrived within 64 T1 (RFC 3261 13.3.1.4). */
         void ackTimedOut(long now, ServerTx transaction, Out out);
 
-        /** A CANCEL for an INVITE not answered yet; the CANCEL itself has its 200. */
+        /**
+         * A CANCEL arrived for an INVITE without a final response; the CANCEL itself was answered
+         * with 200.
+         */
         void cancelReceived(long now, ServerTx invite, Out out);
 
+        /** A response arrived: of an INVITE each one, of another request the final one. */
         void responseReceived(long now, ClientTx transaction, SipMessage response, Out out);
 
+        /** A request other than CANCEL ended without a final response. */
         void requestFailed(long now, ClientTx transaction, Failure failure, Out out);
     }
 
@@ -75,35 +82,41 @@
     private final String startTag;
     private final Map<String, ClientTx> clientTransactions = new HashMap<>();
     private final Map<String, ServerTx> serverTransactions = new HashMap<>();
+
+    /** Server transactions of INVITE whose 2xx has not been acknowledged, by {@link #ackKey}. */
     private final Map<String, ServerTx> awaitingAck = new HashMap<>();
+
     private long nextBranch;
     private long droppedRequests;
     private long forgedResponses;
 
-    /** {@code seed} tells this start of the node's branches from those of any other. */
-    public TransactionLayer(Hop self, Timers timers, String seed, TransactionUser user) {
-        this.localAddress = self;
+    /** {@code startTag} distinguishes the branches of this start of the node from all others. */
+    public TransactionLayer(
+            Hop localAddress, Timers timers, String startTag, TransactionUser user) {
+        this.localAddress = localAddress;
         this.timers = timers;
-        this.startTag = seed;
+        this.startTag = startTag;
         this.user = user;
     }
 
+    /** Requests dropped because the maximum of server transactions was reached. */
     public long droppedRequests() {
         return droppedRequests;
     }
 
-    /** Responses that came from an address to which their request had not gone. */
+    /** Responses dropped because their request was sent to another address. */
     public long forgedResponses() {
         return forgedResponses;
     }
 
+    /** Transactions of both kinds that have not terminated. */
     public int size() {
         return clientTransactions.size() + serverTransactions.size();
     }
 
-    // ---- requests out
+    // ---- client transactions
 
-    /** Sends a request in a transaction of its own; its Via is added here. */
+    /** Sends a request in a new client transaction and adds its Via. */
     public ClientTx send(long now, SipMessage request, Hop to, Object owner, Out out) {
         String branch = Via.COOKIE + startTag + "." + nextBranch++;
         request.addFirst("Via", Via.text(localAddress.over(to.tcp()), branch));
@@ -129,8 +142,8 @@
     }
 
     /**
-     * Sends a CANCEL for an INVITE that has had a provisional answer (RFC 3261 9.1): same branch,
-     * own transaction.
+     * Sends a CANCEL for an INVITE that has had a provisional response (RFC 3261 9.1): the same
+     * branch, a transaction of its own.
      */
     public void cancel(long now, ClientTx invite, Out out) {
         SipMessage cancel = SipMessage.request("CANCEL", invite.request.uri());
@@ -150,7 +163,7 @@
         }
     }
 
-    /** Sends this request no more, but goes on taking what comes for it until its time is up. */
+    /** Stops retransmitting this request; responses are still accepted until it times out. */
     public void stopRetransmitting(ClientTx transaction) {
         transaction.retransmissionStopped = true;
         timers.cancel(transaction.retransmitTimer);
@@ -207,8 +220,8 @@
             return;
         }
         if (!from.equals(transaction.to)) {
-            // The right branch from another address than the request went to: forged (RFC 3581 4
-            // answers from there).
+            // Forged: by RFC 3581 section 4 a response comes from the address that the request was
+            // sent to.
             forgedResponses++;
             out.log(
                     "forged-response",
@@ -255,7 +268,7 @@
         int status = response.status();
         timers.cancel(transaction.retransmitTimer);
         if (status < 200) {
-            // Once it is heard of, an INVITE waits for as long as its user lets it.
+            // After a provisional response the transaction user decides how long to wait.
             timers.cancel(transaction.endTimer);
             transaction.endTimer = null;
             transaction.state = ClientTx.State.PROCEEDING;
@@ -281,7 +294,9 @@
         user.responseReceived(now, transaction, response, out);
     }
 
-    /** The ACK of a refusal belongs to the INVITE's transaction (17.1.1.3). */
+    /**
+     * Creates the ACK of a failure response, which is part of the INVITE's transaction (17.1.1.3).
+     */
     private static SipMessage createAck(ClientTx transaction, SipMessage response) {
         SipMessage ack = SipMessage.request("ACK", transaction.request.uri());
         ack.add("Via", transaction.request.header("Via"));
@@ -296,13 +311,14 @@
         return ack.add("CSeq", transaction.request.sequence() + " ACK");
     }
 
-    /** The INVITE is given up on by its user and nothing is wanted of it any more. */
+    /** Ends a transaction whose outcome no longer matters to the transaction user. */
     public void abandon(ClientTx transaction) {
         terminate(transaction);
     }
 
-    // ---- requests in
+    // ---- server transactions
 
+    /** Processes a message received from {@code from}. */
     public void receive(long now, Hop from, SipMessage message, Out out) {
         if (!message.isRequest()) {
             receiveResponse(now, from, message, out);
@@ -310,7 +326,7 @@
         }
         Via via = addReceivedAddress(message, from);
         if (!via.branch().startsWith(Via.COOKIE)) {
-            // RFC 2543 matching is not spoken here; protocol.md says so.
+            // RFC 2543 matching is not supported (docs/protocol.md).
             if (!message.method().equals("ACK")) {
                 out.send(
                         via.responseAddress(),
@@ -318,23 +334,29 @@
             }
             return;
         }
-        String top = via.branch() + "|" + via.isHost() + ":" + via.port();
+        String branchAndSentBy = via.branch() + "|" + via.host() + ":" + via.port();
         boolean ack = message.method().equals("ACK");
-        ServerTx known = serverTransactions.get(key(top, ack ? "INVITE" : message.method()));
+        ServerTx existing =
+                serverTransactions.get(key(branchAndSentBy, ack ? "INVITE" : message.method()));
         if (ack) {
-            receiveAck(now, known, message, out);
-        } else if (known != null) {
-            if (known.lastResponse != null) {
-                out.send(known.responseAddress, known.lastResponse);
+            receiveAck(now, existing, message, out);
+        } else if (existing != null) {
+            if (existing.lastResponse != null) {
+                out.send(existing.responseAddress, existing.lastResponse);
             }
         } else if (serverTransactions.size() >= MAX_SERVER_TRANSACTIONS) {
             droppedRequests++;
         } else {
             ServerTx transaction =
-                    new ServerTx(key(top, message.method()), message, via.responseAddress());
+                    new ServerTx(
+                            key(branchAndSentBy, message.method()), message, via.responseAddress());
             serverTransactions.put(transaction.key, transaction);
             if (message.method().equals("CANCEL")) {
-                receiveCancel(now, transaction, serverTransactions.get(key(top, "INVITE")), out);
+                receiveCancel(
+                        now,
+                        transaction,
+                        serverTransactions.get(key(branchAndSentBy, "INVITE")),
+                        out);
             } else {
                 if (transaction.isInvite()) {
                     respond(now, transaction, SipMessage.reply(message, 100, "Trying", ""), out);
@@ -344,11 +366,11 @@
         }
     }
 
-    /** Whether a request with this branch is in hand or was answered a while ago. */
+    /** Whether the request belongs to a server transaction that has not terminated. */
     public boolean isRetransmission(SipMessage request) {
         Via via = request.via();
         return serverTransactions.containsKey(
-                key(via.branch() + "|" + via.isHost() + ":" + via.port(), request.method()));
+                key(via.branch() + "|" + via.host() + ":" + via.port(), request.method()));
     }
 
     private static Via addReceivedAddress(SipMessage message, Hop from) {
@@ -367,7 +389,7 @@
                                 ? text.replaceFirst(
                                         ";\\s*rport(=[^;]*)?",
                                         ";rport=" + from.port() + ";received=" + from.host())
-                                : via.isHost().equals(from.host())
+                                : via.host().equals(from.host())
                                         ? text
                                         : text + ";received=" + from.host();
         message.set("Via", value);
@@ -389,15 +411,15 @@
         }
     }
 
-    private void receiveAck(long now, ServerTx known, SipMessage ack, Out out) {
-        if (known != null && known.state == ServerTx.State.COMPLETED) {
-            known.state = ServerTx.State.CONFIRMED;
-            timers.cancel(known.retransmitTimer);
-            timers.cancel(known.endTimer);
-            known.endTimer =
+    private void receiveAck(long now, ServerTx existing, SipMessage ack, Out out) {
+        if (existing != null && existing.state == ServerTx.State.COMPLETED) {
+            existing.state = ServerTx.State.CONFIRMED;
+            timers.cancel(existing.retransmitTimer);
+            timers.cancel(existing.endTimer);
+            existing.endTimer =
                     timers.set(
-                            now + (known.responseAddress.tcp() ? 0 : T4_MICROS),
-                            (at, o) -> terminate(known));
+                            now + (existing.responseAddress.tcp() ? 0 : T4_MICROS),
+                            (at, o) -> terminate(existing));
             return;
         }
         ServerTx transaction = awaitingAck.remove(ackKey(ack));
@@ -416,7 +438,7 @@
         return message.callId() + "|" + message.fromTag() + "|" + message.sequence();
     }
 
-    /** Sends an answer; after a final one, a further one is not sent and false is returned. */
+    /** Sends a response; after a final one returns false and sends nothing. */
     public boolean respond(long now, ServerTx transaction, SipMessage response, Out out) {
         if (transaction.state != ServerTx.State.PROCEEDING) {
             return false;
@@ -444,7 +466,8 @@
             transaction.ackKey = ackKey(transaction.request);
             awaitingAck.put(transaction.ackKey, transaction);
         }
-        // A 2xx goes from end to end and is sent again over any transport; a refusal over UDP only.
+        // A 2xx is acknowledged end to end and so retransmitted over any transport; a failure
+        // response over UDP only.
         if (status < 300 || !transaction.responseAddress.tcp()) {
             transaction.retransmitTimer =
                     timers.set(
@@ -455,11 +478,11 @@
                 timers.set(
                         now + TIMEOUT_T1_MULTIPLE * T1_MICROS,
                         (at, o) -> {
-                            boolean lost =
+                            boolean unacknowledged =
                                     transaction.state == ServerTx.State.ACCEPTED
                                             && awaitingAck.containsKey(transaction.ackKey);
                             terminate(transaction);
-                            if (lost) {
+                            if (unacknowledged) {
                                 user.ackTimedOut(at, transaction, o);
                             }
                         });
@@ -486,8 +509,8 @@
     }
 
     /**
-     * The transport could not carry requests to this hop: those not answered yet have failed
-     * (18.4).
+     * Handles the loss of the connection to {@code peer}, or that it could not be opened ({@code
+     * refused}): requests to it that have no final response fail (18.4).
      */
     public void connectionFailed(long now, Hop peer, boolean refused, Out out) {
         for (ClientTx transaction :
@@ -501,7 +524,8 @@
                     refused ? Failure.CONNECTION_REFUSED : Failure.CONNECTION_LOST,
                     out);
         }
-        // Responses on a broken connection go to the address in Via by a new one (RFC 3261 18.2.2).
+        // Responses whose connection was lost are sent to the address in Via over a new connection
+        // (RFC 3261 18.2.2).
         for (ServerTx transaction :
                 serverTransactions.values().stream()
                         .filter(t -> t.responseAddress.equals(peer))
@@ -509,7 +533,7 @@
                         .toList()) {
             Via via = transaction.request.via();
             transaction.responseAddress =
-                    new Hop(true, via.params().get("received", via.isHost()), via.port());
+                    new Hop(true, via.params().get("received", via.host()), via.port());
             if (!transaction.responseAddress.equals(peer)
                     && transaction.lastResponse != null
                     && transaction.lastResponse.status() >= 200) {
--- a/src/test/java/coralcove/sip/SipParserTest.java
+++ b/src/test/java/coralcove/sip/SipParserTest.java
@@ -38,7 +38,7 @@
         assertThat(message.headers("Via")).hasSize(2);
         Via via = Via.of(message.header("Via"));
         assertThat(via.branch()).isEqualTo("z9hG4bKq");
-        assertThat(Via.of(message.headers("Via").get(1)).isHost()).isEqualTo("[::1]");
+        assertThat(Via.of(message.headers("Via").get(1)).host()).isEqualTo("[::1]");
         assertThat(message.header("Subject")).isEqualTo("one two three");
         assertThat(message.fromTag()).isEqualTo("1");
         assertThat(message.sequence()).isEqualTo(7);
