--- a/src/main/java/coralcove/sip/dialog/Agent.java
+++ b/src/main/java/coralcove/sip/dialog/Agent.java
@@ -19,13 +19,16 @@
 import java.util.TreeMap;
 
 /**
- * The user agent of one node: sets calls up, takes them, gives them up and ends them over the
- * transaction layer, and passes other requests through. What RFC 3261 leaves to no one's choice is
- * done here: the ACK of each 2xx, the BYE for a 2xx that crossed a CANCEL, 481 for an unknown
- * dialog, 405 for an unknown method, 483.
+ * The user agent of one node: sets up, accepts, cancels and ends calls over the transaction layer,
+ * and passes requests of other methods to the application. It does itself what RFC 3261 prescribes
+ * without choice: the ACK of each 2xx, the BYE for a 2xx that crossed a CANCEL, 481 for an unknown
+ * dialog, 405 for an unknown method, 483 for Max-Forwards 0.
  */
 public final class Agent implements TransactionLayer.TransactionUser {
-    /** How a call that was not answered ended without a final response. */
+    /**
+     * Why a call failed without a final response; {@link #NO} if there was a response or the call
+     * was cancelled.
+     */
     public enum Lost {
         NO,
         TIMED_OUT,
@@ -33,127 +36,141 @@
         RESET
     }
 
-    /** The program above. */
+    /** The application that uses this user agent. */
     public interface User {
+        /** A call arrived; answered by {@link Agent#answer} or {@link Agent#reject}. */
         void invited(long now, Call call, Hop from, Out out);
 
+        /** A provisional response other than 100 arrived. */
         void progressed(long now, Call call, SipMessage response, Out out);
 
+        /** An outgoing call was established; its 2xx has been acknowledged. */
         void answered(long now, Call call, SipMessage response, Out out);
 
         /**
-         * The call does not stand; {@code response} is null where none came. Also the end of a
-         * cancelled one.
+         * An outgoing call was not established, also because it was cancelled; {@code response} is
+         * null if there was no failure response.
          */
-        void rejected(long now, Call call, SipMessage response, Lost lost, Out out);
+        void rejected(long now, Call call, SipMessage response, Lost failure, Out out);
 
-        /** A call coming in was given up by its caller; it has its 487. */
+        /** An incoming call was cancelled by its caller and has been answered with 487. */
         void cancelled(long now, Call call, Out out);
 
         /**
-         * A standing call has ended by the other side; {@code bye} is null where its ACK never
-         * came.
+         * An established call has ended; {@code bye} is null if not by a BYE of the other side: the
+         * ACK never arrived, the session expired, or the other side no longer knows the dialog.
          */
         void hungUp(long now, Call call, SipMessage bye, Out out);
 
-        /**
-         * A standing call is to be changed by a re-INVITE; answered through {@link
-         * Agent#answerChange}.
-         */
+        /** A re-INVITE arrived in an established call; answered by {@link Agent#answerChange}. */
         default void changing(long now, Call call, SipMessage invite, Out out) {
-            throw new UnsupportedOperationException("no call of this program is changed");
+            throw new UnsupportedOperationException("this application does not accept re-INVITEs");
         }
 
-        /** What became of a change of this side; null where no answer came. */
+        /**
+         * The final response to a re-INVITE sent by {@link Agent#change}; 481 and timeouts end the
+         * call instead.
+         */
         default void changed(long now, Call call, SipMessage response, Out out) {
-            throw new UnsupportedOperationException("this program changes no call");
+            throw new UnsupportedOperationException("this application sends no re-INVITEs");
         }
 
-        /** Another request; answered through {@link Agent#respond}. */
+        /** A request outside of calls arrived; answered by {@link Agent#respond}. */
         void request(long now, ServerTx transaction, Hop from, Out out);
 
-        /** The answer to another request, or null where none came. */
+        /** The response to a request outside of calls, or null if none arrived. */
         void replied(long now, ClientTx transaction, SipMessage response, Out out);
     }
 
-    /** A BYE that is out: how many of its call were tried. */
+    /** A BYE without a response yet; {@code attempt} counts the BYEs of the call from 1. */
     private record PendingBye(Call call, int attempt) {}
 
-    /** BYEs of one call at most, where streams break under them; and the µs between two. */
+    /** BYEs of one call at most, each sent because the connection of the previous one failed. */
     private static final int MAX_BYE_ATTEMPTS = 4;
 
     private static final long BYE_RETRY_MICROS = 500_000;
 
-    /** Seconds of the session interval asked for, and the least taken (RFC 4028 section 4). */
+    /** The session interval requested, and the shortest accepted (RFC 4028 section 4). */
     private static final int SESSION_INTERVAL_SECONDS = 90;
 
     /**
-     * µs until a refresh that met another change is tried again: a change takes less unless
-     * messages are lost.
+     * Delay of a refresh while a re-INVITE is pending, which takes less than this unless messages
+     * are lost.
      */
     private static final long REFRESH_RETRY_MICROS = 2_000_000;
 
     /**
-     * µs before its end at which a session that was not refreshed is ended: a third, 32 s at most
-     * (RFC 4028 10).
+     * A session that was not refreshed is ended a third of its interval before it expires, but at
+     * most this long before (RFC 4028 section 10).
      */
     private static final long MAX_END_MARGIN_MICROS = 32_000_000;
 
-    /** Bytes: a request longer than this goes by TCP (RFC 3261 18.1.1). */
+    /** A request longer than this is sent over TCP (RFC 3261 18.1.1). */
     public static final int MAX_DATAGRAM_BYTES = 1300;
 
-    /** Header bytes that are added to a request after its length is taken: the Via. */
+    /** Room for the Via, which is added to a request after its length is checked. */
     private static final int VIA_BYTES = 120;
 
+    /** Methods outside of calls, whose requests are passed to the application. */
     private static final Set<String> APPLICATION_METHODS =
             Set.of("OPTIONS", "SUBSCRIBE", "NOTIFY", "MESSAGE", "REGISTER");
 
-    private final Hop self;
+    private final Hop localAddress;
     private final Timers timers;
-    private final TransactionLayer transactions;
+    private final TransactionLayer transactionLayer;
     private final User user;
     private final String startTag;
+
+    /** Calls by Call-ID and local tag. */
     private final Map<String, Call> calls = new HashMap<>();
+
+    /** Incoming calls by Call-ID and the caller's tag. */
     private final Map<String, Call> incomingCalls = new HashMap<>();
+
     private final TreeMap<String, Long> counters = new TreeMap<>();
     private long nextId;
 
-    /** The Retry-After with which the request now being taken is turned away, or null. */
+    /** The Retry-After of the 503 for the request being processed, or null without overload. */
     private String overloadRetryAfter;
 
-    /** {@code seed} makes the ids of this start unlike those of any other node or start. */
-    public Agent(Hop self, Timers timers, String seed, User user) {
-        this.self = self;
+    /**
+     * {@code startTag} distinguishes the ids of this start from those of other nodes and starts.
+     */
+    public Agent(Hop localAddress, Timers timers, String startTag, User user) {
+        this.localAddress = localAddress;
         this.timers = timers;
-        this.startTag = seed;
+        this.startTag = startTag;
         this.user = user;
-        transactions = new TransactionLayer(self, timers, seed, this);
+        transactionLayer = new TransactionLayer(localAddress, timers, startTag, this);
     }
 
-    public Hop self() {
-        return self;
+    public Hop localAddress() {
+        return localAddress;
     }
 
-    public int calls() {
+    /** Calls in both directions that have not ended. */
+    public int activeCallCount() {
         return calls.size();
     }
 
-    /** Counters by name, for the log and the tests. */
+    /** Counters by name. */
     public Map<String, Long> counters() {
         return counters;
     }
 
+    /** Adds one to a counter. */
     public void count(String name) {
         counters.merge(name, 1L, Long::sum);
     }
 
+    /** Processes a message received from {@code from}. */
     public void receive(long now, Hop from, SipMessage message, Out out) {
-        transactions.receive(now, from, message, out);
+        transactionLayer.receive(now, from, message, out);
     }
 
     /**
-     * 400 where a reply is possible (a request with all that a reply copies), else counted and
-     * dropped.
+     * Counts and logs a malformed message, and answers 400 if it is a request with all fields that
+     * a response copies.
      */
     public void malformed(long now, Hop from, BadMessage problem, Out out) {
         SipMessage partial = problem.partialMessage();
@@ -167,39 +184,51 @@
         }
     }
 
-    /** Whether this request was taken before and is a repeat. */
+    /** Whether this request is a retransmission of one received before. */
     public boolean repeat(SipMessage request) {
-        return transactions.isRetransmission(request);
+        return transactionLayer.isRetransmission(request);
     }
 
     /**
-     * Takes one request only to turn it down with 503; what would repeat it is answered the same.
+     * Rejects a request with 503 because of overload; its retransmissions get the same response.
      */
     public void turnAway(long now, Hop from, SipMessage request, String retryAfter, Out out) {
         overloadRetryAfter = retryAfter;
-        transactions.receive(now, from, request, out);
+        transactionLayer.receive(now, from, request, out);
         overloadRetryAfter = null;
     }
 
+    /**
+     * Handles the loss of the connection to {@code peer}, or that it could not be opened ({@code
+     * refused}).
+     */
     public void broken(long now, Hop peer, boolean refused, Out out) {
-        transactions.connectionFailed(now, peer, refused, out);
+        transactionLayer.connectionFailed(now, peer, refused, out);
     }
 
-    // ---- calls out
+    // ---- outgoing requests
 
-    /** A request of this node outside any dialog, to be completed and sent. */
+    /** Creates a request outside any dialog, for the caller to complete and send. */
     public SipMessage request(String method, String uri) {
         String id = Long.toString(nextId++, 36);
         return SipMessage.request(method, uri)
                 .add("Max-Forwards", "70")
-                .add("From", "<sip:" + self.host() + ":" + self.port() + ">;tag=" + startTag + id)
+                .add(
+                        "From",
+                        "<sip:"
+                                + localAddress.host()
+                                + ":"
+                                + localAddress.port()
+                                + ">;tag="
+                                + startTag
+                                + id)
                 .add("To", "<" + uri + ">")
                 .add("Call-ID", startTag + "-" + id)
                 .add("CSeq", "1 " + method)
-                .add("Contact", "<" + SipUri.text("", self) + ">");
+                .add("Contact", "<" + SipUri.text("", localAddress) + ">");
     }
 
-    /** Sets a call up; {@code invite} is made by {@link #request}. */
+    /** Starts a call; {@code invite} was created by {@link #request(String, String)}. */
     public Call invite(long now, SipMessage invite, Hop to, Object owner, Out out) {
         invite.add("Supported", "timer")
                 .add("Session-Expires", SESSION_INTERVAL_SECONDS + ";refresher=uac")
@@ -209,21 +238,21 @@
         calls.put(call.key(), call);
         Hop hop = selectTransport(invite, to);
         call.remoteAddress = hop;
-        call.clientTransaction = transactions.send(now, invite, hop, call, out);
+        call.clientTransaction = transactionLayer.send(now, invite, hop, call, out);
         return call;
     }
 
-    /** Sends another request. */
+    /** Sends a request outside of calls in a transaction. */
     public ClientTx send(long now, SipMessage request, Hop to, Object owner, Out out) {
-        return transactions.send(now, request, selectTransport(request, to), owner, out);
+        return transactionLayer.send(now, request, selectTransport(request, to), owner, out);
     }
 
-    /** Sends a request once, without a transaction: whether it arrives is nobody's concern. */
+    /** Sends a request once, without a transaction: it may be lost, and gets no response. */
     public void sendOnce(SipMessage request, Hop to, Out out) {
         request.addFirst(
                 "Via",
                 Via.text(
-                        self.over(to.tcp()),
+                        localAddress.over(to.tcp()),
                         Via.COOKIE + startTag + TransactionLayer.NO_TRANSACTION_MARK + nextId++));
         out.send(to, request);
     }
@@ -235,9 +264,9 @@
     }
 
     /**
-     * Gives up a call that has not been answered. CANCEL waits for a provisional answer (RFC 3261
-     * 9.1); an INVITE nothing was heard of is sent no more. {@link User#rejected} follows when it
-     * is over.
+     * Cancels an outgoing call that has no final response. CANCEL is sent only after a provisional
+     * response (RFC 3261 9.1); until one arrives the INVITE is no longer retransmitted. {@link
+     * User#rejected} follows when the call is over.
      */
     public void cancel(long now, Call call, Out out) {
         if (call.cancelled || call.state != Call.State.TRYING) {
@@ -245,22 +274,24 @@
         }
         call.cancelled = true;
         if (call.provisionalReceived) {
-            transactions.cancel(now, call.clientTransaction, out);
+            transactionLayer.cancel(now, call.clientTransaction, out);
         } else {
-            transactions.stopRetransmitting(call.clientTransaction);
+            transactionLayer.stopRetransmitting(call.clientTransaction);
         }
-        // 9.1: an INVITE cancelled and not answered within 64 T1 is taken for cancelled.
+        // 9.1: an INVITE without a final response within 64 T1 counts as cancelled.
         timers.set(
                 now + 64 * TransactionLayer.T1_MICROS,
                 (at, o) -> {
                     if (call.state == Call.State.TRYING) {
-                        transactions.abandon(call.clientTransaction);
+                        transactionLayer.abandon(call.clientTransaction);
                         failCall(at, call, Lost.TIMED_OUT, o);
                     }
                 });
     }
 
-    /** Ends a standing call by BYE; {@code reason} is a Reason header or null. */
+    /**
+     * Ends an established call by BYE; {@code reason} is the value of its Reason header or null.
+     */
     public void bye(long now, Call call, String reason, Out out) {
         if (call.state != Call.State.ESTABLISHED) {
             return;
@@ -270,20 +301,20 @@
         if (reason != null) {
             bye.add("Reason", reason);
         }
-        transactions.send(now, bye, call.remoteAddress, new PendingBye(call, 1), out);
+        transactionLayer.send(now, bye, call.remoteAddress, new PendingBye(call, 1), out);
     }
 
-    /** A BYE whose stream broke under it is sent again on a new one, as a request of its own. */
-    private void retryBye(long now, PendingBye last, Out out) {
-        if (last.attempt < MAX_BYE_ATTEMPTS) {
+    /** Sends a BYE whose connection failed again, as a new request over a new connection. */
+    private void retryBye(long now, PendingBye previous, Out out) {
+        if (previous.attempt < MAX_BYE_ATTEMPTS) {
             timers.set(
                     now + BYE_RETRY_MICROS,
                     (at, o) ->
-                            transactions.send(
+                            transactionLayer.send(
                                     at,
-                                    nextDialogRequest("BYE", last.call),
-                                    last.call.remoteAddress,
-                                    new PendingBye(last.call, last.attempt + 1),
+                                    nextDialogRequest("BYE", previous.call),
+                                    previous.call.remoteAddress,
+                                    new PendingBye(previous.call, previous.attempt + 1),
                                     o));
         }
     }
@@ -311,13 +342,13 @@
         return request;
     }
 
-    /** The ACK of a 2xx: a request of its own, outside any transaction (RFC 3261 13.2.2.4). */
+    /** Creates the ACK of a 2xx, which is sent outside any transaction (RFC 3261 13.2.2.4). */
     private SipMessage createAck(Call call, long sequence) {
         return createDialogRequest("ACK", call, sequence)
                 .addFirst(
                         "Via",
                         Via.text(
-                                self.over(call.remoteAddress.tcp()),
+                                localAddress.over(call.remoteAddress.tcp()),
                                 Via.COOKIE + startTag + ".a" + nextId++));
     }
 
@@ -325,47 +356,54 @@
         return tag.isEmpty() || Params.of(value).has("tag") ? value : value + ";tag=" + tag;
     }
 
-    // ---- calls in
+    // ---- responses
 
+    /** Sends a provisional response to an incoming call. */
     public void progress(long now, Call call, int status, String reason, Out out) {
-        transactions.respond(now, call.serverTransaction, reply(call, status, reason), out);
+        transactionLayer.respond(now, call.serverTransaction, reply(call, status, reason), out);
     }
 
-    /** Answers a call with 200. */
+    /** Answers an incoming call with 200. */
     public void answer(long now, Call call, Out out) {
         answer(now, call, null, out);
     }
 
-    /** Answers a call with 200 and the body of {@code like}, which may be null. */
-    public void answer(long now, Call call, SipMessage like, Out out) {
+    /** Answers an incoming call with 200 and the body of {@code bodySource}, which may be null. */
+    public void answer(long now, Call call, SipMessage bodySource, Out out) {
         if (call.state == Call.State.TRYING) {
             call.state = Call.State.ESTABLISHED;
             SipMessage ok =
-                    reply(call, 200, "OK").add("Contact", "<" + SipUri.text("", self) + ">");
+                    reply(call, 200, "OK")
+                            .add("Contact", "<" + SipUri.text("", localAddress) + ">");
             call.invite.headers("Record-Route").forEach(route -> ok.add("Record-Route", route));
-            Params asked = Params.of(call.invite.header("Session-Expires", ""));
-            if (!asked.value().isEmpty()) {
-                ok.add("Require", "timer").add("Session-Expires", asked.value() + ";refresher=uac");
+            Params expires = Params.of(call.invite.header("Session-Expires", ""));
+            if (!expires.value().isEmpty()) {
+                ok.add("Require", "timer")
+                        .add("Session-Expires", expires.value() + ";refresher=uac");
             }
-            if (like != null && like.body().length > 0) {
-                ok.body(like.header("Content-Type", "application/sdp"), like.body());
+            if (bodySource != null && bodySource.body().length > 0) {
+                ok.body(bodySource.header("Content-Type", "application/sdp"), bodySource.body());
             }
-            transactions.respond(now, call.serverTransaction, ok, out);
-            startSessionTimer(now, call, asked, false);
+            transactionLayer.respond(now, call.serverTransaction, ok, out);
+            startSessionTimer(now, call, expires, false);
         }
     }
 
-    /** Turns a call down; {@code extra} fields are name and value in turn. */
-    public void reject(long now, Call call, int status, String reason, Out out, String... extra) {
+    /**
+     * Rejects an incoming call; {@code extraHeaders} alternates names and values of further header
+     * fields.
+     */
+    public void reject(
+            long now, Call call, int status, String reason, Out out, String... extraHeaders) {
         if (call.state != Call.State.TRYING) {
             return;
         }
         terminate(call);
         SipMessage reply = reply(call, status, reason);
-        for (int i = 0; i + 1 < extra.length; i += 2) {
-            reply.add(extra[i], extra[i + 1]);
+        for (int i = 0; i + 1 < extraHeaders.length; i += 2) {
+            reply.add(extraHeaders[i], extraHeaders[i + 1]);
         }
-        transactions.respond(now, call.serverTransaction, reply, out);
+        transactionLayer.respond(now, call.serverTransaction, reply, out);
     }
 
     private SipMessage reply(Call call, int status, String reason) {
@@ -376,19 +414,21 @@
         return reply;
     }
 
+    /** Sends a response to a request passed to the application. */
     public void respond(long now, ServerTx transaction, SipMessage response, Out out) {
-        transactions.respond(now, transaction, response, out);
+        transactionLayer.respond(now, transaction, response, out);
     }
 
+    /** Creates a response with a To tag of this node. */
     public SipMessage reply(ServerTx transaction, int status, String reason) {
         return SipMessage.reply(transaction.request(), status, reason, startTag + "r" + nextId++);
     }
 
-    // ---- changes of a standing call, and its session timer
+    // ---- re-INVITE and session timer
 
     /**
-     * Sends a re-INVITE with this body; false while another change of the call is under way (RFC
-     * 3261 14.1).
+     * Sends a re-INVITE with this body; returns false if another re-INVITE or a refresh is pending
+     * (RFC 3261 14.1) or the call is not established.
      */
     public boolean change(long now, Call call, String type, byte[] body, Out out) {
         if (call.state != Call.State.ESTABLISHED
@@ -397,17 +437,18 @@
             return false;
         }
         SipMessage invite =
-                nextDialogRequest("INVITE", call).add("Contact", "<" + SipUri.text("", self) + ">");
+                nextDialogRequest("INVITE", call)
+                        .add("Contact", "<" + SipUri.text("", localAddress) + ">");
         if (body.length > 0) {
             invite.body(type, body);
         }
         call.outgoingChange =
-                transactions.send(
+                transactionLayer.send(
                         now, invite, selectTransport(invite, call.remoteAddress), call, out);
         return true;
     }
 
-    /** Answers the re-INVITE that {@link User#changing} told of. */
+    /** Answers the re-INVITE reported by {@link User#changing}, unless it was cancelled. */
     public void answerChange(
             long now, Call call, int status, String reason, String type, byte[] body, Out out) {
         if (call.incomingChange == null) {
@@ -415,18 +456,18 @@
         }
         SipMessage reply =
                 reply(call.incomingChange, status, reason)
-                        .add("Contact", "<" + SipUri.text("", self) + ">");
+                        .add("Contact", "<" + SipUri.text("", localAddress) + ">");
         if (body.length > 0) {
             reply.body(type, body);
         }
-        ServerTx changing = call.incomingChange;
+        ServerTx transaction = call.incomingChange;
         call.incomingChange = null;
-        transactions.respond(now, changing, reply, out);
+        transactionLayer.respond(now, transaction, reply, out);
     }
 
     /**
-     * Starts or renews the session timer: the refresher renews at half time, the other side ends a
-     * dead session.
+     * Starts or restarts the session timer: the refresher refreshes at half the interval, the other
+     * side ends a session that was not refreshed.
      */
     private void startSessionTimer(long now, Call call, Params expires, boolean refresher) {
         timers.cancel(call.sessionTimer);
@@ -441,10 +482,11 @@
                             now + call.sessionIntervalMicros / 2,
                             (at, o) -> sendRefresh(at, call, o));
         } else {
-            long last =
+            long endDelay =
                     call.sessionIntervalMicros
                             - Math.min(MAX_END_MARGIN_MICROS, call.sessionIntervalMicros / 3);
-            call.sessionTimer = timers.set(now + last, (at, o) -> endExpiredSession(at, call, o));
+            call.sessionTimer =
+                    timers.set(now + endDelay, (at, o) -> endExpiredSession(at, call, o));
         }
     }
 
@@ -456,29 +498,31 @@
         if (call.state != Call.State.ESTABLISHED) {
             return;
         }
-        boolean free = call.outgoingChange == null && call.incomingChange == null;
-        if (free) {
+        boolean noChangePending = call.outgoingChange == null && call.incomingChange == null;
+        if (noChangePending) {
             SipMessage update =
                     nextDialogRequest("UPDATE", call)
-                            .add("Contact", "<" + SipUri.text("", self) + ">")
+                            .add("Contact", "<" + SipUri.text("", localAddress) + ">")
                             .add("Supported", "timer")
                             .add("Session-Expires", SESSION_INTERVAL_SECONDS + ";refresher=uac");
             call.outgoingChange =
-                    transactions.send(
+                    transactionLayer.send(
                             now, update, selectTransport(update, call.remoteAddress), call, out);
         }
-        // A refresh that finds another change under way comes a little later: after half an
-        // interval more the other
-        // side would take the session for dead.
+        // While another change is pending the refresh is retried soon: after another half interval
+        // the other side would have ended the session.
         call.sessionTimer =
                 timers.set(
-                        now + (free ? call.sessionIntervalMicros / 2 : REFRESH_RETRY_MICROS),
+                        now
+                                + (noChangePending
+                                        ? call.sessionIntervalMicros / 2
+                                        : REFRESH_RETRY_MICROS),
                         (at, o) -> sendRefresh(at, call, o));
     }
 
     /**
-     * The other side has gone without a BYE: the call is ended here, so that its circuits are free
-     * (RFC 4028 10).
+     * Ends a call whose session was not refreshed, so that its circuits are released (RFC 4028
+     * section 10).
      */
     private void endExpiredSession(long now, Call call, Out out) {
         if (call.state == Call.State.ESTABLISHED) {
@@ -489,6 +533,7 @@
         }
     }
 
+    /** Handles a response to a re-INVITE or UPDATE; null if none arrived. */
     private void handleChangeResponse(
             long now, Call call, ClientTx transaction, SipMessage response, Out out) {
         boolean invite = transaction.request().method().equals("INVITE");
@@ -497,7 +542,7 @@
         }
         int status = response == null ? 408 : response.status();
         if (invite && status < 300) {
-            // Each copy of the 200 gets its ACK.
+            // Each copy of the 200 is acknowledged.
             SipMessage ack = createAck(call, transaction.request().sequence());
             refreshTarget(call, response);
             out.send(call.remoteAddress, ack);
@@ -507,7 +552,7 @@
         }
         call.outgoingChange = null;
         if (status == 481 || status == 408) {
-            // RFC 3261 12.2.1.2: the dialog is gone at the other side.
+            // RFC 3261 12.2.1.2: the dialog no longer exists at the other side.
             if (call.state == Call.State.ESTABLISHED) {
                 bye(now, call, null, out);
                 user.hungUp(now, call, null, out);
@@ -532,12 +577,12 @@
     }
 
     /**
-     * The route set's first hop, or the target's where there is none (RFC 3261 12.2.1.1; strict
-     * routes are not spoken).
+     * The address of the first route, or the target's without a route set (RFC 3261 12.2.1.1;
+     * strict routing is not supported).
      */
     private static Hop nextHop(Call call, Hop target) {
-        SipUri first = call.routeSet.isEmpty() ? null : SipUri.of(call.routeSet.get(0));
-        return first == null ? target : first.hop();
+        SipUri firstRoute = call.routeSet.isEmpty() ? null : SipUri.of(call.routeSet.get(0));
+        return firstRoute == null ? target : firstRoute.hop();
     }
 
     private void handleDialogRequest(long now, ServerTx transaction, Out out) {
@@ -556,7 +601,7 @@
             respond(now, transaction, reply(transaction, 200, "OK"), out);
             user.hungUp(now, call, request, out);
         } else if (call.outgoingChange != null) {
-            // Glare (14.1): both sides' changes crossed, and neither is taken.
+            // Glare (14.1): both sides' requests crossed, and neither is accepted.
             call.remoteSequence = request.sequence();
             rejectRequest(now, transaction, 491, "Request Pending", out);
         } else if (call.incomingChange != null) {
@@ -572,7 +617,8 @@
             refreshTarget(call, request);
             Params expires = Params.of(request.header("Session-Expires", "0"));
             SipMessage ok =
-                    reply(transaction, 200, "OK").add("Contact", "<" + SipUri.text("", self) + ">");
+                    reply(transaction, 200, "OK")
+                            .add("Contact", "<" + SipUri.text("", localAddress) + ">");
             if (parseSeconds(expires.value()) > 0) {
                 ok.add("Session-Expires", expires.value() + ";refresher=uac");
             }
@@ -594,14 +640,14 @@
         incomingCalls.remove(call.invite.callId() + "|" + call.invite.fromTag(), call);
     }
 
-    // ---- from the transactions
+    // ---- events of the transaction layer
 
     @Override
     public void requestReceived(long now, ServerTx transaction, Hop from, Out out) {
         SipMessage request = transaction.request();
         String method = request.method();
-        String tag = request.toTag();
-        if (overloadRetryAfter != null && tag.isEmpty()) {
+        String toTag = request.toTag();
+        if (overloadRetryAfter != null && toTag.isEmpty()) {
             count("turned-away");
             respond(
                     now,
@@ -610,9 +656,9 @@
                     out);
         } else if (request.header("Max-Forwards", "70").strip().equals("0")
                 && !method.equals("OPTIONS")
-                && tag.isEmpty()) {
+                && toTag.isEmpty()) {
             rejectRequest(now, transaction, 483, "Too Many Hops", out);
-        } else if (method.equals("INVITE") && tag.isEmpty()) {
+        } else if (method.equals("INVITE") && toTag.isEmpty()) {
             handleInvite(now, transaction, from, out);
         } else if (method.equals("BYE") || method.equals("INVITE") || method.equals("UPDATE")) {
             handleDialogRequest(now, transaction, out);
@@ -644,9 +690,10 @@
             rejectRequest(now, transaction, 400, "Contact is missing", out);
             return;
         }
-        String merged = invite.callId() + "|" + invite.fromTag();
-        if (incomingCalls.containsKey(merged)) {
-            // RFC 3261 8.2.2.2, and a copy so late that its transaction is over: one call, not two.
+        String callerKey = invite.callId() + "|" + invite.fromTag();
+        if (incomingCalls.containsKey(callerKey)) {
+            // A merged request (RFC 3261 8.2.2.2), or a copy that arrived after its transaction
+            // terminated.
             rejectRequest(now, transaction, 482, "Loop Detected", out);
             return;
         }
@@ -659,7 +706,7 @@
         call.remoteAddress = nextHop(call, contact.hop());
         call.remoteSequence = invite.sequence();
         calls.put(call.key(), call);
-        incomingCalls.put(merged, call);
+        incomingCalls.put(callerKey, call);
         user.invited(now, call, from, out);
     }
 
@@ -668,13 +715,14 @@
         Call call = callFor(invite);
         if (call != null && call.incomingChange == invite) {
             call.incomingChange = null;
-            transactions.respond(now, invite, reply(invite, 487, "Request Terminated"), out);
+            transactionLayer.respond(now, invite, reply(invite, 487, "Request Terminated"), out);
         } else if (call != null && call.state == Call.State.TRYING) {
             reject(now, call, 487, "Request Terminated", out);
             user.cancelled(now, call, out);
         }
     }
 
+    /** The call that the transaction belongs to, or null. */
     private Call callFor(ServerTx transaction) {
         return transaction.owner() instanceof Call call ? call : null;
     }
@@ -696,9 +744,9 @@
 
     @Override
     public void responseReceived(long now, ClientTx transaction, SipMessage response, Out out) {
-        if (transaction.owner() instanceof Call changed
-                && transaction != changed.clientTransaction) {
-            handleChangeResponse(now, changed, transaction, response, out);
+        if (transaction.owner() instanceof Call establishedCall
+                && transaction != establishedCall.clientTransaction) {
+            handleChangeResponse(now, establishedCall, transaction, response, out);
             return;
         }
         if (!(transaction.owner() instanceof Call call)
@@ -710,10 +758,10 @@
             return;
         }
         if (response.status() < 200) {
-            boolean first = !call.provisionalReceived;
+            boolean firstProvisional = !call.provisionalReceived;
             call.provisionalReceived = true;
-            if (call.cancelled && first) {
-                transactions.cancel(now, call.clientTransaction, out);
+            if (call.cancelled && firstProvisional) {
+                transactionLayer.cancel(now, call.clientTransaction, out);
             } else if (!call.cancelled && response.status() > 100) {
                 user.progressed(now, call, response, out);
             }
@@ -725,6 +773,7 @@
         }
     }
 
+    /** Handles a 2xx to an INVITE that started a call. */
     private void handleSuccess(long now, Call call, SipMessage response, Out out) {
         if (call.ack != null) {
             if (response.toTag().equals(call.remoteTag)) {
@@ -746,8 +795,8 @@
         out.send(call.remoteAddress, call.ack);
         call.state = Call.State.ESTABLISHED;
         if (call.cancelled) {
-            // The 200 crossed the CANCEL: the call is ended at once and no circuit stays held (RFC
-            // 3261 15).
+            // The 200 crossed the CANCEL: the call is ended at once so that no circuit stays in use
+            // (RFC 3261 15).
             bye(now, call, null, out);
             user.rejected(now, call, null, Lost.NO, out);
         } else {
@@ -757,7 +806,8 @@
     }
 
     /**
-     * A second 2xx, of another branch of a fork: it is acknowledged and ended (RFC 3261 13.2.2.4).
+     * Acknowledges and ends the dialog of a further 2xx from another branch of a fork (RFC 3261
+     * 13.2.2.4).
      */
     private void endForkedCall(long now, Call call, SipMessage response, Out out) {
         SipUri contact = SipUri.of(response.header("Contact", ""));
@@ -765,24 +815,25 @@
             return;
         }
         count("forked");
-        Call other = new Call(true, call.invite, call.localTag);
-        other.remoteTag = response.toTag();
-        other.remoteTarget = SipUri.text(contact.user(), contact.hop());
-        other.remoteAddress = contact.hop();
-        out.send(other.remoteAddress, createAck(other, call.invite.sequence()));
-        transactions.send(now, nextDialogRequest("BYE", other), other.remoteAddress, null, out);
+        Call forked = new Call(true, call.invite, call.localTag);
+        forked.remoteTag = response.toTag();
+        forked.remoteTarget = SipUri.text(contact.user(), contact.hop());
+        forked.remoteAddress = contact.hop();
+        out.send(forked.remoteAddress, createAck(forked, call.invite.sequence()));
+        transactionLayer.send(
+                now, nextDialogRequest("BYE", forked), forked.remoteAddress, null, out);
     }
 
     @Override
     public void requestFailed(
             long now, ClientTx transaction, TransactionLayer.Failure failure, Out out) {
-        if (transaction.owner() instanceof PendingBye last) {
+        if (transaction.owner() instanceof PendingBye previous) {
             if (failure != TransactionLayer.Failure.TIMED_OUT) {
-                retryBye(now, last, out);
+                retryBye(now, previous, out);
             }
-        } else if (transaction.owner() instanceof Call changed
-                && transaction != changed.clientTransaction) {
-            handleChangeResponse(now, changed, transaction, null, out);
+        } else if (transaction.owner() instanceof Call establishedCall
+                && transaction != establishedCall.clientTransaction) {
+            handleChangeResponse(now, establishedCall, transaction, null, out);
         } else if (transaction.owner() instanceof Call call
                 && transaction.request().method().equals("INVITE")) {
             if (call.state == Call.State.TRYING) {
@@ -801,8 +852,8 @@
         }
     }
 
-    private void failCall(long now, Call call, Lost lost, Out out) {
+    private void failCall(long now, Call call, Lost failure, Out out) {
         terminate(call);
-        user.rejected(now, call, null, lost, out);
+        user.rejected(now, call, null, failure, out);
     }
 }
--- a/src/main/java/coralcove/sip/dialog/AgentCore.java
+++ b/src/main/java/coralcove/sip/dialog/AgentCore.java
@@ -7,17 +7,16 @@
 import coralcove.sip.SipMessage;
 import coralcove.sip.Timers;
 
-/**
- * A core that is the user of one {@link Agent}: what it is driven with goes to the agent and its
- * timers.
- */
+/** A core with one {@link Agent}: passes its inputs to the user agent and its timers. */
 public abstract class AgentCore implements Core, Agent.User {
     protected final Timers timers = new Timers();
     protected final Agent agent;
 
-    /** {@code seed} makes the ids of this start unlike those of any other node or start. */
-    protected AgentCore(Hop self, String seed) {
-        agent = new Agent(self, timers, seed, this);
+    /**
+     * {@code startTag} distinguishes the ids of this start from those of other nodes and starts.
+     */
+    protected AgentCore(Hop localAddress, String startTag) {
+        agent = new Agent(localAddress, timers, startTag, this);
     }
 
     public final Agent agent() {
--- a/src/main/java/coralcove/sip/dialog/Call.java
+++ b/src/main/java/coralcove/sip/dialog/Call.java
@@ -8,8 +8,8 @@
 import java.util.List;
 
 /**
- * One leg: an INVITE sent or received, and the dialog that its 2xx makes. Owned by one {@link
- * Agent}.
+ * One call leg: an INVITE sent or received, and the dialog that its 2xx establishes. Belongs to one
+ * {@link Agent}.
  */
 public final class Call {
     enum State {
@@ -22,28 +22,39 @@
     final SipMessage invite;
     final String localTag;
     final String sessionId;
+
+    /** The object that the application attached. */
     Object owner;
+
     String remoteTag = "";
     String remoteTarget = "";
 
-    /** The route set (RFC 3261 12.1), in the order in which in-dialog requests pass it. */
+    /** The route set (RFC 3261 12.1), in the order in which requests in the dialog traverse it. */
     List<String> routeSet = List.of();
 
-    /** The re-INVITE or UPDATE that is out, and the one that came and waits for its answer. */
+    /** The re-INVITE or UPDATE sent and not answered yet, or null. */
     ClientTx outgoingChange;
 
+    /** The re-INVITE received and not answered yet, or null. */
     ServerTx incomingChange;
 
-    /** µs of the session interval (RFC 4028), 0 for none. */
+    /** The session interval (RFC 4028), 0 without one. */
     long sessionIntervalMicros;
 
+    /** Refreshes the session, or ends it if the other side does not. */
     Timers.Timer sessionTimer;
+
+    /** Where requests in the dialog are sent. */
     Hop remoteAddress;
+
     long localSequence;
     long remoteSequence = -1;
     ClientTx clientTransaction;
     ServerTx serverTransaction;
+
+    /** The ACK of the 2xx, sent again for each copy of the 2xx. */
     SipMessage ack;
+
     boolean provisionalReceived;
     boolean cancelled;
     State state = State.TRYING;
@@ -56,35 +67,41 @@
         localSequence = outgoing ? invite.sequence() : 1;
     }
 
+    /** The INVITE that started the call. */
     public SipMessage invite() {
         return invite;
     }
 
+    /** The value of Session-ID (RFC 7989), or an empty string. */
     public String sessionId() {
         return sessionId;
     }
 
+    /** The object that the application attached, or null. */
     public Object owner() {
         return owner;
     }
 
-    public void owner(Object it) {
-        owner = it;
+    public void owner(Object owner) {
+        this.owner = owner;
     }
 
+    /** Whether this node sent the INVITE. */
     public boolean outgoing() {
         return outgoing;
     }
 
+    /** Whether the call was answered and has not ended. */
     public boolean stands() {
         return state == State.ESTABLISHED;
     }
 
+    /** Whether the INVITE has no final response yet. */
     public boolean trying() {
         return state == State.TRYING;
     }
 
-    /** Whether its own side gave it up before it was answered. */
+    /** Whether this side cancelled the outgoing call before it was answered. */
     public boolean cancelled() {
         return cancelled;
     }
--- a/src/main/java/coralcove/sip/dialog/CallFreeCore.java
+++ b/src/main/java/coralcove/sip/dialog/CallFreeCore.java
@@ -4,10 +4,10 @@
 import coralcove.sip.Out;
 import coralcove.sip.SipMessage;
 
-/** A core that makes no calls and takes none: an INVITE is answered 405. */
+/** A core that neither makes nor accepts calls: each INVITE is rejected with 405. */
 public abstract class CallFreeCore extends AgentCore {
-    protected CallFreeCore(Hop self, String seed) {
-        super(self, seed);
+    protected CallFreeCore(Hop localAddress, String startTag) {
+        super(localAddress, startTag);
     }
 
     @Override
@@ -17,26 +17,26 @@
 
     @Override
     public void progressed(long now, Call call, SipMessage response, Out out) {
-        // It makes no calls.
+        // Makes no calls.
     }
 
     @Override
     public void answered(long now, Call call, SipMessage response, Out out) {
-        // It makes no calls.
+        // Makes no calls.
     }
 
     @Override
-    public void rejected(long now, Call call, SipMessage response, Agent.Lost lost, Out out) {
-        // It makes no calls.
+    public void rejected(long now, Call call, SipMessage response, Agent.Lost failure, Out out) {
+        // Makes no calls.
     }
 
     @Override
     public void cancelled(long now, Call call, Out out) {
-        // It answers at once.
+        // Each INVITE is rejected at once.
     }
 
     @Override
     public void hungUp(long now, Call call, SipMessage bye, Out out) {
-        // No call stands here.
+        // Has no established calls.
     }
 }
--- a/src/main/java/coralcove/sip/event/Notifier.java
+++ b/src/main/java/coralcove/sip/event/Notifier.java
@@ -109,7 +109,7 @@
                                     same ? "No Notification" : "OK",
                                     it.localTag)
                             .add("Expires", Long.toString(seconds))
-                            .add("Contact", "<" + SipUri.text("", agent.self()) + ">");
+                            .add("Contact", "<" + SipUri.text("", agent.localAddress()) + ">");
             agent.respond(now, transaction, reply, out);
             if (!same) {
                 notify(now, it, state.tag(), state.text(), out);
@@ -135,7 +135,7 @@
                         .add("To", it.initialRequest.header("From"))
                         .add("Call-ID", it.initialRequest.callId())
                         .add("CSeq", it.sequence + " NOTIFY")
-                        .add("Contact", "<" + SipUri.text("", agent.self()) + ">")
+                        .add("Contact", "<" + SipUri.text("", agent.localAddress()) + ">")
                         .add("Event", event)
                         .add(
                                 "Subscription-State",
--- a/src/test/java/coralcove/sip/dialog/InviteModelTest.java
+++ b/src/test/java/coralcove/sip/dialog/InviteModelTest.java
@@ -7,20 +7,21 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Explores the INVITE client and server machines with CANCEL: every order of deliveries, losses,
- * copies, time-outs and what the two users do, to a depth; then the network is fair until all is
- * quiet. Each path is played from its start, as the machines are the real ones and keep no undo.
+ * Model check of the INVITE client and server transactions with CANCEL: tries every order of
+ * deliveries, losses, duplicates, timeouts and actions of the two users up to a depth, then
+ * delivers everything until no message or timer is left. Each path is replayed from its start,
+ * since the real state machines cannot step back.
  */
 class InviteModelTest {
-    /** Steps that are chosen freely; the rest is fair. */
+    /** Steps whose choice is explored; after them every message is delivered. */
     private static final int DEPTH = Integer.getInteger("coralcove.model.depth", 6);
 
     private static final int MAX_LOST = 2;
     private static final int MAX_COPIES = 1;
 
     private long paths;
-    private long established;
-    private long notEstablished;
+    private long establishedPaths;
+    private long unestablishedPaths;
 
     @Test
     void everyOrderYieldsOneFinalResponse() {
@@ -31,18 +32,16 @@
                         + " paths to depth "
                         + DEPTH
                         + ", "
-                        + established
-                        + " stand, "
-                        + notEstablished
-                        + " do not");
+                        + establishedPaths
+                        + " established, "
+                        + unestablishedPaths
+                        + " not established");
         assertThat(paths).isGreaterThan(10_000);
-        assertThat(established).isPositive();
-        assertThat(notEstablished).isPositive();
+        assertThat(establishedPaths).isPositive();
+        assertThat(unestablishedPaths).isPositive();
     }
 
-    /**
-     * Plays a prefix; where it was used up before the depth, goes on with each of its next steps.
-     */
+    /** Replays a prefix of choices, then explores each possible next step up to the depth. */
     private void explore(List<Integer> prefix) {
         Run run = new Run();
         for (int choice : prefix) {
@@ -60,30 +59,34 @@
         }
     }
 
+    /** One path through the model. */
     private final class Run {
-        private final SimulatedNetwork wire =
-                new SimulatedNetwork(false, (what, nth) -> new int[] {0});
+        private final SimulatedNetwork network =
+                new SimulatedNetwork(false, (kind, nth) -> new int[] {0});
         private int lost;
         private int copies;
         private boolean cancelled;
         private boolean decided;
 
         Run() {
-            wire.b.autoAnswer = false;
-            wire.a.call(wire.b);
+            network.b.autoAnswer = false;
+            network.a.call(network.b);
         }
 
         private boolean mayCancel() {
-            return !cancelled && wire.a.call.trying();
+            return !cancelled && network.a.call.trying();
         }
 
         private boolean mayDecide() {
-            return !decided && wire.b.call != null && wire.b.call.trying();
+            return !decided && network.b.call != null && network.b.call.trying();
         }
 
-        /** Deliver any, lose any, copy any, let a timer fire, cancel, answer, refuse. */
+        /**
+         * The number of possible next steps: deliver, lose or duplicate any message, fire a timer,
+         * cancel, answer, reject.
+         */
         int choices() {
-            int messages = wire.inFlightCount();
+            int messages = network.inFlightCount();
             return messages
                     + (lost < MAX_LOST ? messages : 0)
                     + (copies < MAX_COPIES ? messages : 0)
@@ -93,77 +96,77 @@
         }
 
         void step(int choice) {
-            int left = choice;
-            int messages = wire.inFlightCount();
-            if (left < messages) {
-                wire.resolve(left, true, false);
+            int index = choice;
+            int messages = network.inFlightCount();
+            if (index < messages) {
+                network.resolve(index, true, false);
                 return;
             }
-            left -= messages;
+            index -= messages;
             if (lost < MAX_LOST) {
-                if (left < messages) {
+                if (index < messages) {
                     lost++;
-                    wire.resolve(left, false, false);
+                    network.resolve(index, false, false);
                     return;
                 }
-                left -= messages;
+                index -= messages;
             }
             if (copies < MAX_COPIES) {
-                if (left < messages) {
+                if (index < messages) {
                     copies++;
-                    wire.resolve(left, true, true);
+                    network.resolve(index, true, true);
                     return;
                 }
-                left -= messages;
+                index -= messages;
             }
-            if (left == 0) {
-                wire.fireNextTimer();
+            if (index == 0) {
+                network.fireNextTimer();
                 return;
             }
-            left--;
+            index--;
             if (mayCancel()) {
-                if (left == 0) {
+                if (index == 0) {
                     cancelled = true;
-                    wire.note("a cancels");
-                    wire.a.agent.cancel(wire.now, wire.a.call, wire.a);
+                    network.note("a cancels");
+                    network.a.agent.cancel(network.now, network.a.call, network.a);
                     return;
                 }
-                left--;
+                index--;
             }
             decided = true;
-            if (left == 0) {
-                wire.b.agent.answer(wire.now, wire.b.call, wire.b);
+            if (index == 0) {
+                network.b.agent.answer(network.now, network.b.call, network.b);
             } else {
-                wire.b.agent.reject(wire.now, wire.b.call, 486, "Busy Here", wire.b);
+                network.b.agent.reject(network.now, network.b.call, 486, "Busy Here", network.b);
             }
         }
 
         void finish() {
             paths++;
-            wire.note("from here on all is fair");
-            // The callee takes its time, and the last sending of an INVITE may be what it hears of.
-            wire.runFor(33_000);
+            network.note("from here on all is fair");
+            // The callee answers late, and may receive only the last retransmission of the INVITE.
+            network.runFor(33_000);
             if (mayDecide()) {
-                wire.b.agent.answer(wire.now, wire.b.call, wire.b);
+                network.b.agent.answer(network.now, network.b.call, network.b);
             }
-            wire.runFor(70_000);
-            String trace = wire.trace();
-            int finals = count(trace, "a: answered") + count(trace, "a: rejected");
-            assertThat(finals).as("final answers at the caller%n%s", trace).isEqualTo(1);
+            network.runFor(70_000);
+            String trace = network.trace();
+            int finalResponses = count(trace, "a: answered") + count(trace, "a: rejected");
+            assertThat(finalResponses).as("final answers at the caller%n%s", trace).isEqualTo(1);
             boolean answered = trace.contains("b 200 INVITE");
-            boolean turnedDown = trace.contains("b 486 INVITE") || trace.contains("b 487 INVITE");
-            assertThat(answered && turnedDown).as("two final answers%n%s", trace).isFalse();
-            assertThat(wire.a.call.stands())
+            boolean rejected = trace.contains("b 486 INVITE") || trace.contains("b 487 INVITE");
+            assertThat(answered && rejected).as("two final answers%n%s", trace).isFalse();
+            assertThat(network.a.call.stands())
                     .as("both sides agree%n%s", trace)
-                    .isEqualTo(wire.b.call != null && wire.b.call.stands());
-            assertThat(cancelled && wire.a.call.stands())
-                    .as("nothing stays held after a CANCEL%n%s", trace)
+                    .isEqualTo(network.b.call != null && network.b.call.stands());
+            assertThat(cancelled && network.a.call.stands())
+                    .as("no call is established after a CANCEL%n%s", trace)
                     .isFalse();
             assertThat(count(trace, "b: invited"))
-                    .as("one INVITE taken%n%s", trace)
+                    .as("one INVITE accepted%n%s", trace)
                     .isLessThanOrEqualTo(1);
-            established += wire.a.call.stands() ? 1 : 0;
-            notEstablished += wire.a.call.stands() ? 0 : 1;
+            establishedPaths += network.a.call.stands() ? 1 : 0;
+            unestablishedPaths += network.a.call.stands() ? 0 : 1;
         }
 
         private int count(String text, String part) {
--- a/src/test/java/coralcove/sip/dialog/SimulatedNetwork.java
+++ b/src/test/java/coralcove/sip/dialog/SimulatedNetwork.java
@@ -16,59 +16,61 @@
 import java.util.List;
 
 /**
- * Two user agents on a wire that a test drops, doubles and delays messages on; all that crosses it
- * is printed.
+ * Two user agents on a network that loses, duplicates and delays messages as the test prescribes;
+ * every message is written to a trace.
  */
 final class SimulatedNetwork {
-    /**
-     * What becomes of the n-th message of this kind ("INVITE", "200 INVITE"): lost, or how often
-     * and how late in ms.
-     */
+    /** Decides which messages are delivered, and when. */
     interface DeliveryPolicy {
-        int[] delaysFor(String what, int nth);
+        /**
+         * The delays in milliseconds of each delivery of the n-th message of this kind ("a INVITE",
+         * "b 200 INVITE"); none if it is lost.
+         */
+        int[] delaysFor(String kind, int nth);
     }
 
     static final int[] LOST = {};
     static final int[] DELIVERED = {10};
 
+    /** One of the two user agents; answers each call at once unless told otherwise. */
     final class TestUserAgent implements Agent.User, Out {
         final String name;
-        final Hop self;
+        final Hop address;
         final Timers timers = new Timers();
         final Agent agent;
         Call call;
         boolean autoAnswer = true;
 
-        /** Answers a change with this status. */
+        /** The status with which a re-INVITE is answered. */
         int reinviteStatus = 200;
 
-        TestUserAgent(String name, Hop self) {
+        TestUserAgent(String name, Hop address) {
             this.name = name;
-            this.self = self;
-            agent = new Agent(self, timers, name, this);
+            this.address = address;
+            agent = new Agent(address, timers, name, this);
         }
 
-        void call(TestUserAgent to) {
-            SipMessage invite = agent.request("INVITE", "sip:7@" + to.self.host());
-            call = agent.invite(now, invite, to.self, null, this);
+        void call(TestUserAgent callee) {
+            SipMessage invite = agent.request("INVITE", "sip:7@" + callee.address.host());
+            call = agent.invite(now, invite, callee.address, null, this);
         }
 
         @Override
         public void send(Hop to, SipMessage message) {
-            String what =
+            String kind =
                     message.isRequest()
                             ? message.method()
                             : message.status() + " " + message.cseqMethod();
             int nth = 1;
             for (String each : sent) {
-                nth += each.equals(name + what) ? 1 : 0;
+                nth += each.equals(name + kind) ? 1 : 0;
             }
-            sent.add(name + what);
-            int[] delays = deliveryPolicy.delaysFor(name + " " + what, nth);
+            sent.add(name + kind);
+            int[] delays = deliveryPolicy.delaysFor(name + " " + kind, nth);
             note(
                     name
                             + " "
-                            + what
+                            + kind
                             + (delays.length == 0
                                     ? " (lost)"
                                     : delays.length > 1 ? " (doubled)" : ""));
@@ -89,65 +91,67 @@
         }
 
         @Override
-        public void invited(long at, Call it, Hop from, Out out) {
-            call = it;
+        public void invited(long time, Call affectedCall, Hop from, Out out) {
+            call = affectedCall;
             record("invited");
             if (autoAnswer) {
-                agent.answer(at, it, out);
+                agent.answer(time, affectedCall, out);
             }
         }
 
         @Override
-        public void progressed(long at, Call it, SipMessage response, Out out) {
+        public void progressed(long time, Call affectedCall, SipMessage response, Out out) {
             record("hears " + response.status());
         }
 
         @Override
-        public void answered(long at, Call it, SipMessage response, Out out) {
+        public void answered(long time, Call affectedCall, SipMessage response, Out out) {
             record("answered");
         }
 
         @Override
-        public void rejected(long at, Call it, SipMessage response, Agent.Lost lost, Out out) {
-            record("rejected " + (response == null ? lost : response.status()));
+        public void rejected(
+                long time, Call affectedCall, SipMessage response, Agent.Lost failure, Out out) {
+            record("rejected " + (response == null ? failure : response.status()));
         }
 
         @Override
-        public void cancelled(long at, Call it, Out out) {
+        public void cancelled(long time, Call affectedCall, Out out) {
             record("cancelled");
         }
 
         @Override
-        public void hungUp(long at, Call it, SipMessage bye, Out out) {
+        public void hungUp(long time, Call affectedCall, SipMessage bye, Out out) {
             record("hung up" + (bye == null ? " by itself" : ""));
         }
 
         @Override
-        public void changing(long at, Call it, SipMessage invite, Out out) {
+        public void changing(long time, Call affectedCall, SipMessage invite, Out out) {
             record("asked to change to " + invite.text());
             if (reinviteStatus > 0) {
-                agent.answerChange(at, it, reinviteStatus, "x", "text/plain", invite.body(), out);
+                agent.answerChange(
+                        time, affectedCall, reinviteStatus, "x", "text/plain", invite.body(), out);
             }
         }
 
         @Override
-        public void changed(long at, Call it, SipMessage response, Out out) {
+        public void changed(long time, Call affectedCall, SipMessage response, Out out) {
             record("its change came to " + response.status());
         }
 
         @Override
-        public void request(long at, ServerTx transaction, Hop from, Out out) {
-            agent.respond(at, transaction, agent.reply(transaction, 200, "OK"), out);
+        public void request(long time, ServerTx transaction, Hop from, Out out) {
+            agent.respond(time, transaction, agent.reply(transaction, 200, "OK"), out);
         }
 
         @Override
-        public void replied(long at, ClientTx transaction, SipMessage response, Out out) {
+        public void replied(long time, ClientTx transaction, SipMessage response, Out out) {
             record("replied");
         }
     }
 
     private record InFlightMessage(
-            long arrivesAt, long order, TestUserAgent from, Hop to, byte[] bytes) {}
+            long arrivesAt, long order, TestUserAgent sender, Hop to, byte[] bytes) {}
 
     final TestUserAgent a;
     final TestUserAgent b;
@@ -158,8 +162,8 @@
     long now;
     private long nextOrder;
 
-    SimulatedNetwork(boolean tcp, DeliveryPolicy fate) {
-        this.deliveryPolicy = fate;
+    SimulatedNetwork(boolean tcp, DeliveryPolicy deliveryPolicy) {
+        this.deliveryPolicy = deliveryPolicy;
         a = new TestUserAgent("a", new Hop(tcp, "ha", 1));
         b = new TestUserAgent("b", new Hop(tcp, "hb", 2));
     }
@@ -169,7 +173,7 @@
         return this;
     }
 
-    /** Runs for so many ms. */
+    /** Advances the time by {@code millis}, delivering messages and firing timers on the way. */
     SimulatedNetwork runFor(long millis) {
         long end = now + millis * 1000;
         while (true) {
@@ -179,16 +183,16 @@
                                     Comparator.comparingLong(InFlightMessage::arrivesAt)
                                             .thenComparingLong(InFlightMessage::order))
                             .orElse(null);
-            long timer = Math.min(a.timers.nextDeadline(), b.timers.nextDeadline());
-            long at = Math.min(timer, next == null ? Long.MAX_VALUE : next.arrivesAt);
+            long nextTimer = Math.min(a.timers.nextDeadline(), b.timers.nextDeadline());
+            long at = Math.min(nextTimer, next == null ? Long.MAX_VALUE : next.arrivesAt);
             if (at > end) {
                 now = end;
                 return this;
             }
             now = Math.max(now, at);
-            if (next != null && next.arrivesAt <= timer) {
+            if (next != null && next.arrivesAt <= nextTimer) {
                 messagesInFlight.remove(next);
-                deliver(next.from.self, next.to, next.bytes);
+                deliver(next.sender.address, next.to, next.bytes);
             } else {
                 a.timers.run(now, a);
                 b.timers.run(now, b);
@@ -196,22 +200,22 @@
         }
     }
 
-    // ---- driven by hand, for the model checker: messages stand until one of these is called
+    // ---- steps of the model checker: messages stay in flight until one of these is called
 
     int inFlightCount() {
         return messagesInFlight.size();
     }
 
-    /** Takes message {@code i} off the wire and delivers it, or not; {@code keep} leaves a copy. */
-    void resolve(int i, boolean delivered, boolean keep) {
-        InFlightMessage flight = keep ? messagesInFlight.get(i) : messagesInFlight.remove(i);
-        note(delivered ? "delivered" + (keep ? ", and a copy kept" : "") : "lost");
+    /** Delivers or loses message {@code i}; with {@code keepCopy} a copy of it stays in flight. */
+    void resolve(int i, boolean delivered, boolean keepCopy) {
+        InFlightMessage message = keepCopy ? messagesInFlight.get(i) : messagesInFlight.remove(i);
+        note(delivered ? "delivered" + (keepCopy ? ", and a copy kept" : "") : "lost");
         if (delivered) {
-            deliver(flight.from.self, flight.to, flight.bytes);
+            deliver(message.sender.address, message.to, message.bytes);
         }
     }
 
-    /** Lets time pass to the next timer of either side, and fires it. */
+    /** Advances the time to the next timer of either side and fires it; false if there is none. */
     boolean fireNextTimer() {
         long at = Math.min(a.timers.nextDeadline(), b.timers.nextDeadline());
         if (at == Long.MAX_VALUE) {
@@ -220,10 +224,10 @@
         now = Math.max(now, at);
         a.timers.run(now, a);
         b.timers.run(now, b);
-        // Every message lives less than T4 in a network that RFC 3261 is made for.
+        // RFC 3261 assumes that no message remains in the network for T4 or longer.
         messagesInFlight.removeIf(
-                flight ->
-                        flight.arrivesAt
+                message ->
+                        message.arrivesAt
                                 <= now - coralcove.sip.transaction.TransactionLayer.T4_MICROS);
         return true;
     }
@@ -232,6 +236,7 @@
         return trace.toString();
     }
 
+    /** Hands a message to the user agent at {@code to}, if there is one. */
     SimulatedNetwork deliver(Hop from, Hop to, byte[] bytes) {
         TestUserAgent target = to.host().equals("ha") ? a : to.host().equals("hb") ? b : null;
         if (target != null) {
@@ -244,6 +249,7 @@
         return this;
     }
 
+    /** Compares the trace with the stored trace of this name. */
     void assertTraceEquals(String name) {
         assertThat(trace.toString()).isEqualTo(Kept.trace(name));
     }
