--- a/src/main/java/coralcove/sip/BadMessage.java
+++ b/src/main/java/coralcove/sip/BadMessage.java
@@ -1,18 +1,20 @@
 package coralcove.sip;
 
-/**
- * What was read is no SIP message; {@code partial} is what could be read of a request, to answer
- * 400, or null.
- */
+/** Thrown when the bytes read are not a valid SIP message. */
 public final class BadMessage extends Exception {
     private static final long serialVersionUID = 1;
     private final transient SipMessage partialMessage;
 
-    public BadMessage(String reason, SipMessage partial) {
+    /**
+     * {@code partialMessage} holds the part that could be parsed, so that a request can be answered
+     * with 400; null if there is none.
+     */
+    public BadMessage(String reason, SipMessage partialMessage) {
         super(reason);
-        this.partialMessage = partial;
+        this.partialMessage = partialMessage;
     }
 
+    /** The part of the message that could be parsed, or null. */
     public SipMessage partialMessage() {
         return partialMessage;
     }
--- a/src/main/java/coralcove/sip/Field.java
+++ b/src/main/java/coralcove/sip/Field.java
@@ -1,7 +1,7 @@
 package coralcove.sip;
 
 /**
- * One header field as it was read: its name in full form, its value unfolded and otherwise
- * unchanged.
+ * One header field: its name, in full form if it was parsed from a compact one, and its value,
+ * unfolded and otherwise unchanged.
  */
 public record Field(String name, String value) {}
--- a/src/main/java/coralcove/sip/Hop.java
+++ b/src/main/java/coralcove/sip/Hop.java
@@ -4,9 +4,9 @@
 import java.net.UnknownHostException;
 
 /**
- * Where a message goes or came from: one transport address. An IPv6 address stands in brackets, in
- * one spelling, so that equal addresses are equal however they were written (RFC 5952 speaks of
- * why; the spelling is the JDK's).
+ * A transport address: transport, host and port that a message is sent to or came from. An IPv6
+ * address is kept in brackets and in the JDK's spelling, so that addresses compare as equal however
+ * they were written (see RFC 5952).
  */
 public record Hop(boolean tcp, String host, int port) {
     public Hop {
@@ -16,20 +16,21 @@
     }
 
     private static String normalizeIpv6(String host) {
-        String bare =
+        String address =
                 host.startsWith("[") && host.endsWith("]")
                         ? host.substring(1, host.length() - 1)
                         : host;
         try {
-            // Only a literal has a colon: no name is looked up here.
-            return "[" + InetAddress.getByName("[" + bare + "]").getHostAddress() + "]";
+            // Only an address literal contains a colon, so that this performs no DNS lookup.
+            return "[" + InetAddress.getByName("[" + address + "]").getHostAddress() + "]";
         } catch (UnknownHostException e) {
             return host;
         }
     }
 
-    public Hop over(boolean stream) {
-        return stream == tcp ? this : new Hop(stream, host, port);
+    /** The same host and port over TCP or UDP. */
+    public Hop over(boolean useTcp) {
+        return useTcp == tcp ? this : new Hop(useTcp, host, port);
     }
 
     @Override
--- a/src/main/java/coralcove/sip/Out.java
+++ b/src/main/java/coralcove/sip/Out.java
@@ -1,12 +1,13 @@
 package coralcove.sip;
 
 /**
- * What a core does: messages sent and lines logged, in order. Drivers carry it out after the core
- * returns.
+ * Receives the actions of a {@link Core}: messages to send and lines to log, in order. They are
+ * carried out after the core's method returns.
  */
 public interface Out {
+    /** Sends a message. */
     void send(Hop to, SipMessage message);
 
-    /** One log line; {@code session} is the id that follows a session through every line, or "". */
+    /** Writes one log line; {@code session} is the Session-ID, or an empty string. */
     void log(String event, String session, String detail);
 }
--- a/src/main/java/coralcove/sip/Params.java
+++ b/src/main/java/coralcove/sip/Params.java
@@ -1,9 +1,8 @@
 package coralcove.sip;
 
 /**
- * A header value split into what stands before its first parameter and its parameters; quoted
- * strings and what stands between angle brackets are not split (RFC 3261 section 25.1,
- * generic-param).
+ * A header value split into the part before the first parameter and its parameters (RFC 3261
+ * section 25.1, generic-param). Semicolons in quoted strings and angle brackets do not separate.
  */
 public final class Params {
     private static final String[] NO_PARAMETERS = {};
@@ -11,7 +10,8 @@
     private final String value;
 
     /**
-     * Names and values in turn: a value has few parameters, and looking through them beats any map.
+     * Alternating names and values; for the few parameters of a value a linear search is faster
+     * than a map.
      */
     private String[] namesAndValues = NO_PARAMETERS;
 
@@ -21,35 +21,41 @@
         this.value = value;
     }
 
+    /** Parses a header value; quotes around parameter values are removed. */
     public static Params of(String text) {
         int end = indexOfUnquoted(text, 0, ';');
-        Params out = new Params(text.substring(0, end).strip());
+        Params parsed = new Params(text.substring(0, end).strip());
         while (end < text.length()) {
             int from = end + 1;
             end = indexOfUnquoted(text, from, ';');
-            String param = text.substring(from, end).strip();
-            int equals = param.indexOf('=');
-            String name = (equals < 0 ? param : param.substring(0, equals)).strip();
-            String found = equals < 0 ? "" : param.substring(equals + 1).strip();
-            if (found.length() > 1 && found.startsWith("\"") && found.endsWith("\"")) {
-                found = found.substring(1, found.length() - 1).replaceAll("\\\\(.)", "$1");
+            String parameter = text.substring(from, end).strip();
+            int equals = parameter.indexOf('=');
+            String name = (equals < 0 ? parameter : parameter.substring(0, equals)).strip();
+            String parameterValue = equals < 0 ? "" : parameter.substring(equals + 1).strip();
+            if (parameterValue.length() > 1
+                    && parameterValue.startsWith("\"")
+                    && parameterValue.endsWith("\"")) {
+                parameterValue =
+                        parameterValue
+                                .substring(1, parameterValue.length() - 1)
+                                .replaceAll("\\\\(.)", "$1");
             }
-            out.add(name, found);
+            parsed.add(name, parameterValue);
         }
-        return out;
+        return parsed;
     }
 
-    private void add(String name, String found) {
+    private void add(String name, String parameterValue) {
         if (2 * count == namesAndValues.length) {
             namesAndValues =
                     java.util.Arrays.copyOf(namesAndValues, Math.max(4, 2 * namesAndValues.length));
         }
         namesAndValues[2 * count] = name;
-        namesAndValues[2 * count + 1] = found;
+        namesAndValues[2 * count + 1] = parameterValue;
         count++;
     }
 
-    /** The first parameter of this name, or null. */
+    /** The value of the first parameter of this name, empty if it has none; null if absent. */
     private String find(String name) {
         for (int i = 0; i < count; i++) {
             if (namesAndValues[2 * i].equalsIgnoreCase(name)) {
@@ -60,9 +66,10 @@
     }
 
     /**
-     * The index of the next {@code mark} outside quotes and angle brackets, or the text's length.
+     * The index of the next {@code separator} outside quotes and angle brackets, or the text's
+     * length.
      */
-    static int indexOfUnquoted(String text, int from, char mark) {
+    static int indexOfUnquoted(String text, int from, char separator) {
         boolean quoted = false;
         int depth = 0;
         for (int i = from; i < text.length(); i++) {
@@ -79,32 +86,36 @@
                 depth++;
             } else if (c == '>') {
                 depth--;
-            } else if (c == mark && depth <= 0) {
+            } else if (c == separator && depth <= 0) {
                 return i;
             }
         }
         return text.length();
     }
 
+    /** The part before the first parameter. */
     public String value() {
         return value;
     }
 
+    /** Whether there is a parameter of this name. */
     public boolean has(String name) {
         return find(name) != null;
     }
 
-    public String get(String name, String otherwise) {
+    /** The value of a parameter, {@code defaultValue} if absent. */
+    public String get(String name, String defaultValue) {
         String found = find(name);
-        return found == null ? otherwise : found;
+        return found == null ? defaultValue : found;
     }
 
-    public long number(String name, long otherwise) {
+    /** The value of a parameter as a number, {@code defaultValue} if absent or not a number. */
+    public long number(String name, long defaultValue) {
         try {
             String found = find(name);
-            return found == null ? otherwise : Long.parseLong(found);
+            return found == null ? defaultValue : Long.parseLong(found);
         } catch (NumberFormatException e) {
-            return otherwise;
+            return defaultValue;
         }
     }
 }
--- a/src/main/java/coralcove/sip/SipMessage.java
+++ b/src/main/java/coralcove/sip/SipMessage.java
@@ -5,9 +5,9 @@
 import java.util.List;
 
 /**
- * One SIP message (RFC 3261 section 7): a start line, header fields in the order of the wire, a
- * body. Header names compare without regard to case; what this program does not look at passes
- * through unchanged.
+ * One SIP message (RFC 3261 section 7): a start line, header fields in the order in which they are
+ * transmitted, and a body. Header names are not case-sensitive. Fields that this program does not
+ * interpret are forwarded unchanged.
  */
 public final class SipMessage {
     private static final byte[] NO_BODY = {};
@@ -18,9 +18,15 @@
     private final String reason;
     private final List<Field> fields = new ArrayList<>(12);
     private byte[] body = NO_BODY;
+
+    /** The Via value that {@link #via} was parsed from. */
     private String parsedViaText;
+
     private Via via;
+
+    /** The From value that {@link #fromTag} was parsed from. */
     private String parsedFromText;
+
     private String fromTag = "";
 
     private SipMessage(String method, String uri, int status, String reason) {
@@ -30,17 +36,19 @@
         this.reason = reason;
     }
 
+    /** Creates a request without header fields. */
     public static SipMessage request(String method, String uri) {
         return new SipMessage(method, uri, 0, "");
     }
 
+    /** Creates a response without header fields. */
     public static SipMessage status(int status, String reason) {
         return new SipMessage("", "", status, reason);
     }
 
     /**
-     * A response to {@code request} with the fields that RFC 3261 8.2.6.2 copies; the To tag is
-     * added if absent.
+     * Creates a response to {@code request} with the fields that RFC 3261 8.2.6.2 copies; {@code
+     * toTag} is added to To if it has no tag and the status is not 100.
      */
     public static SipMessage reply(SipMessage request, int status, String reason, String toTag) {
         SipMessage reply = status(status, reason);
@@ -58,7 +66,7 @@
         return reply;
     }
 
-    /** As it would be read from {@link #bytes}; a change to either is not seen by the other. */
+    /** A copy whose header fields can be changed without changing this message. */
     public SipMessage copy() {
         SipMessage copy = new SipMessage(method, uri, status, reason);
         copy.fields.addAll(fields);
@@ -94,6 +102,7 @@
         return body;
     }
 
+    /** The body as UTF-8 text. */
     public String text() {
         return new String(body, StandardCharsets.UTF_8);
     }
@@ -112,11 +121,13 @@
         return null;
     }
 
-    public String header(String name, String otherwise) {
+    /** The first value of this header, {@code defaultValue} if absent. */
+    public String header(String name, String defaultValue) {
         String value = header(name);
-        return value == null ? otherwise : value;
+        return value == null ? defaultValue : value;
     }
 
+    /** All values of this header. */
     public List<String> headers(String name) {
         List<String> values = new ArrayList<>();
         for (Field field : fields) {
@@ -127,16 +138,19 @@
         return values;
     }
 
+    /** Appends a header field. */
     public SipMessage add(String name, String value) {
         fields.add(new Field(name, value));
         return this;
     }
 
+    /** Inserts a header field before all others. */
     public SipMessage addFirst(String name, String value) {
         fields.add(0, new Field(name, value));
         return this;
     }
 
+    /** Replaces the first field of this name, or appends it. */
     public SipMessage set(String name, String value) {
         for (int i = 0; i < fields.size(); i++) {
             if (fields.get(i).name().equalsIgnoreCase(name)) {
@@ -147,6 +161,7 @@
         return add(name, value);
     }
 
+    /** Sets the body and its Content-Type. */
     public SipMessage body(String type, byte[] bytes) {
         set("Content-Type", type);
         body = bytes;
@@ -157,7 +172,7 @@
         body = bytes;
     }
 
-    /** The topmost Via, or null where it cannot be read; kept until that field changes. */
+    /** The topmost Via, or null if absent or malformed; parsed again only after it changes. */
     public Via via() {
         String text = header("Via");
         if (text != parsedViaText) {
@@ -167,23 +182,26 @@
         return via;
     }
 
-    /** Whether it has all that a response copies, so that even a bad request can be answered. */
+    /**
+     * Whether it has all fields that a response copies, so that even a malformed request can be
+     * answered.
+     */
     public boolean canBeAnswered() {
         return SipParser.MANDATORY_HEADERS.stream().allMatch(name -> header(name) != null)
                 && via() != null;
     }
 
-    /** A header's value as a whole number, {@code otherwise} where it is absent or none. */
-    public long number(String name, long otherwise) {
+    /** A header's value as a number, {@code defaultValue} if absent or not a number. */
+    public long number(String name, long defaultValue) {
         try {
             String value = header(name);
-            return value == null ? otherwise : Long.parseLong(value);
+            return value == null ? defaultValue : Long.parseLong(value);
         } catch (NumberFormatException e) {
-            return otherwise;
+            return defaultValue;
         }
     }
 
-    /** CSeq's number, or -1 where there is none that can be read. */
+    /** The number of CSeq, or -1 if absent or malformed. */
     public long sequence() {
         String value = header("CSeq");
         int space = value == null ? -1 : value.indexOf(' ');
@@ -194,7 +212,7 @@
         }
     }
 
-    /** CSeq's method; of a request its own. */
+    /** The method of CSeq; for a request the method of the request line. */
     public String cseqMethod() {
         if (isRequest()) {
             return method;
@@ -203,10 +221,12 @@
         return value.substring(value.indexOf(' ') + 1).strip();
     }
 
+    /** The value of Call-ID, or an empty string. */
     public String callId() {
         return header("Call-ID", "");
     }
 
+    /** The tag of From, or an empty string. */
     public String fromTag() {
         String text = header("From", "");
         if (text != parsedFromText) {
@@ -216,11 +236,12 @@
         return fromTag;
     }
 
+    /** The tag of To, or an empty string. */
     public String toTag() {
         return Params.of(header("To", "")).get("tag", "");
     }
 
-    /** The length of {@link #bytes}, without writing them. */
+    /** The length of {@link #bytes}, computed without encoding the message. */
     public int encodedLength() {
         int length = isRequest() ? method.length() + uri.length() + 11 : 14 + reason.length();
         for (Field field : fields) {
@@ -236,27 +257,28 @@
                 + body.length;
     }
 
+    /** The message encoded for transmission; Content-Length is always the last header field. */
     public byte[] bytes() {
-        StringBuilder out = new StringBuilder(512);
+        StringBuilder header = new StringBuilder(512);
         if (isRequest()) {
-            out.append(method).append(' ').append(uri).append(" SIP/2.0\r\n");
+            header.append(method).append(' ').append(uri).append(" SIP/2.0\r\n");
         } else {
-            out.append("SIP/2.0 ").append(status).append(' ').append(reason).append("\r\n");
+            header.append("SIP/2.0 ").append(status).append(' ').append(reason).append("\r\n");
         }
         for (Field field : fields) {
             if (!field.name().equals("Content-Length")) {
-                out.append(field.name()).append(": ").append(field.value()).append("\r\n");
+                header.append(field.name()).append(": ").append(field.value()).append("\r\n");
             }
         }
-        out.append("Content-Length: ").append(body.length).append("\r\n\r\n");
-        byte[] head = out.toString().getBytes(StandardCharsets.ISO_8859_1);
+        header.append("Content-Length: ").append(body.length).append("\r\n\r\n");
+        byte[] headerBytes = header.toString().getBytes(StandardCharsets.ISO_8859_1);
         if (body.length == 0) {
-            return head;
+            return headerBytes;
         }
-        byte[] all = new byte[head.length + body.length];
-        System.arraycopy(head, 0, all, 0, head.length);
-        System.arraycopy(body, 0, all, head.length, body.length);
-        return all;
+        byte[] encoded = new byte[headerBytes.length + body.length];
+        System.arraycopy(headerBytes, 0, encoded, 0, headerBytes.length);
+        System.arraycopy(body, 0, encoded, headerBytes.length, body.length);
+        return encoded;
     }
 
     @Override
--- a/src/main/java/coralcove/sip/SipParser.java
+++ b/src/main/java/coralcove/sip/SipParser.java
@@ -6,15 +6,15 @@
 import java.util.Map;
 
 /**
- * Reads one message from bytes (RFC 3261 sections 7 and 25). Folded lines are unfolded, compact
- * names written out, Via and Route lists split into one field a value. Bounds: {@link
+ * Parses one message (RFC 3261 sections 7 and 25). Folded lines are unfolded, compact header names
+ * expanded, and lists in Via, Route and Record-Route split into one field per value. Limits: {@link
  * #MAX_MESSAGE_BYTES}, {@link #MAX_HEADER_FIELDS}.
  */
 public final class SipParser {
-    /** Bytes: a datagram cannot be longer; a stream's message longer than this is cut off. */
+    /** No datagram can be longer; a connection with a longer message is closed. */
     public static final int MAX_MESSAGE_BYTES = 65_535;
 
-    /** Fields: forty times what a call takes, and few enough to look through one by one. */
+    /** Forty times as many as a call needs, and few enough for a linear search. */
     public static final int MAX_HEADER_FIELDS = 256;
 
     private static final Map<String, String> COMPACT_FORMS =
@@ -32,7 +32,7 @@
                     Map.entry("o", "Event"),
                     Map.entry("u", "Allow-Events"));
 
-    /** Names as this program writes them; a name read in any other case is written like this. */
+    /** Header names in the spelling in which they are written, whatever case they were read in. */
     private static final String[] KNOWN_NAMES = {
         "Via",
         "From",
@@ -67,66 +67,75 @@
     private SipParser() {}
 
     /**
-     * Reads a whole datagram: the body is what follows the header, cut to Content-Length if there
-     * is one.
+     * Parses a complete datagram: the body is what follows the header, up to Content-Length if
+     * present.
      */
     public static SipMessage parse(byte[] data, int from, int length) throws BadMessage {
         return parse(data, from, length, true);
     }
 
     /**
-     * The same where peers leave out From, To and Via by agreement, as on a trunk that matches by
-     * Call-ID alone: the form of the message is read as strictly, but no header is asked for.
+     * Parses a message of peers that omit From, To and Via by agreement, as on a trunk that matches
+     * by Call-ID alone: the syntax is checked as strictly, but no header is mandatory.
      */
     public static SipMessage parseBare(byte[] data) throws BadMessage {
         return parse(data, 0, data.length, false);
     }
 
-    private static SipMessage parse(byte[] data, int from, int length, boolean whole)
+    private static SipMessage parse(byte[] data, int from, int length, boolean headersMandatory)
             throws BadMessage {
         if (length > MAX_MESSAGE_BYTES) {
             throw new BadMessage("longer than " + MAX_MESSAGE_BYTES + " bytes", null);
         }
-        int end = headerEnd(data, from, from + length);
-        if (end < 0) {
-            throw new BadMessage("the header does not end", null);
+        int headerEnd = headerEnd(data, from, from + length);
+        if (headerEnd < 0) {
+            throw new BadMessage("the header section is not terminated by an empty line", null);
         }
-        // A char a byte: what is not looked at crosses unchanged, also where it is no UTF-8.
-        String head = new String(data, from, end - from, StandardCharsets.ISO_8859_1);
-        int line = head.indexOf('\r');
-        SipMessage message = parseStartLine(line < 0 ? head : head.substring(0, line));
-        String wrong = parseFields(head, line < 0 ? head.length() : line, message);
-        int given = from + length - end;
-        int wanted = given;
-        String announced = message.header("Content-Length");
-        if (announced != null) {
-            wanted = parseNumber(announced);
-            if (wanted < 0 || wanted > given) {
-                wrong =
-                        wrong == null
-                                ? "Content-Length " + announced + " but " + given + " bytes follow"
-                                : wrong;
-                wanted = 0;
+        // One char per byte, so that uninterpreted values are forwarded unchanged even if they are
+        // not valid UTF-8.
+        String header = new String(data, from, headerEnd - from, StandardCharsets.ISO_8859_1);
+        int startLineEnd = header.indexOf('\r');
+        SipMessage message =
+                parseStartLine(startLineEnd < 0 ? header : header.substring(0, startLineEnd));
+        String problem =
+                parseFields(header, startLineEnd < 0 ? header.length() : startLineEnd, message);
+        int available = from + length - headerEnd;
+        int bodyLength = available;
+        String contentLength = message.header("Content-Length");
+        if (contentLength != null) {
+            bodyLength = parseNumber(contentLength);
+            if (bodyLength < 0 || bodyLength > available) {
+                problem =
+                        problem == null
+                                ? "Content-Length "
+                                        + contentLength
+                                        + " but "
+                                        + available
+                                        + " bytes follow"
+                                : problem;
+                bodyLength = 0;
             }
         }
-        if (wanted > 0) {
-            byte[] body = new byte[wanted];
-            System.arraycopy(data, end, body, 0, wanted);
+        if (bodyLength > 0) {
+            byte[] body = new byte[bodyLength];
+            System.arraycopy(data, headerEnd, body, 0, bodyLength);
             message.setBody(body);
         }
-        if (announced == null && message.fields().size() >= MAX_HEADER_FIELDS && wrong == null) {
-            // It is written with a Content-Length, and would then be past the bound for whoever
-            // reads it.
-            wrong = "more than " + MAX_HEADER_FIELDS + " header fields";
+        if (contentLength == null
+                && message.fields().size() >= MAX_HEADER_FIELDS
+                && problem == null) {
+            // It is sent with a Content-Length added, and would then exceed the limit of the
+            // receiver.
+            problem = "more than " + MAX_HEADER_FIELDS + " header fields";
         }
-        wrong = wrong == null && whole ? validate(message) : wrong;
-        if (wrong != null) {
-            throw new BadMessage(wrong, message);
+        problem = problem == null && headersMandatory ? validate(message) : problem;
+        if (problem != null) {
+            throw new BadMessage(problem, message);
         }
         return message;
     }
 
-    /** The index behind the empty line that ends the header, or -1. */
+    /** The index after the empty line that ends the header, or -1 if there is none. */
     static int headerEnd(byte[] data, int from, int to) {
         for (int i = from; i + 3 < to; i++) {
             if (data[i] == '\r'
@@ -139,10 +148,11 @@
         return -1;
     }
 
+    /** Parses a number of at most {@link #MAX_MESSAGE_BYTES}; -1 if it is larger or malformed. */
     static int parseNumber(String value) {
         try {
-            int length = Integer.parseInt(value.strip());
-            return length > MAX_MESSAGE_BYTES ? -1 : length;
+            int number = Integer.parseInt(value.strip());
+            return number > MAX_MESSAGE_BYTES ? -1 : number;
         } catch (NumberFormatException e) {
             return -1;
         }
@@ -161,56 +171,58 @@
             }
             throw new BadMessage("status line: " + abbreviate(line), null);
         }
-        int first = line.indexOf(' ');
-        int last = line.lastIndexOf(' ');
-        if (first <= 0
-                || last <= first + 1
-                || !line.substring(last + 1).equals("SIP/2.0")
-                || !isToken(line.substring(0, first))
-                || line.substring(first + 1, last).indexOf(' ') >= 0) {
+        int firstSpace = line.indexOf(' ');
+        int lastSpace = line.lastIndexOf(' ');
+        if (firstSpace <= 0
+                || lastSpace <= firstSpace + 1
+                || !line.substring(lastSpace + 1).equals("SIP/2.0")
+                || !isToken(line.substring(0, firstSpace))
+                || line.substring(firstSpace + 1, lastSpace).indexOf(' ') >= 0) {
             throw new BadMessage("request line: " + abbreviate(line), null);
         }
-        return SipMessage.request(line.substring(0, first), line.substring(first + 1, last));
+        return SipMessage.request(
+                line.substring(0, firstSpace), line.substring(firstSpace + 1, lastSpace));
     }
 
     private static String abbreviate(String line) {
         return line.length() > 60 ? line.substring(0, 60) + "..." : line;
     }
 
-    private static String parseFields(String head, int from, SipMessage message) {
+    /** Parses the header fields into {@code message}; returns what is wrong with them, or null. */
+    private static String parseFields(String header, int from, SipMessage message) {
         int at = from + 2;
-        while (at < head.length()) {
-            int end = head.indexOf("\r\n", at);
+        while (at < header.length()) {
+            int end = header.indexOf("\r\n", at);
             if (end <= at) {
-                return end < 0 ? "a header line does not end" : null;
+                return end < 0 ? "a header line is not terminated by CRLF" : null;
             }
             int next = end + 2;
             StringBuilder folded = null;
-            while (next < head.length()
-                    && (head.charAt(next) == ' ' || head.charAt(next) == '\t')) {
-                int stop = head.indexOf("\r\n", next);
-                folded = folded == null ? new StringBuilder(head.substring(at, end)) : folded;
-                folded.append(' ').append(trimmed(head, next, stop));
+            while (next < header.length()
+                    && (header.charAt(next) == ' ' || header.charAt(next) == '\t')) {
+                int stop = header.indexOf("\r\n", next);
+                folded = folded == null ? new StringBuilder(header.substring(at, end)) : folded;
+                folded.append(' ').append(trimmed(header, next, stop));
                 next = stop + 2;
             }
-            String line = folded == null ? head : folded.toString();
-            int from0 = folded == null ? at : 0;
+            String line = folded == null ? header : folded.toString();
+            int lineStart = folded == null ? at : 0;
             int stop = folded == null ? end : line.length();
-            int colon = line.indexOf(':', from0);
+            int colon = line.indexOf(':', lineStart);
             int nameEnd = colon < 0 || colon >= stop ? -1 : colon;
-            while (nameEnd > from0
+            while (nameEnd > lineStart
                     && (line.charAt(nameEnd - 1) == ' ' || line.charAt(nameEnd - 1) == '\t')) {
                 nameEnd--;
             }
-            if (nameEnd < 0 || !isToken(line, from0, nameEnd)) {
-                return "header line: " + abbreviate(line.substring(from0, stop));
+            if (nameEnd < 0 || !isToken(line, lineStart, nameEnd)) {
+                return "header line: " + abbreviate(line.substring(lineStart, stop));
             }
             if (message.fields().size() >= MAX_HEADER_FIELDS) {
                 return "more than " + MAX_HEADER_FIELDS + " header fields";
             }
-            addValues(message, fullName(line, from0, nameEnd), trimmed(line, colon + 1, stop));
+            addValues(message, fullName(line, lineStart, nameEnd), trimmed(line, colon + 1, stop));
             if (message.fields().size() > MAX_HEADER_FIELDS) {
-                // A list that was cut at the bound would be written shorter than it was read.
+                // A list truncated at the limit would be forwarded shorter than it was received.
                 return "more than " + MAX_HEADER_FIELDS + " header fields";
             }
             at = next;
@@ -218,6 +230,7 @@
         return null;
     }
 
+    /** Adds a field, or one for each value of a list in Via, Route or Record-Route. */
     private static void addValues(SipMessage message, String name, String value) {
         if (!name.equals("Via") && !name.equals("Route") && !name.equals("Record-Route")) {
             message.add(name, value);
@@ -231,6 +244,7 @@
         }
     }
 
+    /** The text without spaces and tabs at its ends; other control characters are kept. */
     private static String trimmed(String line, int from, int to) {
         int start = from;
         int end = to;
@@ -243,7 +257,7 @@
         return line.substring(start, end);
     }
 
-    /** The name in full form: one of the known, written out, or as it stands. */
+    /** The header name: expanded if compact, in its known spelling if known, else unchanged. */
     private static String fullName(String line, int from, int to) {
         int length = to - from;
         if (length == 1) {
@@ -261,27 +275,27 @@
     }
 
     private static String[][] groupByLength() {
-        String[][] found = new String[20][];
-        for (int length = 0; length < found.length; length++) {
-            int wanted = length;
-            found[length] =
+        String[][] names = new String[20][];
+        for (int length = 0; length < names.length; length++) {
+            int wantedLength = length;
+            names[length] =
                     java.util.Arrays.stream(KNOWN_NAMES)
-                            .filter(k -> k.length() == wanted)
+                            .filter(name -> name.length() == wantedLength)
                             .toArray(String[]::new);
         }
-        return found;
+        return names;
     }
 
     private static boolean[] tokenChars() {
-        boolean[] found = new boolean[128];
-        for (char c = 0; c < found.length; c++) {
-            found[c] =
+        boolean[] allowed = new boolean[128];
+        for (char c = 0; c < allowed.length; c++) {
+            allowed[c] =
                     c >= 'a' && c <= 'z'
                             || c >= 'A' && c <= 'Z'
                             || c >= '0' && c <= '9'
                             || "-.!%*_+`'~".indexOf(c) >= 0;
         }
-        return found;
+        return allowed;
     }
 
     private static boolean isToken(String text) {
@@ -298,6 +312,7 @@
         return to > from;
     }
 
+    /** Checks the headers that every message must have; returns what is wrong, or null. */
     private static String validate(SipMessage message) {
         for (String name : MANDATORY_HEADERS) {
             if (message.header(name) == null) {
@@ -319,9 +334,10 @@
         if (message.callId().isEmpty() || message.fromTag().isEmpty()) {
             return "Call-ID or the tag of From is empty";
         }
-        String forwards = message.header("Max-Forwards");
-        if (forwards != null && (parseNumber(forwards) < 0 || parseNumber(forwards) > 255)) {
-            return "Max-Forwards: " + abbreviate(forwards);
+        String maxForwards = message.header("Max-Forwards");
+        if (maxForwards != null
+                && (parseNumber(maxForwards) < 0 || parseNumber(maxForwards) > 255)) {
+            return "Max-Forwards: " + abbreviate(maxForwards);
         }
         return null;
     }
--- a/src/main/java/coralcove/sip/SipUri.java
+++ b/src/main/java/coralcove/sip/SipUri.java
@@ -1,26 +1,29 @@
 package coralcove.sip;
 
 /**
- * A SIP URI (RFC 3261 19.1) as far as it is looked at: user, host, port (5060 if absent),
- * parameters.
+ * The parts of a SIP URI (RFC 3261 19.1) that are used here: user (empty if absent), host, port
+ * (5060 if absent) and parameters.
  */
 public record SipUri(String user, String host, int port, Params params) {
     /**
-     * Reads a bare URI or the one between the angle brackets of a name-addr; null where there is
-     * none.
+     * Parses a bare URI or the one between the angle brackets of a name-addr; null if there is no
+     * valid one.
      */
     public static SipUri of(String text) {
-        int open = text.indexOf('<');
-        int close = open < 0 ? -1 : text.indexOf('>', open);
-        String inner = open >= 0 ? close < 0 ? "" : text.substring(open + 1, close) : text;
-        if (!inner.regionMatches(true, 0, "sip:", 0, 4)) {
+        int openBracket = text.indexOf('<');
+        int closeBracket = openBracket < 0 ? -1 : text.indexOf('>', openBracket);
+        String uri =
+                openBracket >= 0
+                        ? closeBracket < 0 ? "" : text.substring(openBracket + 1, closeBracket)
+                        : text;
+        if (!uri.regionMatches(true, 0, "sip:", 0, 4)) {
             return null;
         }
-        Params params = Params.of(inner.substring(4));
-        String rest = params.value();
-        int at = rest.lastIndexOf('@');
-        String user = at < 0 ? "" : rest.substring(0, at);
-        String address = rest.substring(at + 1);
+        Params params = Params.of(uri.substring(4));
+        String userAndAddress = params.value();
+        int at = userAndAddress.lastIndexOf('@');
+        String user = at < 0 ? "" : userAndAddress.substring(0, at);
+        String address = userAndAddress.substring(at + 1);
         int colon =
                 address.startsWith("[")
                         ? address.indexOf(':', address.indexOf(']') + 1)
@@ -28,23 +31,25 @@
         try {
             int port = colon < 0 ? 5060 : Integer.parseInt(address.substring(colon + 1));
             String host = colon < 0 ? address : address.substring(0, colon);
-            boolean good = !host.isEmpty() && port > 0 && port < 65_536;
-            return good ? new SipUri(user, host, port, params) : null;
+            boolean valid = !host.isEmpty() && port > 0 && port < 65_536;
+            return valid ? new SipUri(user, host, port, params) : null;
         } catch (NumberFormatException e) {
             return null;
         }
     }
 
+    /** The transport address: TCP if the transport parameter says so, else UDP. */
     public Hop hop() {
         return new Hop(params.get("transport", "udp").equalsIgnoreCase("tcp"), host, port);
     }
 
-    public static String text(String user, Hop hop) {
+    /** Formats a URI for an address; {@code user} may be empty. */
+    public static String text(String user, Hop address) {
         return "sip:"
                 + (user.isEmpty() ? "" : user + "@")
-                + hop.host()
+                + address.host()
                 + ":"
-                + hop.port()
-                + (hop.tcp() ? ";transport=tcp" : "");
+                + address.port()
+                + (address.tcp() ? ";transport=tcp" : "");
     }
 }
--- a/src/main/java/coralcove/sip/StreamFramer.java
+++ b/src/main/java/coralcove/sip/StreamFramer.java
@@ -4,33 +4,35 @@
 import java.util.function.Consumer;
 
 /**
- * Cuts a stream into messages by Content-Length (RFC 3261 18.3); CRLFs between messages are
- * keep-alives (RFC 5626) and skipped. Holds at most one message of the bound, {@link
- * SipParser#MAX_MESSAGE_BYTES} if none is given; past that the stream is bad.
+ * Splits a byte stream into messages by Content-Length (RFC 3261 18.3) and skips keep-alives, which
+ * are CRLFs between messages (RFC 5626). A message longer than the limit makes the stream invalid.
  */
 public final class StreamFramer {
     private byte[] buffer = new byte[2048];
     private int length;
     private final int maxMessageBytes;
 
+    /** A framer for messages of at most {@link SipParser#MAX_MESSAGE_BYTES}. */
     public StreamFramer() {
         this(SipParser.MAX_MESSAGE_BYTES);
     }
 
-    public StreamFramer(int most) {
-        this.maxMessageBytes = most;
+    /** A framer for messages of at most {@code maxMessageBytes}. */
+    public StreamFramer(int maxMessageBytes) {
+        this.maxMessageBytes = maxMessageBytes;
     }
 
-    /** Whether a message has begun and not ended. */
+    /** Whether the stream ends within a message so far. */
     public boolean partial() {
         return length > 0;
     }
 
     /**
-     * Takes {@code count} bytes and hands out each whole message; what is not a message ends the
-     * stream.
+     * Adds {@code count} bytes and passes on each message that is complete. After an exception the
+     * stream cannot be read any further.
      */
-    public void take(byte[] data, int from, int count, Consumer<byte[]> whole) throws BadMessage {
+    public void take(byte[] data, int from, int count, Consumer<byte[]> consumer)
+            throws BadMessage {
         if (length + count > buffer.length) {
             buffer = Arrays.copyOf(buffer, Math.max(length + count, 2 * buffer.length));
         }
@@ -49,33 +51,35 @@
             if (end < 0 || at + total > length) {
                 break;
             }
-            whole.accept(Arrays.copyOfRange(buffer, at, at + total));
+            consumer.accept(Arrays.copyOfRange(buffer, at, at + total));
             at += total;
         }
         System.arraycopy(buffer, at, buffer, 0, length - at);
         length -= at;
     }
 
+    /** The Content-Length of the header between these indices. */
     private int bodyLength(int from, int end) throws BadMessage {
         int line = from;
         while (line < end - 2) {
-            int stop = line;
-            while (buffer[stop] != '\r' || buffer[stop + 1] != '\n') {
-                stop++;
+            int lineEnd = line;
+            while (buffer[lineEnd] != '\r' || buffer[lineEnd + 1] != '\n') {
+                lineEnd++;
             }
-            String text = contentLengthValue(line, stop);
+            String text = contentLengthValue(line, lineEnd);
             if (text != null) {
-                int found = SipParser.parseNumber(text);
-                if (found < 0) {
+                int contentLength = SipParser.parseNumber(text);
+                if (contentLength < 0) {
                     throw new BadMessage("Content-Length: " + text, null);
                 }
-                return found;
+                return contentLength;
             }
-            line = stop + 2;
+            line = lineEnd + 2;
         }
         throw new BadMessage("a message on a stream without Content-Length", null);
     }
 
+    /** The value of this header line if it is Content-Length, else null. */
     private String contentLengthValue(int from, int to) {
         char first = Character.toLowerCase((char) buffer[from]);
         if (first != 'c' && first != 'l') {
@@ -88,8 +92,9 @@
         String name =
                 new String(buffer, from, colon - from, java.nio.charset.StandardCharsets.US_ASCII)
                         .strip();
-        boolean wanted = name.equalsIgnoreCase("Content-Length") || name.equalsIgnoreCase("l");
-        return wanted && colon < to
+        boolean isContentLength =
+                name.equalsIgnoreCase("Content-Length") || name.equalsIgnoreCase("l");
+        return isContentLength && colon < to
                 ? new String(
                         buffer,
                         colon + 1,
--- a/src/main/java/coralcove/sip/Timers.java
+++ b/src/main/java/coralcove/sip/Timers.java
@@ -5,17 +5,18 @@
 import java.util.List;
 
 /**
- * Timers of one core: a hierarchical wheel, six levels of 256 slots, the lowest of 1024 µs each.
- * Setting and cancelling cost the same however many there are. Timers fire in order of time, then
- * of setting, and never before their time, so that equal inputs give equal actions.
+ * The timers of one core, as a hierarchical timer wheel of six levels with 256 slots, the lowest of
+ * 1024 µs each. Setting and cancelling take constant time. Timers fire in the order of their
+ * deadlines, those of equal deadline in the order in which they were set, and never early, so that
+ * equal inputs lead to equal actions.
  */
 public final class Timers {
-    /** What is done when a timer is due. */
+    /** The action of a timer. */
     public interface Task {
         void run(long now, Out out);
     }
 
-    /** One timer that has been set; cancelling it twice, or after it fired, does nothing. */
+    /** A timer that has been set. */
     public static final class Timer {
         private final long deadline;
         private final long sequence;
@@ -24,45 +25,53 @@
         private Timer next;
         private int slot = NO_SLOT;
 
-        private Timer(long at, long order, Task task) {
-            this.deadline = at;
-            this.sequence = order;
+        private Timer(long deadline, long sequence, Task task) {
+            this.deadline = deadline;
+            this.sequence = sequence;
             this.task = task;
         }
     }
 
     private static final int NO_SLOT = -1;
 
-    /** µs a tick, as a power of two: about a millisecond, as fine as any limit here. */
+    /** Microseconds of a tick as a power of two: about a millisecond, as fine as any time limit. */
     private static final int TICK_BITS = 10;
 
     private static final int LEVEL_BITS = 8;
     private static final int SLOTS = 1 << LEVEL_BITS;
 
-    /** Levels: 2^48 ticks reach past any time of day that a clock in µs tells. */
+    /** 2^48 ticks of 2^10 µs cover all times that a clock in microseconds can show. */
     private static final int LEVELS = 6;
 
     private static final long MAX_TICK = (1L << LEVEL_BITS * LEVELS) - 1;
 
     private final Timer[] slots = new Timer[LEVELS * SLOTS];
+
+    /** One bit for each slot. */
     private final long[] occupiedSlots = new long[LEVELS * SLOTS / Long.SIZE];
+
     private long currentTick;
     private long nextSequence;
     private int size;
+
+    /** The earliest deadline, valid while {@link #earliestKnown}. */
     private long earliest = Long.MAX_VALUE;
+
     private boolean earliestKnown = true;
     private final List<Timer> expiredTimers = new ArrayList<>();
 
-    public Timer set(long at, Task task) {
-        Timer timer = new Timer(at, nextSequence++, task);
+    /** Sets a timer for a time, which may lie in the past. */
+    public Timer set(long deadline, Task task) {
+        Timer timer = new Timer(deadline, nextSequence++, task);
         insert(timer);
         size++;
         if (earliestKnown) {
-            earliest = Math.min(earliest, at);
+            earliest = Math.min(earliest, deadline);
         }
         return timer;
     }
 
+    /** Cancels a timer; does nothing if it is null, already cancelled or has fired. */
     public void cancel(Timer timer) {
         if (timer == null || timer.task == null) {
             return;
@@ -75,11 +84,12 @@
         }
     }
 
+    /** Timers that are set. */
     public int size() {
         return size;
     }
 
-    /** The time of the earliest timer, or Long.MAX_VALUE. */
+    /** The earliest deadline, or Long.MAX_VALUE without timers. */
     public long nextDeadline() {
         if (!earliestKnown) {
             earliest = advanceToEarliest();
@@ -88,9 +98,10 @@
         return earliest;
     }
 
+    /** Fires all timers whose deadline has passed, also those set by the tasks that run. */
     public void run(long now, Out out) {
         while (nextDeadline() <= now) {
-            // The earliest slot is on the lowest level now: find() has brought it there.
+            // advanceToEarliest() moves the earliest timers to the lowest level.
             earliestKnown = false;
             advanceToEarliest();
             for (Timer timer = slots[(int) (currentTick & SLOTS - 1)]; timer != null; ) {
@@ -105,12 +116,12 @@
             expiredTimers.sort(
                     Comparator.<Timer>comparingLong(t -> t.deadline)
                             .thenComparingLong(t -> t.sequence));
-            List<Timer> due = new ArrayList<>(expiredTimers);
+            List<Timer> fired = new ArrayList<>(expiredTimers);
             expiredTimers.clear();
-            for (Timer timer : due) {
+            for (Timer timer : fired) {
                 Task task = timer.task;
                 timer.task = null;
-                // One that an earlier one of the same tick cancelled does nothing.
+                // An earlier task of the same tick may have cancelled this timer.
                 if (task != null) {
                     task.run(now, out);
                 }
@@ -121,11 +132,11 @@
 
     private void insert(Timer timer) {
         long tick = Math.min(MAX_TICK, Math.max(currentTick, timer.deadline >> TICK_BITS));
-        long differs = tick ^ currentTick;
+        long difference = tick ^ currentTick;
         int level =
-                differs == 0
+                difference == 0
                         ? 0
-                        : (Long.SIZE - 1 - Long.numberOfLeadingZeros(differs)) / LEVEL_BITS;
+                        : (Long.SIZE - 1 - Long.numberOfLeadingZeros(difference)) / LEVEL_BITS;
         int slot = level * SLOTS + (int) (tick >> level * LEVEL_BITS & SLOTS - 1);
         timer.slot = slot;
         timer.previous = null;
@@ -156,8 +167,8 @@
     }
 
     /**
-     * Moves on to the earliest slot that is used, spreading higher ones over lower levels; its
-     * earliest time.
+     * Advances the current tick to the earliest occupied slot, redistributing slots of higher
+     * levels to lower ones; returns the earliest deadline.
      */
     private long advanceToEarliest() {
         while (size > 0) {
@@ -171,31 +182,32 @@
                     level++;
                 }
             }
-            long low = (1L << level * LEVEL_BITS) - 1;
+            long lowMask = (1L << level * LEVEL_BITS) - 1;
             long start =
-                    currentTick & ~((low + 1 << LEVEL_BITS) - 1)
+                    currentTick & ~((lowMask + 1 << LEVEL_BITS) - 1)
                             | (long) slot << level * LEVEL_BITS;
-            currentTick = Math.max(currentTick, level == 0 ? start : start & ~low);
+            currentTick = Math.max(currentTick, level == 0 ? start : start & ~lowMask);
             if (level == 0) {
-                long least = Long.MAX_VALUE;
+                long earliestInSlot = Long.MAX_VALUE;
                 for (Timer timer = slots[slot]; timer != null; timer = timer.next) {
-                    least = Math.min(least, timer.deadline);
+                    earliestInSlot = Math.min(earliestInSlot, timer.deadline);
                 }
-                return least;
+                return earliestInSlot;
             }
             int from = level * SLOTS + slot;
             Timer timer = slots[from];
             slots[from] = null;
             occupiedSlots[from >> 6] &= ~(1L << from);
             while (timer != null) {
-                Timer after = timer.next;
+                Timer next = timer.next;
                 insert(timer);
-                timer = after;
+                timer = next;
             }
         }
         return Long.MAX_VALUE;
     }
 
+    /** The first occupied slot of a level from an index on, or {@link #NO_SLOT}. */
     private int nextOccupiedSlot(int level, int from) {
         for (int slot = from; slot < SLOTS; slot = (slot | 63) + 1) {
             int at = level * SLOTS + slot;
--- a/src/main/java/coralcove/sip/Via.java
+++ b/src/main/java/coralcove/sip/Via.java
@@ -1,9 +1,14 @@
 package coralcove.sip;
 
-/** The topmost Via as far as it is looked at (RFC 3261 18.1, 20.42; RFC 3581). */
+/**
+ * The parts of a Via header that are used here: transport, sent-by host and port, and parameters
+ * (RFC 3261 18.1, 20.42; RFC 3581).
+ */
 public record Via(boolean tcp, String host, int port, Params params) {
+    /** The magic cookie with which a branch of RFC 3261 begins. */
     public static final String COOKIE = "z9hG4bK";
 
+    /** Parses a Via value; null if it is malformed or for another transport than UDP and TCP. */
     public static Via of(String text) {
         Params params = Params.of(text);
         String value = params.value();
@@ -24,22 +29,26 @@
         return new Via(transport.equals("TCP"), sentBy.host(), sentBy.port(), params);
     }
 
+    /** The branch parameter, or an empty string. */
     public String branch() {
         return params.get("branch", "");
     }
 
-    /** Letters, digits, dots and dashes, or what stands in brackets (RFC 3261 section 25, host). */
+    /**
+     * Whether the host has only letters, digits, dots and hyphens, or is an IPv6 address in
+     * brackets (RFC 3261 section 25, host).
+     */
     private static boolean isHost(String host) {
-        boolean six = host.startsWith("[") && host.endsWith("]");
-        for (int i = six ? 1 : 0; i < host.length() - (six ? 1 : 0); i++) {
+        boolean bracketed = host.startsWith("[") && host.endsWith("]");
+        for (int i = bracketed ? 1 : 0; i < host.length() - (bracketed ? 1 : 0); i++) {
             char c = host.charAt(i);
-            boolean good =
+            boolean allowed =
                     c >= 'a' && c <= 'z'
                             || c >= 'A' && c <= 'Z'
                             || c >= '0' && c <= '9'
                             || c == '.'
-                            || (six ? c == ':' : c == '-');
-            if (!good) {
+                            || (bracketed ? c == ':' : c == '-');
+            if (!allowed) {
                 return false;
             }
         }
@@ -47,13 +56,14 @@
     }
 
     /**
-     * Where a response goes (18.2.2): to received and rport if the receiver wrote them, else to
+     * The address for responses (18.2.2): received and rport if the receiver added them, else
      * sent-by.
      */
     public Hop responseAddress() {
         return new Hop(tcp, params.get("received", host), (int) params.number("rport", port));
     }
 
+    /** Formats a Via value with an empty rport parameter. */
     public static String text(Hop from, String branch) {
         return "SIP/2.0/"
                 + (from.tcp() ? "TCP " : "UDP ")
--- a/src/test/java/coralcove/sip/GrammarOracleTest.java
+++ b/src/test/java/coralcove/sip/GrammarOracleTest.java
@@ -22,13 +22,13 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The fast parser against the grammar of RFC 3261 section 25: what is legal is read, and read as
- * the same.
+ * Compares {@link SipParser} with a parser generated from the grammar of RFC 3261 section 25: every
+ * legal message is accepted with the same contents, except for stated limits.
  */
 class GrammarOracleTest {
     /**
-     * What the oracle makes of a message, in words that both can be asked for; null where it is not
-     * legal.
+     * The contents of a message by the grammar, in the format of {@link #describe}; null if it is
+     * not legal.
      */
     private static List<String> parseWithGrammar(byte[] bytes) {
         SipLexer lexer =
@@ -43,30 +43,30 @@
             ParseTreeWalker.DEFAULT.walk(
                     new SipBaseListener() {
                         @Override
-                        public void enterRequest(RequestContext it) {
-                            found.add("uri " + it.uri().getText());
+                        public void enterRequest(RequestContext request) {
+                            found.add("uri " + request.uri().getText());
                         }
 
                         @Override
-                        public void enterViaParm(ViaParmContext it) {
-                            found.add("via " + it.sentBy().host().getText());
+                        public void enterViaParm(ViaParmContext via) {
+                            found.add("via " + via.sentBy().host().getText());
                         }
 
                         @Override
-                        public void enterCallId(CallIdContext it) {
-                            String text = it.getText();
+                        public void enterCallId(CallIdContext callId) {
+                            String text = callId.getText();
                             found.add("call " + text.substring(text.indexOf(':') + 1).strip());
                         }
 
                         @Override
-                        public void enterCseq(CseqContext it) {
-                            MethodContext method = it.method();
+                        public void enterCseq(CseqContext cseq) {
+                            MethodContext method = cseq.method();
                             found.add(
                                     "cseq "
                                             + new java.math.BigInteger(
                                                     String.join(
                                                             "",
-                                                            it.digit().stream()
+                                                            cseq.digit().stream()
                                                                     .map(d -> d.getText())
                                                                     .toList()))
                                             + " "
@@ -74,10 +74,10 @@
                         }
 
                         @Override
-                        public void enterOther(OtherContext it) {
+                        public void enterOther(OtherContext other) {
                             found.add(
                                     "other "
-                                            + it.otherName()
+                                            + other.otherName()
                                                     .getText()
                                                     .toLowerCase(java.util.Locale.ROOT));
                         }
@@ -92,6 +92,7 @@
     private static final List<String> COMPARED_SEPARATELY =
             List.of("Via", "From", "To", "Call-ID", "CSeq", "Max-Forwards", "Content-Length");
 
+    /** The contents of a parsed message, sorted. */
     private static List<String> describe(SipMessage message) {
         List<String> found = new ArrayList<>();
         if (message.isRequest()) {
@@ -120,7 +121,7 @@
         return found.stream().sorted().toList();
     }
 
-    /** Legal by the grammar and refused all the same, each by a stated rule of this program. */
+    /** Whether the parser documents this reason to reject a message that the grammar accepts. */
     private static boolean isStatedRejection(String reason) {
         return reason.startsWith("CSeq names another method")
                 || reason.startsWith("CSeq:")
@@ -135,33 +136,33 @@
 
     @Test
     void parsesLegalMessagesAsTheGrammarDoes() throws Exception {
-        SplittableRandom chance = new SplittableRandom(3);
+        SplittableRandom random = new SplittableRandom(3);
         int legal = 0;
         int compared = 0;
         for (byte[] each : SipFuzz.corpus()) {
             for (int i = 0; i < 12; i++) {
-                byte[] bytes = i == 0 ? each : SipFuzz.mutate(each, chance);
-                List<String> wanted = parseWithGrammar(bytes);
-                if (wanted == null) {
+                byte[] bytes = i == 0 ? each : SipFuzz.mutate(each, random);
+                List<String> expected = parseWithGrammar(bytes);
+                if (expected == null) {
                     continue;
                 }
                 legal++;
                 try {
                     SipMessage message = SipParser.parse(bytes, 0, bytes.length);
                     compared++;
-                    List<String> known =
-                            wanted.stream()
+                    List<String> maskedExpected =
+                            expected.stream()
                                     .map(GrammarOracleTest::maskCompactForm)
                                     .sorted()
                                     .toList();
-                    List<String> read =
+                    List<String> maskedActual =
                             describe(message).stream()
                                     .map(GrammarOracleTest::maskCompactForm)
                                     .sorted()
                                     .toList();
-                    assertThat(read)
+                    assertThat(maskedActual)
                             .as(new String(bytes, StandardCharsets.ISO_8859_1))
-                            .isEqualTo(known);
+                            .isEqualTo(maskedExpected);
                 } catch (BadMessage e) {
                     assertThat(isStatedRejection(e.getMessage()))
                             .as(
@@ -176,12 +177,14 @@
         assertThat(compared).isGreaterThan(60);
     }
 
-    /** Names with a compact form count as one: the grammar does not write them out. */
-    private static String maskCompactForm(String what) {
-        return what.startsWith("other ")
-                        && (what.length() == 7 || COMPACT_NAMES.contains(what.substring(6)))
+    /**
+     * Replaces names with a compact form by one placeholder, as the grammar does not expand them.
+     */
+    private static String maskCompactForm(String element) {
+        return element.startsWith("other ")
+                        && (element.length() == 7 || COMPACT_NAMES.contains(element.substring(6)))
                 ? "other, may be compact"
-                : what;
+                : element;
     }
 
     private static final List<String> COMPACT_NAMES =
--- a/src/test/java/coralcove/sip/SipFuzz.java
+++ b/src/test/java/coralcove/sip/SipFuzz.java
@@ -7,9 +7,9 @@
 import java.util.SplittableRandom;
 
 /**
- * The fuzz target of parser and stream framing, in the form that Jazzer calls. What holds for any
- * bytes: only {@link BadMessage} is thrown, a good message is written and read again without a
- * loss, and a stream cut anywhere gives the same messages.
+ * The fuzz target for the parser and the stream framer, with the entry point that Jazzer calls. For
+ * any bytes: only {@link BadMessage} is thrown, a valid message is the same after encoding and
+ * parsing, and a stream yields the same messages wherever it is split.
  */
 public final class SipFuzz {
     private SipFuzz() {}
@@ -25,7 +25,7 @@
             message = SipParser.parse(data, 0, data.length);
         } catch (BadMessage e) {
             if (e.getMessage().isEmpty()) {
-                throw new IllegalStateException("a bad message without a reason");
+                throw new IllegalStateException("malformed message without a reason");
             }
             return;
         }
@@ -33,12 +33,15 @@
             byte[] bytes = message.bytes();
             if (message.encodedLength() != bytes.length) {
                 throw new IllegalStateException(
-                        "a message of " + bytes.length + " bytes says " + message.encodedLength());
+                        "encoded length is "
+                                + bytes.length
+                                + " but reported as "
+                                + message.encodedLength());
             }
             if (bytes.length <= SipParser.MAX_MESSAGE_BYTES) {
                 SipMessage again = SipParser.parse(bytes, 0, bytes.length);
                 if (!Arrays.equals(again.bytes(), bytes)) {
-                    throw new IllegalStateException("written and read again, a message differs");
+                    throw new IllegalStateException("a message differs after encoding and parsing");
                 }
             }
             message.sequence();
@@ -46,26 +49,28 @@
             SipUri.of(message.header("Contact", message.uri()));
             Params.of(message.header("Reason", ""));
         } catch (BadMessage e) {
-            throw new IllegalStateException("what was written cannot be read: " + e.getMessage());
+            throw new IllegalStateException(
+                    "an encoded message cannot be parsed: " + e.getMessage());
         }
     }
 
     private static void checkFramer(byte[] data) {
-        List<byte[]> whole = new ArrayList<>();
-        List<byte[]> parts = new ArrayList<>();
-        boolean bad = frame(data, data.length, whole);
-        int cut = data.length == 0 ? 1 : 1 + (data[data.length - 1] & 0x1f);
-        boolean badInParts = frame(data, cut, parts);
-        boolean equal = bad == badInParts && whole.size() == parts.size();
-        for (int i = 0; equal && i < whole.size(); i++) {
-            equal = Arrays.equals(whole.get(i), parts.get(i));
+        List<byte[]> messages = new ArrayList<>();
+        List<byte[]> messagesOfChunks = new ArrayList<>();
+        boolean invalid = frame(data, data.length, messages);
+        int chunkBytes = data.length == 0 ? 1 : 1 + (data[data.length - 1] & 0x1f);
+        boolean invalidInChunks = frame(data, chunkBytes, messagesOfChunks);
+        boolean equal = invalid == invalidInChunks && messages.size() == messagesOfChunks.size();
+        for (int i = 0; equal && i < messages.size(); i++) {
+            equal = Arrays.equals(messages.get(i), messagesOfChunks.get(i));
         }
         if (!equal) {
             throw new IllegalStateException(
-                    "a stream cut every " + cut + " bytes gives other messages");
+                    "a stream split every " + chunkBytes + " bytes yields other messages");
         }
     }
 
+    /** Frames the data in chunks of {@code step} bytes; returns whether the stream is invalid. */
     private static boolean frame(byte[] data, int step, List<byte[]> found) {
         StreamFramer framer = new StreamFramer();
         try {
@@ -78,37 +83,35 @@
         }
     }
 
-    /** Bytes of {@code from}, changed here and there: the regression corpus is made of these. */
-    static byte[] mutate(byte[] from, SplittableRandom chance) {
-        byte[] bytes = Arrays.copyOf(from, Math.max(0, from.length + chance.nextInt(9) - 4));
-        String odd = "\r\n \t:;,<>\"\\@=/0\u0000[]";
-        for (int i = chance.nextInt(8); i > 0 && bytes.length > 0; i--) {
-            int at = chance.nextInt(bytes.length);
+    /** A randomly mutated copy of {@code original}. */
+    static byte[] mutate(byte[] original, SplittableRandom random) {
+        byte[] bytes =
+                Arrays.copyOf(original, Math.max(0, original.length + random.nextInt(9) - 4));
+        String delimiters = "\r\n \t:;,<>\"\\@=/0\u0000[]";
+        for (int i = random.nextInt(8); i > 0 && bytes.length > 0; i--) {
+            int at = random.nextInt(bytes.length);
             bytes[at] =
                     (byte)
-                            (chance.nextBoolean()
-                                    ? odd.charAt(chance.nextInt(odd.length()))
-                                    : chance.nextInt(256));
-            int to = chance.nextInt(bytes.length);
-            int length = Math.min(chance.nextInt(40), bytes.length - Math.max(at, to));
-            if (chance.nextInt(3) == 0) {
+                            (random.nextBoolean()
+                                    ? delimiters.charAt(random.nextInt(delimiters.length()))
+                                    : random.nextInt(256));
+            int to = random.nextInt(bytes.length);
+            int length = Math.min(random.nextInt(40), bytes.length - Math.max(at, to));
+            if (random.nextInt(3) == 0) {
                 System.arraycopy(bytes, at, bytes, to, length);
             }
         }
         return bytes;
     }
 
-    /**
-     * Runs without Jazzer: {@code main(seconds)} mutates the torture messages for so long and
-     * counts.
-     */
+    /** Fuzzes without Jazzer: mutates the torture messages for the given number of seconds. */
     public static void main(String[] args) throws java.io.IOException {
         long end = System.nanoTime() + Long.parseLong(args[0]) * 1_000_000_000L;
         List<byte[]> corpus = corpus();
-        SplittableRandom chance = new SplittableRandom(System.nanoTime());
+        SplittableRandom random = new SplittableRandom(System.nanoTime());
         long runs = 0;
         while (System.nanoTime() < end) {
-            byte[] data = mutate(corpus.get(chance.nextInt(corpus.size())), chance);
+            byte[] data = mutate(corpus.get(random.nextInt(corpus.size())), random);
             try {
                 fuzzerTestOneInput(data);
             } catch (RuntimeException e) {
@@ -117,9 +120,10 @@
             }
             runs++;
         }
-        System.out.println(runs + " inputs, no find");
+        System.out.println(runs + " inputs, no failure");
     }
 
+    /** The torture messages in wire format. */
     static List<byte[]> corpus() throws java.io.IOException {
         List<byte[]> corpus = new ArrayList<>();
         try (java.io.InputStream in = SipFuzz.class.getResourceAsStream("/sip/torture.txt")) {
--- a/src/test/java/coralcove/sip/SipFuzzTest.java
+++ b/src/test/java/coralcove/sip/SipFuzzTest.java
@@ -6,34 +6,41 @@
 
 class SipFuzzTest {
     /**
-     * What fuzzing found: control characters lost at ends of values, a list cut at the bound, bytes
-     * that are no UTF-8.
+     * Guards against earlier findings: control characters lost at the ends of values, a list
+     * truncated at the limit of header fields, and bytes replaced that are not valid UTF-8.
      */
     @Test
     void acceptsEarlierFindings() throws Exception {
-        for (String find :
+        for (String finding :
                 List.of("odd-control-in-via", "list-past-the-bound", "fields-at-the-bound")) {
             try (java.io.InputStream in =
-                    SipFuzzTest.class.getResourceAsStream("/sip/finds/" + find)) {
+                    SipFuzzTest.class.getResourceAsStream("/sip/finds/" + finding)) {
                 SipFuzz.fuzzerTestOneInput(in.readAllBytes());
             }
         }
-        byte[] latin =
-                "BYE sip:a@b SIP/2.0\r\nVia: SIP/2.0/UDP h;branch=z9hG4bKx\r\nFrom: <sip:a>;tag=1\r\nTo: <sip:b>\r\nCall-ID: \u00eb1\r\nCSeq: 1 BYE\r\nContent-Length: 0\r\n\r\n"
+        byte[] latin1 =
+                ("BYE sip:a@b SIP/2.0\r\n"
+                                + "Via: SIP/2.0/UDP h;branch=z9hG4bKx\r\n"
+                                + "From: <sip:a>;tag=1\r\n"
+                                + "To: <sip:b>\r\n"
+                                + "Call-ID: \u00eb1\r\n"
+                                + "CSeq: 1 BYE\r\n"
+                                + "Content-Length: 0\r\n\r\n")
                         .getBytes(java.nio.charset.StandardCharsets.ISO_8859_1);
-        org.assertj.core.api.Assertions.assertThat(SipParser.parse(latin, 0, latin.length).bytes())
-                .isEqualTo(latin);
+        org.assertj.core.api.Assertions.assertThat(
+                        SipParser.parse(latin1, 0, latin1.length).bytes())
+                .isEqualTo(latin1);
     }
 
-    /** The regression corpus: each torture message as it is and changed in 300 seeded ways. */
+    /** Each torture message as it is and with 300 seeded mutations. */
     @Test
     void acceptsMutatedCorpus() throws Exception {
         List<byte[]> corpus = SipFuzz.corpus();
-        SplittableRandom chance = new SplittableRandom(1);
+        SplittableRandom random = new SplittableRandom(1);
         for (byte[] each : corpus) {
             SipFuzz.fuzzerTestOneInput(each);
             for (int i = 0; i < 300; i++) {
-                SipFuzz.fuzzerTestOneInput(SipFuzz.mutate(each, chance));
+                SipFuzz.fuzzerTestOneInput(SipFuzz.mutate(each, random));
             }
         }
     }
--- a/src/test/java/coralcove/sip/SipParserTest.java
+++ b/src/test/java/coralcove/sip/SipParserTest.java
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void readsFoldingCompactNamesListsAndQuotes() throws BadMessage {
+    void parsesFoldingCompactNamesListsAndQuotes() throws BadMessage {
         SipMessage message =
                 parse(
                         REQUEST_LINE
@@ -46,8 +46,8 @@
         SipUri uri = SipUri.of(message.uri());
         assertThat(uri.user()).isEqualTo("77");
         assertThat(uri.hop()).isEqualTo(new Hop(true, "h", 5061));
-        SipMessage again = parse(new String(message.bytes(), StandardCharsets.UTF_8));
-        assertThat(again.fields()).containsAll(message.fields());
+        SipMessage reparsed = parse(new String(message.bytes(), StandardCharsets.UTF_8));
+        assertThat(reparsed.fields()).containsAll(message.fields());
     }
 
     @ParameterizedTest
@@ -78,12 +78,12 @@
                 "CSeq: 7 INVITE\r\nContent-Length: -1\r\n",
                 "CSeq: 7 INVITE\r\nno colon\r\n"
             })
-    void keepsHeadersNeededForA400Response(String wrong) {
+    void keepsHeadersNeededForA400Response(String malformedHeaders) {
         String text =
                 REQUEST_LINE
                         + VIA_HEADER
                         + "From: <sip:a@h>;tag=1\r\nTo: <sip:b@h>\r\nCall-ID: x\r\n"
-                        + wrong
+                        + malformedHeaders
                         + "\r\n";
         assertThatThrownBy(() -> parse(text))
                 .isInstanceOfSatisfying(
@@ -93,37 +93,40 @@
 
     @Test
     void framesSameMessagesWhereverStreamIsSplit() throws BadMessage {
-        byte[] one =
+        byte[] first =
                 (REQUEST_LINE + VIA_HEADER + COMMON_HEADERS + "l: 4\r\n\r\nbody")
                         .getBytes(StandardCharsets.UTF_8);
-        byte[] two =
+        byte[] second =
                 (REQUEST_LINE + VIA_HEADER + COMMON_HEADERS + "Content-Length : 0\r\n\r\n")
                         .getBytes(StandardCharsets.UTF_8);
-        byte[] both = new byte[one.length + 4 + two.length];
-        System.arraycopy(one, 0, both, 0, one.length);
-        System.arraycopy("\r\n\r\n".getBytes(StandardCharsets.UTF_8), 0, both, one.length, 4);
-        System.arraycopy(two, 0, both, one.length + 4, two.length);
-        for (int cut = 0; cut <= both.length; cut++) {
+        byte[] both = new byte[first.length + 4 + second.length];
+        System.arraycopy(first, 0, both, 0, first.length);
+        System.arraycopy("\r\n\r\n".getBytes(StandardCharsets.UTF_8), 0, both, first.length, 4);
+        System.arraycopy(second, 0, both, first.length + 4, second.length);
+        for (int split = 0; split <= both.length; split++) {
             List<byte[]> found = new ArrayList<>();
             StreamFramer framer = new StreamFramer();
-            framer.take(both, 0, cut, found::add);
-            framer.take(both, cut, both.length - cut, found::add);
-            assertThat(found).as("cut at %d", cut).containsExactly(one, two);
+            framer.take(both, 0, split, found::add);
+            framer.take(both, split, both.length - split, found::add);
+            assertThat(found).as("split at %d", split).containsExactly(first, second);
         }
         List<byte[]> found = new ArrayList<>();
-        StreamFramer bytewise = new StreamFramer();
+        StreamFramer bytewiseFramer = new StreamFramer();
         for (int i = 0; i < both.length; i++) {
-            bytewise.take(both, i, 1, found::add);
+            bytewiseFramer.take(both, i, 1, found::add);
         }
-        assertThat(found).containsExactly(one, two);
+        assertThat(found).containsExactly(first, second);
     }
 
     @Test
     void rejectsStreamThatCannotBeFramed() {
-        byte[] none =
+        byte[] withoutLength =
                 (REQUEST_LINE + VIA_HEADER + COMMON_HEADERS + "\r\n")
                         .getBytes(StandardCharsets.UTF_8);
-        assertThatThrownBy(() -> new StreamFramer().take(none, 0, none.length, m -> {}))
+        assertThatThrownBy(
+                        () ->
+                                new StreamFramer()
+                                        .take(withoutLength, 0, withoutLength.length, m -> {}))
                 .isInstanceOf(BadMessage.class)
                 .hasMessageContaining("Content-Length");
         byte[] endless = new byte[SipParser.MAX_MESSAGE_BYTES + 1];
--- a/src/test/java/coralcove/sip/TimersTest.java
+++ b/src/test/java/coralcove/sip/TimersTest.java
@@ -10,43 +10,44 @@
 
 class TimersTest {
     /**
-     * The wheel against a sorted map, over any mix of setting, cancelling and running, near and
-     * far.
+     * Compares the timer wheel with a sorted map over random sequences of setting, cancelling and
+     * running, with near and distant deadlines.
      */
     @Test
     void firesInOrderOfASortedMap() {
         for (int seed = 0; seed < 60; seed++) {
-            SplittableRandom chance = new SplittableRandom(seed);
+            SplittableRandom random = new SplittableRandom(seed);
             Timers timers = new Timers();
-            TreeMap<Long, TreeMap<Integer, Timers.Timer>> plain = new TreeMap<>();
+            TreeMap<Long, TreeMap<Integer, Timers.Timer>> reference = new TreeMap<>();
             List<Integer> fired = new ArrayList<>();
-            List<Integer> wanted = new ArrayList<>();
+            List<Integer> expected = new ArrayList<>();
             long now = seed % 2 == 0 ? 0 : 1_700_000_000_000_000L;
             for (int step = 0; step < 3000; step++) {
-                int what = chance.nextInt(10);
-                if (what < 6) {
-                    long at = now - 5 + chance.nextLong(1L << chance.nextInt(3, 40));
+                int action = random.nextInt(10);
+                if (action < 6) {
+                    long at = now - 5 + random.nextLong(1L << random.nextInt(3, 40));
                     int id = step;
-                    plain.computeIfAbsent(at, t -> new TreeMap<>())
+                    reference
+                            .computeIfAbsent(at, t -> new TreeMap<>())
                             .put(id, timers.set(at, (n, o) -> fired.add(id)));
-                } else if (what < 8 && !plain.isEmpty()) {
-                    Long at = plain.ceilingKey(now + chance.nextLong(1 << 20));
-                    at = at == null ? plain.firstKey() : at;
-                    timers.cancel(plain.get(at).pollFirstEntry().getValue());
-                    plain.computeIfPresent(at, (t, map) -> map.isEmpty() ? null : map);
+                } else if (action < 8 && !reference.isEmpty()) {
+                    Long deadline = reference.ceilingKey(now + random.nextLong(1 << 20));
+                    deadline = deadline == null ? reference.firstKey() : deadline;
+                    timers.cancel(reference.get(deadline).pollFirstEntry().getValue());
+                    reference.computeIfPresent(deadline, (t, map) -> map.isEmpty() ? null : map);
                 } else {
-                    now += chance.nextLong(1L << chance.nextInt(1, 34));
+                    now += random.nextLong(1L << random.nextInt(1, 34));
                     timers.run(now, null);
-                    while (!plain.isEmpty() && plain.firstKey() <= now) {
-                        wanted.addAll(plain.pollFirstEntry().getValue().keySet());
+                    while (!reference.isEmpty() && reference.firstKey() <= now) {
+                        expected.addAll(reference.pollFirstEntry().getValue().keySet());
                     }
                 }
                 assertThat(timers.nextDeadline())
-                        .isEqualTo(plain.isEmpty() ? Long.MAX_VALUE : plain.firstKey());
+                        .isEqualTo(reference.isEmpty() ? Long.MAX_VALUE : reference.firstKey());
             }
-            assertThat(fired).as("seed %d", seed).isEqualTo(wanted);
+            assertThat(fired).as("seed %d", seed).isEqualTo(expected);
             assertThat(timers.size())
-                    .isEqualTo(plain.values().stream().mapToInt(TreeMap::size).sum());
+                    .isEqualTo(reference.values().stream().mapToInt(TreeMap::size).sum());
         }
     }
 
--- a/src/test/java/coralcove/sip/TortureTest.java
+++ b/src/test/java/coralcove/sip/TortureTest.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.api.TestFactory;
 
 /**
- * Malformed and odd but legal messages in the manner of RFC 4475, each with the verdict it must
- * get.
+ * Malformed and unusual but legal messages in the manner of RFC 4475, each with its expected
+ * verdict: accepted ("good"), dropped, or answered with a status.
  */
 class TortureTest implements Out, Agent.User {
     private final List<String> sent = new ArrayList<>();
@@ -25,8 +25,8 @@
     List<DynamicTest> givesExpectedVerdicts() throws IOException {
         List<DynamicTest> tests = new ArrayList<>();
         try (InputStream in = TortureTest.class.getResourceAsStream("/sip/torture.txt")) {
-            String all = new String(in.readAllBytes(), StandardCharsets.UTF_8);
-            for (String each : all.split("(?m)^=== ")) {
+            String allMessages = new String(in.readAllBytes(), StandardCharsets.UTF_8);
+            for (String each : allMessages.split("(?m)^=== ")) {
                 if (!each.isBlank()) {
                     int line = each.indexOf('\n');
                     String[] title = each.substring(0, line).split(" \\| ");
@@ -40,11 +40,12 @@
         return tests;
     }
 
+    /** A message of the resource file with CRLF line ends. */
     static byte[] toWireFormat(String text) {
         int body = text.indexOf("\n\n");
         String head = body < 0 ? text : text.substring(0, body + 1);
-        String rest = body < 0 ? "" : text.substring(body + 2, text.length() - 1);
-        return (head.replace("\n", "\r\n") + "\r\n" + rest).getBytes(StandardCharsets.UTF_8);
+        String bodyText = body < 0 ? "" : text.substring(body + 2, text.length() - 1);
+        return (head.replace("\n", "\r\n") + "\r\n" + bodyText).getBytes(StandardCharsets.UTF_8);
     }
 
     private void check(String verdict, String text) {
@@ -55,11 +56,11 @@
         try {
             SipMessage message = SipParser.parse(bytes, 0, bytes.length);
             found = "good";
-            // What is good is written and read again without a loss.
-            byte[] again = message.bytes();
-            SipMessage second = SipParser.parse(again, 0, again.length);
-            assertThat(second.bytes()).isEqualTo(again);
-            assertThat(second.body()).isEqualTo(message.body());
+            // An accepted message is the same after encoding and parsing.
+            byte[] encoded = message.bytes();
+            SipMessage reparsed = SipParser.parse(encoded, 0, encoded.length);
+            assertThat(reparsed.bytes()).isEqualTo(encoded);
+            assertThat(reparsed.body()).isEqualTo(message.body());
         } catch (BadMessage e) {
             agent.malformed(0, new Hop(false, "h", 2), e, this);
             found =
@@ -82,7 +83,7 @@
 
     @Override
     public void log(String event, String session, String detail) {
-        // The verdict tells.
+        // Only the response matters to the verdict.
     }
 
     @Override
@@ -101,7 +102,7 @@
     }
 
     @Override
-    public void rejected(long now, Call call, SipMessage response, Agent.Lost lost, Out out) {
+    public void rejected(long now, Call call, SipMessage response, Agent.Lost failure, Out out) {
         throw new IllegalStateException();
     }
 
