--- a/src/main/java/coralcove/sip/event/Subscriber.java
+++ b/src/main/java/coralcove/sip/event/Subscriber.java
@@ -14,15 +14,16 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The subscriptions of one node (RFC 6665): each is a dialog, renewed before its end, and a NOTIFY
- * counts only within it, from where it was asked for, in order of CSeq; any other is answered 481
- * and counted. What has not changed is not sent again (RFC 5839). When a subscription has ended its
- * user decides when to ask anew.
+ * The subscriptions of one node (RFC 6665). Each is a dialog that is renewed before it expires. A
+ * NOTIFY is accepted only within its dialog and from the notifier's address, otherwise answered
+ * with 481, and only with a rising CSeq, otherwise answered with 500; both are counted. The
+ * notifier suppresses unchanged state (RFC 5839). After a subscription has ended the user decides
+ * when to subscribe again.
  */
 public final class Subscriber {
     /**
-     * What a NOTIFY's body was: not to be read (answered 400), read but with a gap before it, or
-     * all that holds.
+     * How the user processed the body of a NOTIFY: malformed (answered with 400), valid but not
+     * leading to the complete state, or the state is complete.
      */
     public enum News {
         BAD,
@@ -30,20 +31,21 @@
         WHOLE
     }
 
-    /** What is told to the program above. */
+    /** The application that uses the subscriptions. */
     public interface User {
-        News notified(long now, Subscription it, SipMessage notify, Out out);
+        /** A NOTIFY with a body arrived. */
+        News notified(long now, Subscription subscription, SipMessage notify, Out out);
 
-        /** It was renewed: what it said last holds as of now. */
-        void renewed(long now, Subscription it, Out out);
+        /** A renewal was answered with 204: the last state received is current. */
+        void renewed(long now, Subscription subscription, Out out);
 
-        /** It is not in force any more; nothing more comes of it. */
-        void ended(long now, Subscription it, String why, Out out);
+        /** The subscription has ended; no further method is called for it. */
+        void ended(long now, Subscription subscription, String reason, Out out);
     }
 
     /**
-     * Share of its life after which a subscription is renewed, and what chance adds: many must not
-     * come together.
+     * Share of its duration after which a subscription is renewed, plus random jitter so that many
+     * subscribers do not renew at the same time.
      */
     private static final double MIN_RENEWAL_SHARE = 0.35;
 
@@ -53,8 +55,8 @@
     private static final int MAX_SUBSCRIPTIONS = 64;
 
     /**
-     * Seconds: lives granted outside of this are taken as the nearest (an hour is RFC 6665's common
-     * one).
+     * A granted duration outside of these limits is replaced by the nearer limit. RFC 6665 names an
+     * hour as a common duration.
      */
     private static final long MIN_DURATION_SECONDS = 1;
 
@@ -66,19 +68,25 @@
     private final User user;
     private final Map<String, Subscription> subscriptions = new HashMap<>();
 
-    public Subscriber(Agent agent, Timers timers, RandomGenerator chance, User user) {
+    public Subscriber(Agent agent, Timers timers, RandomGenerator random, User user) {
         this.agent = agent;
         this.timers = timers;
-        this.random = chance;
+        this.random = random;
         this.user = user;
     }
 
     /**
-     * Asks {@code to} for news of {@code event}, for {@code seconds} at a time; null past the
-     * bound.
+     * Subscribes to an event package at {@code to}, renewing every time before {@code seconds} have
+     * passed; returns null if the node has the maximum of subscriptions.
      */
     public Subscription subscribe(
-            long now, Hop to, String event, long seconds, Object owner, String ownNumber, Out out) {
+            long now,
+            Hop to,
+            String event,
+            long seconds,
+            Object owner,
+            String localNumber,
+            Out out) {
         if (subscriptions.size() >= MAX_SUBSCRIPTIONS) {
             agent.count("too-many-subscriptions");
             return null;
@@ -87,146 +95,166 @@
                 agent.request("SUBSCRIBE", SipUri.text("", to))
                         .add("Event", event)
                         .add("Expires", Long.toString(seconds))
-                        .add("X-Number", ownNumber);
-        Subscription it = new Subscription(to, event, owner, request.copy());
-        it.durationSeconds = seconds;
-        it.requestPending = true;
-        subscriptions.put(it.key(), it);
-        // 4.1.2.4, timer N: no NOTIFY within one life and the subscription never was.
-        it.expiresAt = now + seconds * 1_000_000;
-        it.expiryTimer = timers.set(it.expiresAt, (at, o) -> end(at, it, "no NOTIFY", o));
-        agent.send(now, request, to, it, out);
-        return it;
+                        .add("X-Number", localNumber);
+        Subscription subscription = new Subscription(to, event, owner, request.copy());
+        subscription.durationSeconds = seconds;
+        subscription.requestPending = true;
+        subscriptions.put(subscription.key(), subscription);
+        // 4.1.2.4, timer N: without a NOTIFY within its duration the subscription was not
+        // established.
+        subscription.expiresAt = now + seconds * 1_000_000;
+        subscription.expiryTimer =
+                timers.set(
+                        subscription.expiresAt, (at, o) -> end(at, subscription, "no NOTIFY", o));
+        agent.send(now, request, to, subscription, out);
+        return subscription;
     }
 
     /**
-     * Asks for all that holds now, unless the answer is under way; {@code whole}: also if nothing
-     * has changed.
+     * Requests the current state, with {@code full} also if it has not changed. While a request is
+     * pending nothing is sent, but a full refresh follows its response.
      */
-    public void refresh(long now, Subscription it, boolean whole, Out out) {
-        if (!it.stands() || it.requestPending || it.remoteTag.isEmpty()) {
-            it.fullRefreshWanted |= whole;
+    public void refresh(long now, Subscription subscription, boolean full, Out out) {
+        if (!subscription.stands()
+                || subscription.requestPending
+                || subscription.remoteTag.isEmpty()) {
+            subscription.fullRefreshWanted |= full;
             return;
         }
-        it.requestPending = true;
-        it.localSequence++;
+        subscription.requestPending = true;
+        subscription.localSequence++;
         SipMessage request =
-                SipMessage.request("SUBSCRIBE", SipUri.text("", it.to))
+                SipMessage.request("SUBSCRIBE", SipUri.text("", subscription.to))
                         .add("Max-Forwards", "70")
-                        .add("From", it.initialRequest.header("From"))
-                        .add("To", it.initialRequest.header("To") + ";tag=" + it.remoteTag)
-                        .add("Call-ID", it.initialRequest.callId())
-                        .add("CSeq", it.localSequence + " SUBSCRIBE")
-                        .add("Contact", it.initialRequest.header("Contact"))
-                        .add("Event", it.event)
-                        .add("Expires", Long.toString(it.durationSeconds))
-                        .add("X-Number", it.initialRequest.header("X-Number", ""));
-        if (!whole && !it.entityTag.isEmpty()) {
-            request.add("Suppress-If-Match", it.entityTag);
+                        .add("From", subscription.initialRequest.header("From"))
+                        .add(
+                                "To",
+                                subscription.initialRequest.header("To")
+                                        + ";tag="
+                                        + subscription.remoteTag)
+                        .add("Call-ID", subscription.initialRequest.callId())
+                        .add("CSeq", subscription.localSequence + " SUBSCRIBE")
+                        .add("Contact", subscription.initialRequest.header("Contact"))
+                        .add("Event", subscription.event)
+                        .add("Expires", Long.toString(subscription.durationSeconds))
+                        .add("X-Number", subscription.initialRequest.header("X-Number", ""));
+        if (!full && !subscription.entityTag.isEmpty()) {
+            request.add("Suppress-If-Match", subscription.entityTag);
         }
-        agent.send(now, request, it.to, it, out);
+        agent.send(now, request, subscription.to, subscription, out);
     }
 
-    private void end(long now, Subscription it, String why, Out out) {
-        if (!it.stands()) {
+    private void end(long now, Subscription subscription, String reason, Out out) {
+        if (!subscription.stands()) {
             return;
         }
-        it.ended = true;
-        timers.cancel(it.renewalTimer);
-        timers.cancel(it.expiryTimer);
-        subscriptions.remove(it.key());
+        subscription.ended = true;
+        timers.cancel(subscription.renewalTimer);
+        timers.cancel(subscription.expiryTimer);
+        subscriptions.remove(subscription.key());
         agent.count("subscription-ended");
-        user.ended(now, it, why, out);
+        user.ended(now, subscription, reason, out);
     }
 
-    private void startDuration(long now, Subscription it, long seconds) {
-        long life =
+    /** Starts the granted duration: sets the timers of expiry and renewal. */
+    private void startDuration(long now, Subscription subscription, long seconds) {
+        long duration =
                 Math.max(MIN_DURATION_SECONDS, Math.min(MAX_DURATION_SECONDS, seconds)) * 1_000_000;
-        it.expiresAt = now + life;
-        timers.cancel(it.expiryTimer);
-        timers.cancel(it.renewalTimer);
-        it.expiryTimer = timers.set(it.expiresAt, (at, o) -> end(at, it, "not renewed", o));
-        long wait =
-                (long) (life * (MIN_RENEWAL_SHARE + RENEWAL_JITTER_SHARE * random.nextDouble()));
-        it.renewalTimer = timers.set(now + wait, (at, o) -> refresh(at, it, false, o));
+        subscription.expiresAt = now + duration;
+        timers.cancel(subscription.expiryTimer);
+        timers.cancel(subscription.renewalTimer);
+        subscription.expiryTimer =
+                timers.set(
+                        subscription.expiresAt, (at, o) -> end(at, subscription, "not renewed", o));
+        long renewalDelay =
+                (long)
+                        (duration
+                                * (MIN_RENEWAL_SHARE + RENEWAL_JITTER_SHARE * random.nextDouble()));
+        subscription.renewalTimer =
+                timers.set(now + renewalDelay, (at, o) -> refresh(at, subscription, false, o));
     }
 
     /**
-     * The answer to one of this class's requests, or null where none came; false if the request was
-     * another's.
+     * Handles a response to a SUBSCRIBE, null if none arrived; returns false if the request is not
+     * one of this class.
      */
     public boolean replied(long now, ClientTx transaction, SipMessage response, Out out) {
-        if (!(transaction.owner() instanceof Subscription it)) {
+        if (!(transaction.owner() instanceof Subscription subscription)) {
             return false;
         }
         if (response != null && response.status() < 200) {
             return true;
         }
-        it.requestPending = false;
-        if (!it.stands()) {
+        subscription.requestPending = false;
+        if (!subscription.stands()) {
             return true;
         }
-        boolean again = it.fullRefreshWanted;
-        it.fullRefreshWanted = false;
-        boolean renewal = !it.remoteTag.isEmpty();
+        boolean refreshAgain = subscription.fullRefreshWanted;
+        subscription.fullRefreshWanted = false;
+        boolean renewal = !subscription.remoteTag.isEmpty();
         int status = response == null ? 408 : response.status();
         if (status < 300) {
-            if (it.remoteTag.isEmpty()) {
-                it.remoteTag = response.toTag();
+            if (subscription.remoteTag.isEmpty()) {
+                subscription.remoteTag = response.toTag();
             }
-            startDuration(now, it, response.number("Expires", it.durationSeconds));
+            startDuration(
+                    now, subscription, response.number("Expires", subscription.durationSeconds));
             if (renewal && status == 204) {
-                user.renewed(now, it, out);
+                user.renewed(now, subscription, out);
             }
-            if (again) {
-                refresh(now, it, true, out);
+            if (refreshAgain) {
+                refresh(now, subscription, true, out);
             }
         } else if (status == 423
-                && response.number("Min-Expires", 0) > it.durationSeconds
-                && it.durationSeconds < MAX_DURATION_SECONDS
+                && response.number("Min-Expires", 0) > subscription.durationSeconds
+                && subscription.durationSeconds < MAX_DURATION_SECONDS
                 && !renewal) {
-            // The notifier wants longer lives: asked once more, with its least.
-            it.durationSeconds = Math.min(MAX_DURATION_SECONDS, response.number("Min-Expires", 0));
-            it.localSequence++;
-            it.requestPending = true;
+            // The notifier requires a longer duration: subscribe again with its minimum.
+            subscription.durationSeconds =
+                    Math.min(MAX_DURATION_SECONDS, response.number("Min-Expires", 0));
+            subscription.localSequence++;
+            subscription.requestPending = true;
             agent.send(
                     now,
-                    it.initialRequest
+                    subscription
+                            .initialRequest
                             .copy()
-                            .set("CSeq", it.localSequence + " SUBSCRIBE")
-                            .set("Expires", Long.toString(it.durationSeconds)),
-                    it.to,
-                    it,
+                            .set("CSeq", subscription.localSequence + " SUBSCRIBE")
+                            .set("Expires", Long.toString(subscription.durationSeconds)),
+                    subscription.to,
+                    subscription,
                     out);
         } else if (!renewal || status == 481 || status == 489 || status == 403 || status == 404) {
-            end(now, it, response == null ? "no answer" : "answered " + status, out);
+            end(now, subscription, response == null ? "no answer" : "answered " + status, out);
         } else {
-            // 4.1.2.2: a renewal that failed otherwise leaves the subscription in force to its end;
-            // it is tried again.
-            it.renewalTimer =
+            // 4.1.2.2: after any other failed renewal the subscription remains valid until it
+            // expires; the renewal is retried.
+            subscription.renewalTimer =
                     timers.set(
-                            now + Math.max(1, (it.expiresAt - now) / 2),
-                            (at, o) -> refresh(at, it, false, o));
+                            now + Math.max(1, (subscription.expiresAt - now) / 2),
+                            (at, o) -> refresh(at, subscription, false, o));
         }
         return true;
     }
 
-    /** A NOTIFY, answered here. */
+    /** Handles and answers a NOTIFY. */
     public void notified(long now, ServerTx transaction, Hop from, Out out) {
         SipMessage notify = transaction.request();
-        Subscription it = subscriptions.get(notify.callId() + "|" + notify.toTag());
-        boolean dialog =
-                it != null && (it.remoteTag.isEmpty() || it.remoteTag.equals(notify.fromTag()));
-        if (!dialog
-                || !isFromNotifier(it, from)
-                || !Params.of(notify.header("Event", "")).value().equals(it.event)) {
-            // Anyone who reaches the port can send one: it is not looked into.
-            agent.count(dialog ? "notify-elsewhere" : "notify-no-dialog");
+        Subscription subscription = subscriptions.get(notify.callId() + "|" + notify.toTag());
+        boolean dialogMatches =
+                subscription != null
+                        && (subscription.remoteTag.isEmpty()
+                                || subscription.remoteTag.equals(notify.fromTag()));
+        if (!dialogMatches
+                || !isFromNotifier(subscription, from)
+                || !Params.of(notify.header("Event", "")).value().equals(subscription.event)) {
+            // Anyone who can reach the port can send a NOTIFY, so its body is not read.
+            agent.count(dialogMatches ? "notify-elsewhere" : "notify-no-dialog");
             agent.respond(
                     now, transaction, agent.reply(transaction, 481, "No such subscription"), out);
             return;
         }
-        if (notify.sequence() <= it.remoteSequence) {
+        if (notify.sequence() <= subscription.remoteSequence) {
             agent.count("notify-order");
             agent.respond(
                     now, transaction, agent.reply(transaction, 500, "CSeq out of order"), out);
@@ -242,36 +270,40 @@
                     out);
             return;
         }
-        it.remoteTag = notify.fromTag();
-        it.remoteSequence = notify.sequence();
-        boolean over = state.value().equalsIgnoreCase("terminated");
-        News news = notify.body().length == 0 ? News.GAP : user.notified(now, it, notify, out);
-        boolean taken = news != News.BAD;
-        if (!taken) {
+        subscription.remoteTag = notify.fromTag();
+        subscription.remoteSequence = notify.sequence();
+        boolean terminated = state.value().equalsIgnoreCase("terminated");
+        News result =
+                notify.body().length == 0
+                        ? News.GAP
+                        : user.notified(now, subscription, notify, out);
+        boolean accepted = result != News.BAD;
+        if (!accepted) {
             agent.count("bad-notify");
         }
         agent.respond(
                 now,
                 transaction,
-                taken
+                accepted
                         ? agent.reply(transaction, 200, "OK")
                         : agent.reply(transaction, 400, "Bad Request"),
                 out);
-        if (over) {
-            end(now, it, "terminated, " + state.get("reason", "no reason"), out);
+        if (terminated) {
+            end(now, subscription, "terminated, " + state.get("reason", "no reason"), out);
             return;
         }
-        // After a gap the tag would suppress the very list that is wanted.
-        it.entityTag = news == News.WHOLE ? notify.header("SIP-ETag", "") : "";
-        startDuration(now, it, state.number("expires", it.durationSeconds));
+        // After a gap the entity tag would suppress the full state that is needed.
+        subscription.entityTag = result == News.WHOLE ? notify.header("SIP-ETag", "") : "";
+        startDuration(now, subscription, state.number("expires", subscription.durationSeconds));
     }
 
     /**
-     * Only the host that was asked, and over UDP only its port: a stream comes from any port of it.
+     * Whether the address is the notifier's: the same host, and over UDP the same port; a TCP
+     * connection can come from any port. A host given by name is not compared.
      */
-    private static boolean isFromNotifier(Subscription it, Hop from) {
-        boolean literal = it.to.host().matches("[0-9.]+|\\[.*]|.*:.*");
-        return (from.host().equals(it.to.host()) || !literal)
-                && (from.tcp() || from.port() == it.to.port());
+    private static boolean isFromNotifier(Subscription subscription, Hop from) {
+        boolean isAddressLiteral = subscription.to.host().matches("[0-9.]+|\\[.*]|.*:.*");
+        return (from.host().equals(subscription.to.host()) || !isAddressLiteral)
+                && (from.tcp() || from.port() == subscription.to.port());
     }
 }
--- a/src/main/java/coralcove/sip/event/Subscription.java
+++ b/src/main/java/coralcove/sip/event/Subscription.java
@@ -5,53 +5,62 @@
 import coralcove.sip.Timers;
 
 /**
- * One subscription of this node (RFC 6665 4.1): a dialog in which only the notifier that was asked
- * is heard.
+ * One subscription of this node (RFC 6665 4.1): a dialog in which only the notifier at the address
+ * subscribed to is accepted.
  */
 public final class Subscription {
     final Hop to;
     final String event;
     final Object owner;
 
-    /** The first SUBSCRIBE: its From, Call-ID and Contact are the dialog's. */
+    /** The first SUBSCRIBE, whose From, Call-ID and Contact are used throughout the dialog. */
     final SipMessage initialRequest;
 
     boolean ended;
     String remoteTag = "";
     long localSequence = 1;
     long remoteSequence = -1;
+
+    /** The SIP-ETag of the last complete state, or an empty string. */
     String entityTag = "";
+
+    /** The duration that is requested. */
     long durationSeconds;
+
     long expiresAt;
+
+    /** Whether a SUBSCRIBE has no final response yet. */
     boolean requestPending;
 
-    /** The whole state is wanted as soon as the answer under way has come. */
+    /** Whether the full state is to be requested after the pending SUBSCRIBE is answered. */
     boolean fullRefreshWanted;
 
     Timers.Timer renewalTimer;
     Timers.Timer expiryTimer;
 
-    Subscription(Hop to, String event, Object owner, SipMessage first) {
+    Subscription(Hop to, String event, Object owner, SipMessage initialRequest) {
         this.to = to;
         this.event = event;
         this.owner = owner;
-        this.initialRequest = first;
+        this.initialRequest = initialRequest;
     }
 
+    /** The address of the notifier. */
     public Hop to() {
         return to;
     }
 
+    /** The event package. */
     public String event() {
         return event;
     }
 
-    /** What the user attached when it subscribed. */
+    /** The object that the user attached when it subscribed. */
     public Object owner() {
         return owner;
     }
 
-    /** Whether it has not ended yet. */
+    /** Whether the subscription has not ended. */
     public boolean stands() {
         return !ended;
     }
--- a/src/test/java/coralcove/sip/event/SubscriptionTest.java
+++ b/src/test/java/coralcove/sip/event/SubscriptionTest.java
@@ -16,7 +16,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * One subscriber, its notifier played by the test message by message; all that it says is printed.
+ * A subscriber against a notifier whose messages the test creates one by one; the trace of all
+ * messages and events is compared with a stored one.
  */
 class SubscriptionTest implements Out, Subscriber.User, Agent.User {
     private static final Hop SELF = new Hop(false, "127.0.0.1", 1);
@@ -43,19 +44,19 @@
     }
 
     private SubscriptionTest runFor(long millis) {
-        long to = now + millis * 1000;
-        while (timers.nextDeadline() <= to) {
+        long end = now + millis * 1000;
+        while (timers.nextDeadline() <= end) {
             now = Math.max(now, timers.nextDeadline());
             timers.run(now, this);
         }
-        now = to;
+        now = end;
         return this;
     }
 
-    private SubscriptionTest answer(int status, String... extra) {
+    private SubscriptionTest answer(int status, String... headers) {
         SipMessage reply = SipMessage.reply(lastRequest, status, "x", "d");
-        for (int i = 0; i < extra.length; i += 2) {
-            reply.set(extra[i], extra[i + 1]);
+        for (int i = 0; i < headers.length; i += 2) {
+            reply.set(headers[i], headers[i + 1]);
         }
         agent.receive(now, NOTIFIER, reply, this);
         return this;
@@ -117,8 +118,8 @@
         receive(new Hop(true, "127.0.0.2", 3), createNotify("active")).note("another host");
         receive(NOTIFIER, createNotify("active").set("Event", "trunk-groups"))
                 .note("another event");
-        SipMessage late = createNotify("active;expires=12");
-        receiveNotify("active;expires=12").receive(NOTIFIER, late).note("out of order");
+        SipMessage outOfOrder = createNotify("active;expires=12");
+        receiveNotify("active;expires=12").receive(NOTIFIER, outOfOrder).note("out of order");
         receive(NOTIFIER, createNotify("")).note("no state");
         nextResult = Subscriber.News.BAD;
         receiveNotify("active;expires=12").note("a body that cannot be read");
@@ -138,8 +139,8 @@
                 .note("a renewal is under way");
         nextResult = Subscriber.News.GAP;
         receiveNotify("active;expires=6");
-        // The user asks, as it does after a gap; the answer to the renewal would be 204 and bring
-        // nothing.
+        // After a gap the user requests a refresh; the pending renewal is answered with 204, which
+        // brings no state.
         subscriber.refresh(now, lastNotified, true, this);
         answer(204, "Expires", "12").assertTraceEquals("subscription-gap");
     }
@@ -170,23 +171,33 @@
                 .assertTraceEquals("subscription-brief");
     }
 
+    /** The name of a result in the stored traces. */
+    private static String traceName(Subscriber.News result) {
+        return switch (result) {
+            case BAD -> "BAD";
+            case GAP -> "GAP";
+            case WHOLE -> "WHOLE";
+        };
+    }
+
     private Subscription lastNotified;
 
     @Override
-    public Subscriber.News notified(long at, Subscription it, SipMessage notify, Out out) {
-        lastNotified = it;
-        note("news " + notify.text() + " is " + nextResult);
+    public Subscriber.News notified(
+            long time, Subscription subscription, SipMessage notify, Out out) {
+        lastNotified = subscription;
+        note("news " + notify.text() + " is " + traceName(nextResult));
         return nextResult;
     }
 
     @Override
-    public void renewed(long at, Subscription it, Out out) {
+    public void renewed(long time, Subscription subscription, Out out) {
         note("renewed");
     }
 
     @Override
-    public void ended(long at, Subscription it, String why, Out out) {
-        note("ended: " + why);
+    public void ended(long time, Subscription subscription, String reason, Out out) {
+        note("ended: " + reason);
     }
 
     @Override
@@ -211,30 +222,30 @@
     public void log(String event, String session, String detail) {}
 
     @Override
-    public void request(long at, ServerTx transaction, Hop from, Out out) {
-        subscriber.notified(at, transaction, from, out);
+    public void request(long time, ServerTx transaction, Hop from, Out out) {
+        subscriber.notified(time, transaction, from, out);
     }
 
     @Override
-    public void replied(long at, ClientTx transaction, SipMessage response, Out out) {
-        subscriber.replied(at, transaction, response, out);
+    public void replied(long time, ClientTx transaction, SipMessage response, Out out) {
+        subscriber.replied(time, transaction, response, out);
     }
 
     @Override
-    public void invited(long at, Call call, Hop from, Out out) {}
+    public void invited(long time, Call call, Hop from, Out out) {}
 
     @Override
-    public void progressed(long at, Call call, SipMessage response, Out out) {}
+    public void progressed(long time, Call call, SipMessage response, Out out) {}
 
     @Override
-    public void answered(long at, Call call, SipMessage response, Out out) {}
+    public void answered(long time, Call call, SipMessage response, Out out) {}
 
     @Override
-    public void rejected(long at, Call call, SipMessage response, Agent.Lost lost, Out out) {}
+    public void rejected(long time, Call call, SipMessage response, Agent.Lost failure, Out out) {}
 
     @Override
-    public void cancelled(long at, Call call, Out out) {}
+    public void cancelled(long time, Call call, Out out) {}
 
     @Override
-    public void hungUp(long at, Call call, SipMessage bye, Out out) {}
+    public void hungUp(long time, Call call, SipMessage bye, Out out) {}
 }
