--- a/src/main/java/coralcove/sip/transport/Sockets.java
+++ b/src/main/java/coralcove/sip/transport/Sockets.java
@@ -21,42 +21,47 @@
 import org.apache.mina.transport.socket.nio.NioSocketConnector;
 
 /**
- * One node's sockets, on Apache MINA: UDP and TCP on the same port, connections used again in both
- * directions. What is read is handed over as whole messages on MINA's threads. Bounds: connections,
- * bytes waiting, idle time.
+ * The SIP transport of one node on Apache MINA: UDP and TCP on the same port; TCP connections are
+ * reused in both directions. Complete messages are passed to the listener on MINA's threads. The
+ * number of connections, the bytes queued for a peer and the idle time are limited.
  */
 public final class Sockets implements AutoCloseable {
-    /** Connections of one node at most, both ways: past it a new one is closed at once. */
+    /** Connections in both directions at most; a further one is closed at once. */
     private static final int MAX_CONNECTIONS = 10_000;
 
     /**
-     * Bytes waiting to be written to one peer at most: past it the peer does not read, and is cut
-     * off.
+     * Bytes queued for one peer at most; a connection beyond this is closed because the peer does
+     * not read.
      */
     private static final long MAX_QUEUED_BYTES = 4L << 20;
 
-    /** Seconds after which a connection that carried nothing is closed. */
+    /** A connection without traffic for this long is closed. */
     private static final int IDLE_TIMEOUT_SECONDS = 120;
 
     /**
-     * Bytes of a socket's receive buffer for datagrams: some thousand messages, a tenth of a
-     * second's worth.
+     * Receive buffer of the UDP socket: some thousand messages, the traffic of a tenth of a second.
      */
     private static final int RECEIVE_BUFFER_BYTES = 4 << 20;
 
     private static final String ADDRESS_ATTRIBUTE = "hop";
     private static final String FRAMER_ATTRIBUTE = "framer";
 
-    /** Hears what comes in; called on MINA's threads. */
+    /** Receives messages and errors; called on MINA's threads. */
     public interface Listener {
+        /** A complete message, not parsed yet, was received. */
         void read(Hop from, byte[] bytes);
 
+        /** The connection to the peer was lost, or ({@code refused}) could not be opened. */
         void broken(Hop peer, boolean refused);
 
+        /**
+         * Traffic with a peer was dropped, in most cases with its connection, because of a limit or
+         * an error.
+         */
         void cutOff(Hop peer, String reason);
     }
 
-    private final Hop self;
+    private final Hop localAddress;
     private final Listener listener;
     private final InetSocketAddress bindAddress;
     private final NioDatagramAcceptor datagramAcceptor = new NioDatagramAcceptor();
@@ -66,11 +71,11 @@
     private final Map<Hop, ConnectionQueue> connectionQueues = new HashMap<>();
     private volatile boolean closed;
 
-    /** Binds both; a port in use ends in an IOException that names the address. */
-    public Sockets(Hop self, Listener listener) throws IOException {
-        this.self = self;
+    /** Binds the UDP and TCP sockets; the IOException on failure names the address. */
+    public Sockets(Hop localAddress, Listener listener) throws IOException {
+        this.localAddress = localAddress;
         this.listener = listener;
-        bindAddress = new InetSocketAddress(self.host(), self.port());
+        bindAddress = new InetSocketAddress(localAddress.host(), localAddress.port());
         StreamHandler handler = new StreamHandler();
         streamAcceptor.setHandler(handler);
         streamAcceptor.setReuseAddress(true);
@@ -89,21 +94,23 @@
             datagramAcceptor.bind(bindAddress);
         } catch (IOException | RuntimeException e) {
             close();
-            throw Mina.cannotListen(self.host(), self.port(), e);
+            throw Mina.cannotListen(localAddress.host(), localAddress.port(), e);
         }
     }
 
-    public Hop self() {
-        return self;
+    /** The address that the sockets are bound to. */
+    public Hop localAddress() {
+        return localAddress;
     }
 
+    /** Sends a message; over TCP opens a connection first if there is none. */
     public void send(Hop to, byte[] bytes) {
         if (closed) {
             return;
         }
         if (!to.tcp() && to.host().startsWith("[")) {
-            // The library's datagram acceptor never returns from it, and the node's thread would
-            // stand.
+            // MINA's datagram acceptor never returns from sending to IPv6 and would block the
+            // node's thread.
             listener.cutOff(to, "IPv6 over UDP is not served");
             return;
         }
@@ -121,7 +128,7 @@
         }
     }
 
-    /** Closes the stream to this peer, if there is one: a fault for rehearsals. */
+    /** Closes the connection to this peer, if there is one; used for fault injection. */
     public void cut(Hop to) {
         IoSession stream = streams.get(to);
         if (stream != null) {
@@ -140,7 +147,7 @@
         }
     }
 
-    /** What waits for a connection that is being opened. */
+    /** Messages queued while a connection is being opened. */
     private static final class ConnectionQueue {
         final List<byte[]> messages = new ArrayList<>();
         long bytes;
@@ -156,8 +163,8 @@
         synchronized (connectionQueues) {
             ConnectionQueue queue = connectionQueues.get(to);
             if (queue != null) {
-                // A peer that takes no connection must not fill the memory: its transactions send
-                // again or end.
+                // A peer that accepts no connection must not exhaust the memory; the transactions
+                // retransmit or time out.
                 if (queue.bytes + bytes.length > MAX_QUEUED_BYTES) {
                     if (!queue.overflowReported) {
                         queue.overflowReported = true;
@@ -172,26 +179,27 @@
                 queue.add(bytes);
                 return;
             }
-            ConnectionQueue first = new ConnectionQueue();
-            first.add(bytes);
-            connectionQueues.put(to, first);
+            ConnectionQueue newQueue = new ConnectionQueue();
+            newQueue.add(bytes);
+            connectionQueues.put(to, newQueue);
         }
         streamConnector
                 .connect(new InetSocketAddress(to.host(), to.port()))
                 .addListener(
                         future -> {
-                            org.apache.mina.core.future.ConnectFuture done =
+                            org.apache.mina.core.future.ConnectFuture connectFuture =
                                     (org.apache.mina.core.future.ConnectFuture) future;
                             ConnectionQueue queue;
                             synchronized (connectionQueues) {
                                 queue = connectionQueues.remove(to);
-                                if (done.isConnected()) {
-                                    streams.put(to, done.getSession());
-                                    done.getSession().setAttribute(ADDRESS_ATTRIBUTE, to);
-                                    queue.messages.forEach(each -> write(done.getSession(), each));
+                                if (connectFuture.isConnected()) {
+                                    streams.put(to, connectFuture.getSession());
+                                    connectFuture.getSession().setAttribute(ADDRESS_ATTRIBUTE, to);
+                                    queue.messages.forEach(
+                                            each -> write(connectFuture.getSession(), each));
                                 }
                             }
-                            if (!done.isConnected() && !closed) {
+                            if (!connectFuture.isConnected() && !closed) {
                                 listener.broken(to, true);
                             }
                         });
@@ -221,7 +229,7 @@
         @Override
         public void messageReceived(IoSession session, Object message) {
             byte[] bytes = Mina.bytes(message);
-            // RFC 5626 keep-alives carry nothing.
+            // Shorter datagrams are keep-alives of RFC 5626.
             if (bytes.length > 4) {
                 listener.read(remoteAddress(session, false), bytes);
             }
@@ -256,7 +264,7 @@
             Hop from = remoteAddress(session, true);
             try {
                 ((StreamFramer) session.getAttribute(FRAMER_ATTRIBUTE))
-                        .take(bytes, 0, bytes.length, whole -> listener.read(from, whole));
+                        .take(bytes, 0, bytes.length, complete -> listener.read(from, complete));
             } catch (BadMessage e) {
                 listener.cutOff(from, e.getMessage());
                 session.closeNow();
