--- a/src/main/java/coralcove/sip/event/Notifier.java
+++ b/src/main/java/coralcove/sip/event/Notifier.java
@@ -42,7 +42,7 @@
     /** The longest duration of a subscription, and the duration if Expires is absent. */
     private static final long MAX_DURATION_SECONDS = 3600;
 
-    private final Agent agent;
+    private final Agent userAgent;
     private final Timers timers;
     private final String event;
     private final String startTag;
@@ -51,8 +51,8 @@
     private long nextTag;
 
     /** {@code startTag} distinguishes the tags of this start from those of all others. */
-    public Notifier(Agent agent, Timers timers, String event, String startTag, Source source) {
-        this.agent = agent;
+    public Notifier(Agent userAgent, Timers timers, String event, String startTag, Source source) {
+        this.userAgent = userAgent;
         this.timers = timers;
         this.event = event;
         this.startTag = startTag;
@@ -72,22 +72,26 @@
                 Math.min(MAX_DURATION_SECONDS, request.number("Expires", MAX_DURATION_SECONDS));
         RemoteSubscription existing = subscriptions.get(request.callId() + "|" + request.toTag());
         if (!request.header("Event", "").equals(event)) {
-            agent.respond(
+            userAgent.respond(
                     now,
                     transaction,
-                    agent.reply(transaction, 489, "Bad Event").add("Allow-Events", event),
+                    userAgent.reply(transaction, 489, "Bad Event").add("Allow-Events", event),
                     out);
         } else if (!request.toTag().isEmpty() && existing == null) {
             // 4.2.1.1: the dialog belongs to an earlier start of this program, or has ended.
-            agent.respond(
-                    now, transaction, agent.reply(transaction, 481, "No such subscription"), out);
+            userAgent.respond(
+                    now,
+                    transaction,
+                    userAgent.reply(transaction, 481, "No such subscription"),
+                    out);
         } else if (contact == null || seconds < 0) {
-            agent.respond(now, transaction, agent.reply(transaction, 400, "Bad Request"), out);
+            userAgent.respond(
+                    now, transaction, userAgent.reply(transaction, 400, "Bad Request"), out);
         } else if (existing == null && subscriptions.size() >= MAX_SUBSCRIPTIONS) {
-            agent.respond(
+            userAgent.respond(
                     now,
                     transaction,
-                    agent.reply(transaction, 503, "Full").add("Retry-After", "5"),
+                    userAgent.reply(transaction, 503, "Full").add("Retry-After", "5"),
                     out);
         } else {
             boolean isNew = existing == null;
@@ -113,8 +117,8 @@
                                     unchanged ? "No Notification" : "OK",
                                     subscription.localTag)
                             .add("Expires", Long.toString(seconds))
-                            .add("Contact", "<" + SipUri.text("", agent.localAddress()) + ">");
-            agent.respond(now, transaction, reply, out);
+                            .add("Contact", "<" + SipUri.text("", userAgent.localAddress()) + ">");
+            userAgent.respond(now, transaction, reply, out);
             if (!unchanged) {
                 notify(now, subscription, state.tag(), state.text(), out);
             }
@@ -148,7 +152,7 @@
                         .add("To", subscription.initialRequest.header("From"))
                         .add("Call-ID", subscription.initialRequest.callId())
                         .add("CSeq", subscription.sequence + " NOTIFY")
-                        .add("Contact", "<" + SipUri.text("", agent.localAddress()) + ">")
+                        .add("Contact", "<" + SipUri.text("", userAgent.localAddress()) + ">")
                         .add("Event", event)
                         .add(
                                 "Subscription-State",
@@ -156,7 +160,7 @@
                                         ? "terminated;reason=timeout"
                                         : "active;expires=" + secondsLeft)
                         .add("SIP-ETag", tag);
-        agent.send(
+        userAgent.send(
                 now,
                 notify.body("text/plain", text.getBytes(StandardCharsets.UTF_8)),
                 subscription.address,
--- a/src/main/java/coralcove/sip/event/Subscriber.java
+++ b/src/main/java/coralcove/sip/event/Subscriber.java
@@ -62,14 +62,14 @@
 
     private static final long MAX_DURATION_SECONDS = 3600;
 
-    private final Agent agent;
+    private final Agent userAgent;
     private final Timers timers;
     private final RandomGenerator random;
     private final User user;
     private final Map<String, Subscription> subscriptions = new HashMap<>();
 
-    public Subscriber(Agent agent, Timers timers, RandomGenerator random, User user) {
-        this.agent = agent;
+    public Subscriber(Agent userAgent, Timers timers, RandomGenerator random, User user) {
+        this.userAgent = userAgent;
         this.timers = timers;
         this.random = random;
         this.user = user;
@@ -88,11 +88,12 @@
             String localNumber,
             Out out) {
         if (subscriptions.size() >= MAX_SUBSCRIPTIONS) {
-            agent.count("too-many-subscriptions");
+            userAgent.count("too-many-subscriptions");
             return null;
         }
         SipMessage request =
-                agent.request("SUBSCRIBE", SipUri.text("", to))
+                userAgent
+                        .request("SUBSCRIBE", SipUri.text("", to))
                         .add("Event", event)
                         .add("Expires", Long.toString(seconds))
                         .add("X-Number", localNumber);
@@ -106,7 +107,7 @@
         subscription.expiryTimer =
                 timers.set(
                         subscription.expiresAt, (at, o) -> end(at, subscription, "no NOTIFY", o));
-        agent.send(now, request, to, subscription, out);
+        userAgent.send(now, request, to, subscription, out);
         return subscription;
     }
 
@@ -141,7 +142,7 @@
         if (!full && !subscription.entityTag.isEmpty()) {
             request.add("Suppress-If-Match", subscription.entityTag);
         }
-        agent.send(now, request, subscription.to, subscription, out);
+        userAgent.send(now, request, subscription.to, subscription, out);
     }
 
     private void end(long now, Subscription subscription, String reason, Out out) {
@@ -152,7 +153,7 @@
         timers.cancel(subscription.renewalTimer);
         timers.cancel(subscription.expiryTimer);
         subscriptions.remove(subscription.key());
-        agent.count("subscription-ended");
+        userAgent.count("subscription-ended");
         user.ended(now, subscription, reason, out);
     }
 
@@ -214,7 +215,7 @@
                     Math.min(MAX_DURATION_SECONDS, response.number("Min-Expires", 0));
             subscription.localSequence++;
             subscription.requestPending = true;
-            agent.send(
+            userAgent.send(
                     now,
                     subscription
                             .initialRequest
@@ -249,24 +250,27 @@
                 || !isFromNotifier(subscription, from)
                 || !Params.of(notify.header("Event", "")).value().equals(subscription.event)) {
             // Anyone who can reach the port can send a NOTIFY, so its body is not read.
-            agent.count(dialogMatches ? "notify-elsewhere" : "notify-no-dialog");
-            agent.respond(
-                    now, transaction, agent.reply(transaction, 481, "No such subscription"), out);
+            userAgent.count(dialogMatches ? "notify-elsewhere" : "notify-no-dialog");
+            userAgent.respond(
+                    now,
+                    transaction,
+                    userAgent.reply(transaction, 481, "No such subscription"),
+                    out);
             return;
         }
         if (notify.sequence() <= subscription.remoteSequence) {
-            agent.count("notify-order");
-            agent.respond(
-                    now, transaction, agent.reply(transaction, 500, "CSeq out of order"), out);
+            userAgent.count("notify-order");
+            userAgent.respond(
+                    now, transaction, userAgent.reply(transaction, 500, "CSeq out of order"), out);
             return;
         }
         Params state = Params.of(notify.header("Subscription-State", ""));
         if (state.value().isEmpty() || notify.fromTag().isEmpty()) {
-            agent.count("bad-notify");
-            agent.respond(
+            userAgent.count("bad-notify");
+            userAgent.respond(
                     now,
                     transaction,
-                    agent.reply(transaction, 400, "Subscription-State is missing"),
+                    userAgent.reply(transaction, 400, "Subscription-State is missing"),
                     out);
             return;
         }
@@ -279,14 +283,14 @@
                         : user.notified(now, subscription, notify, out);
         boolean accepted = result != News.BAD;
         if (!accepted) {
-            agent.count("bad-notify");
+            userAgent.count("bad-notify");
         }
-        agent.respond(
+        userAgent.respond(
                 now,
                 transaction,
                 accepted
-                        ? agent.reply(transaction, 200, "OK")
-                        : agent.reply(transaction, 400, "Bad Request"),
+                        ? userAgent.reply(transaction, 200, "OK")
+                        : userAgent.reply(transaction, 400, "Bad Request"),
                 out);
         if (terminated) {
             end(now, subscription, "terminated, " + state.get("reason", "no reason"), out);
--- a/src/main/java/coralcove/sip/transaction/ClientTx.java
+++ b/src/main/java/coralcove/sip/transaction/ClientTx.java
@@ -27,12 +27,12 @@
 
     State state = State.CALLING;
 
-    /** Microseconds between the last two transmissions (timers A and E). */
+    /** Microseconds from the last transmission to the next (timers A and E). */
     long retransmitInterval;
 
     Timers.Timer retransmitTimer;
 
-    /** Ends the transaction: timers B, D, F and K. */
+    /** Ends the transaction: timers B, D, F, K and M. */
     Timers.Timer endTimer;
 
     /** The ACK of a failure response, sent again for each copy of the response. */
--- a/src/main/java/coralcove/sip/transaction/ServerTx.java
+++ b/src/main/java/coralcove/sip/transaction/ServerTx.java
@@ -26,7 +26,7 @@
     State state = State.PROCEEDING;
     SipMessage lastResponse;
 
-    /** Microseconds between the last two transmissions of the response (timer G). */
+    /** Microseconds from the last transmission of the response to the next (timer G). */
     long retransmitInterval;
 
     Timers.Timer retransmitTimer;
--- a/src/main/java/coralcove/sip/transaction/TransactionLayer.java
+++ b/src/main/java/coralcove/sip/transaction/TransactionLayer.java
@@ -69,7 +69,10 @@
          */
         void cancelReceived(long now, ServerTx invite, Out out);
 
-        /** A response arrived: of an INVITE each one, of another request the final one. */
+        /**
+         * A response arrived: to an INVITE any but a repeated failure response, to another request
+         * the first final response.
+         */
         void responseReceived(long now, ClientTx transaction, SipMessage response, Out out);
 
         /** A request other than CANCEL ended without a final response. */
--- a/src/test/java/coralcove/sip/TortureTest.java
+++ b/src/test/java/coralcove/sip/TortureTest.java
@@ -51,7 +51,7 @@
     private void check(String verdict, String text) {
         byte[] bytes = toWireFormat(text);
         sent.clear();
-        Agent agent = new Agent(new Hop(false, "h", 1), new Timers(), "s", this);
+        Agent userAgent = new Agent(new Hop(false, "h", 1), new Timers(), "s", this);
         String found;
         try {
             SipMessage message = SipParser.parse(bytes, 0, bytes.length);
@@ -62,7 +62,7 @@
             assertThat(reparsed.bytes()).isEqualTo(encoded);
             assertThat(reparsed.body()).isEqualTo(message.body());
         } catch (BadMessage e) {
-            agent.malformed(0, new Hop(false, "h", 2), e, this);
+            userAgent.malformed(0, new Hop(false, "h", 2), e, this);
             found =
                     sent.isEmpty()
                             ? e.partialMessage() == null
--- a/src/test/java/coralcove/sip/dialog/DialogTest.java
+++ b/src/test/java/coralcove/sip/dialog/DialogTest.java
@@ -71,7 +71,7 @@
                                         : SimulatedNetwork.DELIVERED);
         network.a.call(network.b);
         network.runFor(25);
-        network.a.agent.bye(network.now, network.a.call, null, network.a);
+        network.a.userAgent.bye(network.now, network.a.call, null, network.a);
         network.runFor(2000).assertTraceEquals("dialog-bye-overtakes");
     }
 
@@ -86,7 +86,7 @@
         network.b.autoAnswer = false;
         network.a.call(network.b);
         network.runFor(30);
-        network.a.agent.cancel(network.now, network.a.call, network.a);
+        network.a.userAgent.cancel(network.now, network.a.call, network.a);
         network.runFor(1000).assertTraceEquals("dialog-cancel-early");
     }
 
@@ -96,14 +96,14 @@
         network.b.autoAnswer = false;
         network.a.call(network.b);
         network.runFor(30);
-        network.a.agent.cancel(network.now, network.a.call, network.a);
-        network.a.agent.cancel(network.now, network.a.call, network.a);
-        network.b.agent.answer(network.now, network.b.call, network.b);
+        network.a.userAgent.cancel(network.now, network.a.call, network.a);
+        network.a.userAgent.cancel(network.now, network.a.call, network.a);
+        network.b.userAgent.answer(network.now, network.b.call, network.b);
         network.runFor(1000).note("once it stands, cancelling does nothing");
         network.b.autoAnswer = true;
         network.a.call(network.b);
         network.runFor(100);
-        network.a.agent.cancel(network.now, network.a.call, network.a);
+        network.a.userAgent.cancel(network.now, network.a.call, network.a);
         network.runFor(500).assertTraceEquals("dialog-cancel-late");
     }
 
@@ -113,9 +113,9 @@
         network.b.autoAnswer = false;
         network.a.call(network.b);
         network.runFor(30);
-        network.b.agent.reject(network.now, network.b.call, 486, "Busy Here", network.b);
-        network.b.agent.reject(network.now, network.b.call, 480, "not said twice", network.b);
-        network.b.agent.answer(network.now, network.b.call, network.b);
+        network.b.userAgent.reject(network.now, network.b.call, 486, "Busy Here", network.b);
+        network.b.userAgent.reject(network.now, network.b.call, 480, "not said twice", network.b);
+        network.b.userAgent.answer(network.now, network.b.call, network.b);
         network.runFor(2000).assertTraceEquals("dialog-refused");
     }
 
@@ -124,15 +124,15 @@
         SimulatedNetwork network = lossless();
         network.a.call(network.b);
         network.runFor(100);
-        network.a.agent.change(
+        network.a.userAgent.change(
                 network.now, network.a.call, "text/plain", "x".getBytes(), network.a);
-        network.b.agent.change(
+        network.b.userAgent.change(
                 network.now, network.b.call, "text/plain", "y".getBytes(), network.b);
         network.runFor(500);
-        network.a.agent.change(
+        network.a.userAgent.change(
                 network.now, network.a.call, "text/plain", "z".getBytes(), network.a);
         assertThat(
-                        network.a.agent.change(
+                        network.a.userAgent.change(
                                 network.now,
                                 network.a.call,
                                 "text/plain",
@@ -155,7 +155,8 @@
         network.runFor(100_000).note("from now on nothing arrives");
         unreachable[0] = true;
         network.runFor(200_000).assertTraceEquals("dialog-session-timer");
-        assertThat(network.a.agent.activeCallCount() + network.b.agent.activeCallCount()).isZero();
+        assertThat(network.a.userAgent.activeCallCount() + network.b.userAgent.activeCallCount())
+                .isZero();
     }
 
     /**
@@ -172,10 +173,10 @@
                                         : SimulatedNetwork.DELIVERED);
         network.a.call(network.b);
         network.runFor(44_900);
-        network.a.agent.change(
+        network.a.userAgent.change(
                 network.now, network.a.call, "text/plain", "x".getBytes(), network.a);
         network.runFor(60_000).assertTraceEquals("dialog-refresh-meets-change");
-        assertThat(network.a.agent.activeCallCount() + network.b.agent.activeCallCount())
+        assertThat(network.a.userAgent.activeCallCount() + network.b.userAgent.activeCallCount())
                 .isEqualTo(2);
     }
 
@@ -215,7 +216,7 @@
                         .add("Record-Route", "<sip:hp:4;lr>");
         network.deliver(new Hop(false, "hb", 2), new Hop(false, "ha", 1), ok.bytes());
         Call call = network.a.call;
-        network.a.agent.bye(
+        network.a.userAgent.bye(
                 network.now,
                 call,
                 null,
@@ -246,19 +247,20 @@
             network.a.call(network.b);
             network.runFor(step == 0 ? 0 : 50);
             if (step == 2) {
-                network.b.agent.progress(network.now, network.b.call, 180, "Ringing", network.b);
+                network.b.userAgent.progress(
+                        network.now, network.b.call, 180, "Ringing", network.b);
                 network.runFor(20);
             }
             boolean established = network.a.call.stands();
-            network.a.agent.broken(network.now, network.b.address, false, network.a);
+            network.a.userAgent.broken(network.now, network.b.address, false, network.a);
             // An established call continues, and its BYE opens a new connection; an unanswered one
             // has failed.
             assertThat(network.a.call.stands()).isEqualTo(established).isEqualTo(step == 3);
             assertThat(network.a.call.trying()).isFalse();
             if (established) {
-                network.a.agent.bye(network.now, network.a.call, null, network.a);
+                network.a.userAgent.bye(network.now, network.a.call, null, network.a);
                 network.runFor(100);
-                assertThat(network.b.agent.activeCallCount()).isZero();
+                assertThat(network.b.userAgent.activeCallCount()).isZero();
             }
         }
     }
--- a/src/test/java/coralcove/sip/dialog/InviteModelTest.java
+++ b/src/test/java/coralcove/sip/dialog/InviteModelTest.java
@@ -128,16 +128,17 @@
                 if (index == 0) {
                     cancelled = true;
                     network.note("a cancels");
-                    network.a.agent.cancel(network.now, network.a.call, network.a);
+                    network.a.userAgent.cancel(network.now, network.a.call, network.a);
                     return;
                 }
                 index--;
             }
             decided = true;
             if (index == 0) {
-                network.b.agent.answer(network.now, network.b.call, network.b);
+                network.b.userAgent.answer(network.now, network.b.call, network.b);
             } else {
-                network.b.agent.reject(network.now, network.b.call, 486, "Busy Here", network.b);
+                network.b.userAgent.reject(
+                        network.now, network.b.call, 486, "Busy Here", network.b);
             }
         }
 
@@ -147,7 +148,7 @@
             // The callee answers late, and may receive only the last retransmission of the INVITE.
             network.runFor(33_000);
             if (mayDecide()) {
-                network.b.agent.answer(network.now, network.b.call, network.b);
+                network.b.userAgent.answer(network.now, network.b.call, network.b);
             }
             network.runFor(70_000);
             String trace = network.trace();
--- a/src/test/java/coralcove/sip/dialog/SimulatedNetwork.java
+++ b/src/test/java/coralcove/sip/dialog/SimulatedNetwork.java
@@ -37,7 +37,7 @@
         final String name;
         final Hop address;
         final Timers timers = new Timers();
-        final Agent agent;
+        final Agent userAgent;
         Call call;
         boolean autoAnswer = true;
 
@@ -47,12 +47,12 @@
         TestUserAgent(String name, Hop address) {
             this.name = name;
             this.address = address;
-            agent = new Agent(address, timers, name, this);
+            userAgent = new Agent(address, timers, name, this);
         }
 
         void call(TestUserAgent callee) {
-            SipMessage invite = agent.request("INVITE", "sip:7@" + callee.address.host());
-            call = agent.invite(now, invite, callee.address, null, this);
+            SipMessage invite = userAgent.request("INVITE", "sip:7@" + callee.address.host());
+            call = userAgent.invite(now, invite, callee.address, null, this);
         }
 
         @Override
@@ -95,7 +95,7 @@
             call = affectedCall;
             record("invited");
             if (autoAnswer) {
-                agent.answer(time, affectedCall, out);
+                userAgent.answer(time, affectedCall, out);
             }
         }
 
@@ -129,7 +129,7 @@
         public void changing(long time, Call affectedCall, SipMessage invite, Out out) {
             record("asked to change to " + invite.text());
             if (reinviteStatus > 0) {
-                agent.answerChange(
+                userAgent.answerChange(
                         time, affectedCall, reinviteStatus, "x", "text/plain", invite.body(), out);
             }
         }
@@ -141,7 +141,7 @@
 
         @Override
         public void request(long time, ServerTx transaction, Hop from, Out out) {
-            agent.respond(time, transaction, agent.reply(transaction, 200, "OK"), out);
+            userAgent.respond(time, transaction, userAgent.reply(transaction, 200, "OK"), out);
         }
 
         @Override
@@ -241,9 +241,10 @@
         TestUserAgent target = to.host().equals("ha") ? a : to.host().equals("hb") ? b : null;
         if (target != null) {
             try {
-                target.agent.receive(now, from, SipParser.parse(bytes, 0, bytes.length), target);
+                target.userAgent.receive(
+                        now, from, SipParser.parse(bytes, 0, bytes.length), target);
             } catch (BadMessage e) {
-                target.agent.malformed(now, from, e, target);
+                target.userAgent.malformed(now, from, e, target);
             }
         }
         return this;
--- a/src/test/java/coralcove/sip/event/SubscriptionTest.java
+++ b/src/test/java/coralcove/sip/event/SubscriptionTest.java
@@ -23,9 +23,9 @@
     private static final Hop SELF = new Hop(false, "127.0.0.1", 1);
     private static final Hop NOTIFIER = new Hop(false, "127.0.0.1", 3);
     private final Timers timers = new Timers();
-    private final Agent agent = new Agent(SELF, timers, "s", this);
+    private final Agent userAgent = new Agent(SELF, timers, "s", this);
     private final Subscriber subscriber =
-            new Subscriber(agent, timers, new SplittableRandom(1), this);
+            new Subscriber(userAgent, timers, new SplittableRandom(1), this);
     private final StringBuilder trace = new StringBuilder();
     private SipMessage lastRequest;
     private Subscriber.News nextResult = Subscriber.News.WHOLE;
@@ -58,7 +58,7 @@
         for (int i = 0; i < headers.length; i += 2) {
             reply.set(headers[i], headers[i + 1]);
         }
-        agent.receive(now, NOTIFIER, reply, this);
+        userAgent.receive(now, NOTIFIER, reply, this);
         return this;
     }
 
@@ -80,7 +80,7 @@
     }
 
     private SubscriptionTest receive(Hop from, SipMessage message) {
-        agent.receive(now, from, message, this);
+        userAgent.receive(now, from, message, this);
         return this;
     }
 
@@ -123,7 +123,7 @@
         receive(NOTIFIER, createNotify("")).note("no state");
         nextResult = Subscriber.News.BAD;
         receiveNotify("active;expires=12").note("a body that cannot be read");
-        assertThat(agent.counters())
+        assertThat(userAgent.counters())
                 .containsEntry("notify-no-dialog", 2L)
                 .containsEntry("notify-elsewhere", 3L)
                 .containsEntry("notify-order", 1L);
