--- a/src/main/java/coralcove/sip/SipParser.java
+++ b/src/main/java/coralcove/sip/SipParser.java
@@ -6,18 +6,18 @@
 import java.util.Map;
 
 /**
- * Reads one message from bytes (RFC 3261 sections 7 and 25). Folded lines are unfolded, compact
- * names written out, Via and Route lists split into one field a value. Bounds: {@link #MOST_BYTES},
- * {@link #MOST_FIELDS}.
+ * Parses one message (RFC 3261 sections 7 and 25). Folded lines are unfolded, compact header names
+ * expanded, and lists in Via, Route and Record-Route split into one field per value. Limits: {@link
+ * #MAX_MESSAGE_BYTES}, {@link #MAX_HEADER_FIELDS}.
  */
 public final class SipParser {
-    /** Bytes: a datagram cannot be longer; a stream's message longer than this is cut off. */
-    public static final int MOST_BYTES = 65_535;
+    /** No datagram can be longer; a connection with a longer message is closed. */
+    public static final int MAX_MESSAGE_BYTES = 65_535;
 
-    /** Fields: forty times what a call takes, and few enough to look through one by one. */
-    public static final int MOST_FIELDS = 256;
+    /** Forty times as many as a call needs, and few enough for a linear search. */
+    public static final int MAX_HEADER_FIELDS = 256;
 
-    private static final Map<String, String> COMPACT =
+    private static final Map<String, String> COMPACT_FORMS =
             Map.ofEntries(
                     Map.entry("v", "Via"),
                     Map.entry("f", "From"),
@@ -32,8 +32,8 @@
                     Map.entry("o", "Event"),
                     Map.entry("u", "Allow-Events"));
 
-    /** Names as this program writes them; a name read in any other case is written like this. */
-    private static final String[] KNOWN = {
+    /** Header names in the spelling in which they are written, whatever case they were read in. */
+    private static final String[] KNOWN_NAMES = {
         "Via",
         "From",
         "To",
@@ -59,74 +59,83 @@
         "Event"
     };
 
-    private static final String[][] BY_LENGTH = byLength();
-    private static final boolean[] TOKEN = tokens();
+    private static final String[][] KNOWN_NAMES_BY_LENGTH = groupByLength();
+    private static final boolean[] TOKEN_CHARS = tokenChars();
 
-    static final List<String> NEEDED = List.of("Via", "From", "To", "Call-ID", "CSeq");
+    static final List<String> MANDATORY_HEADERS = List.of("Via", "From", "To", "Call-ID", "CSeq");
 
     private SipParser() {}
 
     /**
-     * Reads a whole datagram: the body is what follows the header, cut to Content-Length if there
-     * is one.
+     * Parses a complete datagram: the body is what follows the header, up to Content-Length if
+     * present.
      */
     public static SipMessage parse(byte[] data, int from, int length) throws BadMessage {
         return parse(data, from, length, true);
     }
 
     /**
-     * The same where peers leave out From, To and Via by agreement, as on a trunk that matches by
-     * Call-ID alone: the form of the message is read as strictly, but no header is asked for.
+     * Parses a message of peers that omit From, To and Via by agreement, as on a trunk that matches
+     * by Call-ID alone: the syntax is checked as strictly, but no header is mandatory.
      */
     public static SipMessage parseBare(byte[] data) throws BadMessage {
         return parse(data, 0, data.length, false);
     }
 
-    private static SipMessage parse(byte[] data, int from, int length, boolean whole)
+    private static SipMessage parse(byte[] data, int from, int length, boolean headersMandatory)
             throws BadMessage {
-        if (length > MOST_BYTES) {
-            throw new BadMessage("longer than " + MOST_BYTES + " bytes", null);
+        if (length > MAX_MESSAGE_BYTES) {
+            throw new BadMessage("longer than " + MAX_MESSAGE_BYTES + " bytes", null);
         }
-        int end = headerEnd(data, from, from + length);
-        if (end < 0) {
-            throw new BadMessage("the header does not end", null);
+        int headerEnd = headerEnd(data, from, from + length);
+        if (headerEnd < 0) {
+            throw new BadMessage("the header section is not terminated by an empty line", null);
         }
-        // A char a byte: what is not looked at crosses unchanged, also where it is no UTF-8.
-        String head = new String(data, from, end - from, StandardCharsets.ISO_8859_1);
-        int line = head.indexOf('\r');
-        SipMessage message = startLine(line < 0 ? head : head.substring(0, line));
-        String wrong = fields(head, line < 0 ? head.length() : line, message);
-        int given = from + length - end;
-        int wanted = given;
-        String announced = message.header("Content-Length");
-        if (announced != null) {
-            wanted = contentLength(announced);
-            if (wanted < 0 || wanted > given) {
-                wrong =
-                        wrong == null
-                                ? "Content-Length " + announced + " but " + given + " bytes follow"
-                                : wrong;
-                wanted = 0;
+        // One char per byte, so that uninterpreted values are forwarded unchanged even if they are
+        // not valid UTF-8.
+        String header = new String(data, from, headerEnd - from, StandardCharsets.ISO_8859_1);
+        int startLineEnd = header.indexOf('\r');
+        SipMessage message =
+                parseStartLine(startLineEnd < 0 ? header : header.substring(0, startLineEnd));
+        String problem =
+                parseFields(header, startLineEnd < 0 ? header.length() : startLineEnd, message);
+        int available = from + length - headerEnd;
+        int bodyLength = available;
+        String contentLength = message.header("Content-Length");
+        if (contentLength != null) {
+            bodyLength = parseNumber(contentLength);
+            if (bodyLength < 0 || bodyLength > available) {
+                problem =
+                        problem == null
+                                ? "Content-Length "
+                                        + contentLength
+                                        + " but "
+                                        + available
+                                        + " bytes follow"
+                                : problem;
+                bodyLength = 0;
             }
         }
-        if (wanted > 0) {
-            byte[] body = new byte[wanted];
-            System.arraycopy(data, end, body, 0, wanted);
-            message.rawBody(body);
+        if (bodyLength > 0) {
+            byte[] body = new byte[bodyLength];
+            System.arraycopy(data, headerEnd, body, 0, bodyLength);
+            message.setBody(body);
         }
-        if (announced == null && message.fields().size() >= MOST_FIELDS && wrong == null) {
-            // It is written with a Content-Length, and would then be past the bound for whoever
-            // reads it.
-            wrong = "more than " + MOST_FIELDS + " header fields";
+        if (contentLength == null
+                && message.fields().size() >= MAX_HEADER_FIELDS
+                && problem == null) {
+            // It is sent with a Content-Length added, and would then exceed the limit of the
+            // receiver.
+            problem = "more than " + MAX_HEADER_FIELDS + " header fields";
         }
-        wrong = wrong == null && whole ? check(message) : wrong;
-        if (wrong != null) {
-            throw new BadMessage(wrong, message);
+        problem = problem == null && headersMandatory ? validate(message) : problem;
+        if (problem != null) {
+            throw new BadMessage(problem, message);
         }
         return message;
     }
 
-    /** The index behind the empty line that ends the header, or -1. */
+    /** The index after the empty line that ends the header, or -1 if there is none. */
     static int headerEnd(byte[] data, int from, int to) {
         for (int i = from; i + 3 < to; i++) {
             if (data[i] == '\r'
@@ -139,16 +148,17 @@
         return -1;
     }
 
-    static int contentLength(String value) {
+    /** Parses a number of at most {@link #MAX_MESSAGE_BYTES}; -1 if it is larger or malformed. */
+    static int parseNumber(String value) {
         try {
-            int length = Integer.parseInt(value.strip());
-            return length > MOST_BYTES ? -1 : length;
+            int number = Integer.parseInt(value.strip());
+            return number > MAX_MESSAGE_BYTES ? -1 : number;
         } catch (NumberFormatException e) {
             return -1;
         }
     }
 
-    private static SipMessage startLine(String line) throws BadMessage {
+    private static SipMessage parseStartLine(String line) throws BadMessage {
         if (line.startsWith("SIP/2.0 ")) {
             if (line.length() >= 11
                     && line.substring(8, 11).chars().allMatch(c -> c >= '0' && c <= '9')
@@ -159,78 +169,82 @@
                         Integer.parseInt(line.substring(8, 11)),
                         line.length() > 12 ? line.substring(12) : "");
             }
-            throw new BadMessage("status line: " + cut(line), null);
+            throw new BadMessage("status line: " + abbreviate(line), null);
         }
-        int first = line.indexOf(' ');
-        int last = line.lastIndexOf(' ');
-        if (first <= 0
-                || last <= first + 1
-                || !line.substring(last + 1).equals("SIP/2.0")
-                || !token(line.substring(0, first))
-                || line.substring(first + 1, last).indexOf(' ') >= 0) {
-            throw new BadMessage("request line: " + cut(line), null);
+        int firstSpace = line.indexOf(' ');
+        int lastSpace = line.lastIndexOf(' ');
+        if (firstSpace <= 0
+                || lastSpace <= firstSpace + 1
+                || !line.substring(lastSpace + 1).equals("SIP/2.0")
+                || !isToken(line.substring(0, firstSpace))
+                || line.substring(firstSpace + 1, lastSpace).indexOf(' ') >= 0) {
+            throw new BadMessage("request line: " + abbreviate(line), null);
         }
-        return SipMessage.request(line.substring(0, first), line.substring(first + 1, last));
+        return SipMessage.request(
+                line.substring(0, firstSpace), line.substring(firstSpace + 1, lastSpace));
     }
 
-    private static String cut(String line) {
+    private static String abbreviate(String line) {
         return line.length() > 60 ? line.substring(0, 60) + "..." : line;
     }
 
-    private static String fields(String head, int from, SipMessage message) {
+    /** Parses the header fields into {@code message}; returns what is wrong with them, or null. */
+    private static String parseFields(String header, int from, SipMessage message) {
         int at = from + 2;
-        while (at < head.length()) {
-            int end = head.indexOf("\r\n", at);
+        while (at < header.length()) {
+            int end = header.indexOf("\r\n", at);
             if (end <= at) {
-                return end < 0 ? "a header line does not end" : null;
+                return end < 0 ? "a header line is not terminated by CRLF" : null;
             }
             int next = end + 2;
             StringBuilder folded = null;
-            while (next < head.length()
-                    && (head.charAt(next) == ' ' || head.charAt(next) == '\t')) {
-                int stop = head.indexOf("\r\n", next);
-                folded = folded == null ? new StringBuilder(head.substring(at, end)) : folded;
-                folded.append(' ').append(trimmed(head, next, stop));
+            while (next < header.length()
+                    && (header.charAt(next) == ' ' || header.charAt(next) == '\t')) {
+                int stop = header.indexOf("\r\n", next);
+                folded = folded == null ? new StringBuilder(header.substring(at, end)) : folded;
+                folded.append(' ').append(trimmed(header, next, stop));
                 next = stop + 2;
             }
-            String line = folded == null ? head : folded.toString();
-            int from0 = folded == null ? at : 0;
+            String line = folded == null ? header : folded.toString();
+            int lineStart = folded == null ? at : 0;
             int stop = folded == null ? end : line.length();
-            int colon = line.indexOf(':', from0);
+            int colon = line.indexOf(':', lineStart);
             int nameEnd = colon < 0 || colon >= stop ? -1 : colon;
-            while (nameEnd > from0
+            while (nameEnd > lineStart
                     && (line.charAt(nameEnd - 1) == ' ' || line.charAt(nameEnd - 1) == '\t')) {
                 nameEnd--;
             }
-            if (nameEnd < 0 || !token(line, from0, nameEnd)) {
-                return "header line: " + cut(line.substring(from0, stop));
+            if (nameEnd < 0 || !isToken(line, lineStart, nameEnd)) {
+                return "header line: " + abbreviate(line.substring(lineStart, stop));
             }
-            if (message.fields().size() >= MOST_FIELDS) {
-                return "more than " + MOST_FIELDS + " header fields";
+            if (message.fields().size() >= MAX_HEADER_FIELDS) {
+                return "more than " + MAX_HEADER_FIELDS + " header fields";
             }
-            add(message, name(line, from0, nameEnd), trimmed(line, colon + 1, stop));
-            if (message.fields().size() > MOST_FIELDS) {
-                // A list that was cut at the bound would be written shorter than it was read.
-                return "more than " + MOST_FIELDS + " header fields";
+            addValues(message, fullName(line, lineStart, nameEnd), trimmed(line, colon + 1, stop));
+            if (message.fields().size() > MAX_HEADER_FIELDS) {
+                // A list truncated at the limit would be forwarded shorter than it was received.
+                return "more than " + MAX_HEADER_FIELDS + " header fields";
             }
             at = next;
         }
         return null;
     }
 
-    private static void add(SipMessage message, String name, String value) {
+    /** Adds a field, or one for each value of a list in Via, Route or Record-Route. */
+    private static void addValues(SipMessage message, String name, String value) {
         if (!name.equals("Via") && !name.equals("Route") && !name.equals("Record-Route")) {
             message.add(name, value);
             return;
         }
         int from = 0;
-        while (from <= value.length() && message.fields().size() <= MOST_FIELDS) {
-            int comma = Params.next(value, from, ',');
+        while (from <= value.length() && message.fields().size() <= MAX_HEADER_FIELDS) {
+            int comma = Params.indexOfUnquoted(value, from, ',');
             message.add(name, trimmed(value, from, comma));
             from = comma + 1;
         }
     }
 
+    /** The text without spaces and tabs at its ends; other control characters are kept. */
     private static String trimmed(String line, int from, int to) {
         int start = from;
         int end = to;
@@ -243,15 +257,15 @@
         return line.substring(start, end);
     }
 
-    /** The name in full form: one of the known, written out, or as it stands. */
-    private static String name(String line, int from, int to) {
+    /** The header name: expanded if compact, in its known spelling if known, else unchanged. */
+    private static String fullName(String line, int from, int to) {
         int length = to - from;
         if (length == 1) {
             String name = line.substring(from, to);
-            return COMPACT.getOrDefault(name.toLowerCase(Locale.ROOT), name);
+            return COMPACT_FORMS.getOrDefault(name.toLowerCase(Locale.ROOT), name);
         }
-        if (length < BY_LENGTH.length) {
-            for (String known : BY_LENGTH[length]) {
+        if (length < KNOWN_NAMES_BY_LENGTH.length) {
+            for (String known : KNOWN_NAMES_BY_LENGTH[length]) {
                 if (line.regionMatches(true, from, known, 0, length)) {
                     return known;
                 }
@@ -260,46 +274,47 @@
         return line.substring(from, to);
     }
 
-    private static String[][] byLength() {
-        String[][] found = new String[20][];
-        for (int length = 0; length < found.length; length++) {
-            int wanted = length;
-            found[length] =
-                    java.util.Arrays.stream(KNOWN)
-                            .filter(k -> k.length() == wanted)
+    private static String[][] groupByLength() {
+        String[][] names = new String[20][];
+        for (int length = 0; length < names.length; length++) {
+            int wantedLength = length;
+            names[length] =
+                    java.util.Arrays.stream(KNOWN_NAMES)
+                            .filter(name -> name.length() == wantedLength)
                             .toArray(String[]::new);
         }
-        return found;
+        return names;
     }
 
-    private static boolean[] tokens() {
-        boolean[] found = new boolean[128];
-        for (char c = 0; c < found.length; c++) {
-            found[c] =
+    private static boolean[] tokenChars() {
+        boolean[] allowed = new boolean[128];
+        for (char c = 0; c < allowed.length; c++) {
+            allowed[c] =
                     c >= 'a' && c <= 'z'
                             || c >= 'A' && c <= 'Z'
                             || c >= '0' && c <= '9'
                             || "-.!%*_+`'~".indexOf(c) >= 0;
         }
-        return found;
+        return allowed;
     }
 
-    private static boolean token(String text) {
-        return token(text, 0, text.length());
+    private static boolean isToken(String text) {
+        return isToken(text, 0, text.length());
     }
 
-    private static boolean token(String text, int from, int to) {
+    private static boolean isToken(String text, int from, int to) {
         for (int i = from; i < to; i++) {
             char c = text.charAt(i);
-            if (c >= TOKEN.length || !TOKEN[c]) {
+            if (c >= TOKEN_CHARS.length || !TOKEN_CHARS[c]) {
                 return false;
             }
         }
         return to > from;
     }
 
-    private static String check(SipMessage message) {
-        for (String name : NEEDED) {
+    /** Checks the headers that every message must have; returns what is wrong, or null. */
+    private static String validate(SipMessage message) {
+        for (String name : MANDATORY_HEADERS) {
             if (message.header(name) == null) {
                 return name + " is missing";
             }
@@ -307,21 +322,22 @@
         long sequence = message.sequence();
         String cseq = message.header("CSeq");
         if (sequence < 0 || sequence > 0x7fffffffL) {
-            return "CSeq: " + cut(cseq);
+            return "CSeq: " + abbreviate(cseq);
         }
         if (message.isRequest()
                 && !cseq.substring(cseq.indexOf(' ') + 1).strip().equals(message.method())) {
-            return "CSeq names another method: " + cut(cseq);
+            return "CSeq names another method: " + abbreviate(cseq);
         }
         if (message.via() == null) {
-            return "Via: " + cut(message.header("Via"));
+            return "Via: " + abbreviate(message.header("Via"));
         }
         if (message.callId().isEmpty() || message.fromTag().isEmpty()) {
             return "Call-ID or the tag of From is empty";
         }
-        String forwards = message.header("Max-Forwards");
-        if (forwards != null && (contentLength(forwards) < 0 || contentLength(forwards) > 255)) {
-            return "Max-Forwards: " + cut(forwards);
+        String maxForwards = message.header("Max-Forwards");
+        if (maxForwards != null
+                && (parseNumber(maxForwards) < 0 || parseNumber(maxForwards) > 255)) {
+            return "Max-Forwards: " + abbreviate(maxForwards);
         }
         return null;
     }
--- a/src/main/java/coralcove/sip/dialog/Call.java
+++ b/src/main/java/coralcove/sip/dialog/Call.java
@@ -8,43 +8,54 @@
 import java.util.List;
 
 /**
- * One leg: an INVITE sent or received, and the dialog that its 2xx makes. Owned by one {@link
- * Agent}.
+ * One call leg: an INVITE sent or received, and the dialog that its 2xx establishes. Belongs to one
+ * {@link Agent}.
  */
 public final class Call {
     enum State {
         TRYING,
-        STANDS,
-        ENDED
+        ESTABLISHED,
+        TERMINATED
     }
 
     final boolean outgoing;
     final SipMessage invite;
     final String localTag;
     final String sessionId;
+
+    /** The object that the application attached. */
     Object owner;
+
     String remoteTag = "";
     String remoteTarget = "";
 
-    /** The route set (RFC 3261 12.1), in the order in which in-dialog requests pass it. */
-    List<String> routes = List.of();
+    /** The route set (RFC 3261 12.1), in the order in which requests in the dialog traverse it. */
+    List<String> routeSet = List.of();
+
+    /** The re-INVITE or UPDATE sent and not answered yet, or null. */
+    ClientTx outgoingChange;
 
-    /** The re-INVITE or UPDATE that is out, and the one that came and waits for its answer. */
-    ClientTx change;
+    /** The re-INVITE received and not answered yet, or null. */
+    ServerTx incomingChange;
 
-    ServerTx changing;
+    /** The session interval (RFC 4028), 0 without one. */
+    long sessionIntervalMicros;
 
-    /** µs of the session interval (RFC 4028), 0 for none. */
-    long interval;
+    /** Refreshes the session, or ends it if the other side does not. */
+    Timers.Timer sessionTimer;
+
+    /** Where requests in the dialog are sent. */
+    Hop remoteAddress;
 
-    Timers.Timer refresh;
-    Hop remoteHop;
     long localSequence;
     long remoteSequence = -1;
-    ClientTx client;
-    ServerTx server;
+    ClientTx clientTransaction;
+    ServerTx serverTransaction;
+
+    /** The ACK of the 2xx, sent again for each copy of the 2xx. */
     SipMessage ack;
-    boolean heard;
+
+    boolean provisionalReceived;
     boolean cancelled;
     State state = State.TRYING;
 
@@ -56,35 +67,41 @@
         localSequence = outgoing ? invite.sequence() : 1;
     }
 
+    /** The INVITE that started the call. */
     public SipMessage invite() {
         return invite;
     }
 
+    /** The value of Session-ID (RFC 7989), or an empty string. */
     public String sessionId() {
         return sessionId;
     }
 
+    /** The object that the application attached, or null. */
     public Object owner() {
         return owner;
     }
 
-    public void owner(Object it) {
-        owner = it;
+    public void owner(Object owner) {
+        this.owner = owner;
     }
 
+    /** Whether this node sent the INVITE. */
     public boolean outgoing() {
         return outgoing;
     }
 
+    /** Whether the call was answered and has not ended. */
     public boolean stands() {
-        return state == State.STANDS;
+        return state == State.ESTABLISHED;
     }
 
+    /** Whether the INVITE has no final response yet. */
     public boolean trying() {
         return state == State.TRYING;
     }
 
-    /** Whether its own side gave it up before it was answered. */
+    /** Whether this side cancelled the outgoing call before it was answered. */
     public boolean cancelled() {
         return cancelled;
     }
--- a/src/main/java/coralcove/sip/transaction/ClientTx.java
+++ b/src/main/java/coralcove/sip/transaction/ClientTx.java
@@ -6,8 +6,8 @@
 import coralcove.sip.Timers;
 
 /**
- * A client transaction (RFC 3261 17.1): one request sent until it is answered, timed out or given
- * up on.
+ * A client transaction (RFC 3261 17.1): one request that is retransmitted until it is answered,
+ * times out or is abandoned.
  */
 public final class ClientTx {
     enum State {
@@ -15,19 +15,30 @@
         PROCEEDING,
         COMPLETED,
         ACCEPTED,
-        ENDED
+        TERMINATED
     }
 
     final String key;
     final SipMessage request;
     final Hop to;
+
+    /** The object that the transaction user attached. */
     final Object owner;
+
     State state = State.CALLING;
-    long gap;
-    Timers.Timer resend;
-    Timers.Timer end;
+
+    /** Microseconds from the last transmission to the next (timers A and E). */
+    long retransmitInterval;
+
+    Timers.Timer retransmitTimer;
+
+    /** Ends the transaction: timers B, D, F, K and M. */
+    Timers.Timer endTimer;
+
+    /** The ACK of a failure response, sent again for each copy of the response. */
     SipMessage ack;
-    boolean quiet;
+
+    boolean retransmissionStopped;
 
     ClientTx(String key, SipMessage request, Hop to, Object owner) {
         this.key = key;
@@ -40,20 +51,21 @@
         return request;
     }
 
+    /** The address that the request is sent to. */
     public Hop to() {
         return to;
     }
 
-    /** What the user attached when it sent the request. */
+    /** The object that the transaction user attached when it sent the request, or null. */
     public Object owner() {
         return owner;
     }
 
-    boolean invite() {
+    boolean isInvite() {
         return request.method().equals("INVITE");
     }
 
-    void resend(Out out) {
+    void transmit(Out out) {
         out.send(to, request);
     }
 }
--- a/src/main/java/coralcove/sip/transaction/ServerTx.java
+++ b/src/main/java/coralcove/sip/transaction/ServerTx.java
@@ -5,8 +5,8 @@
 import coralcove.sip.Timers;
 
 /**
- * A server transaction (RFC 3261 17.2): one request received, and the answer that is sent again as
- * needed.
+ * A server transaction (RFC 3261 17.2): one request received, and its last response, which is
+ * retransmitted as needed.
  */
 public final class ServerTx {
     enum State {
@@ -14,44 +14,56 @@
         COMPLETED,
         ACCEPTED,
         CONFIRMED,
-        ENDED
+        TERMINATED
     }
 
     final String key;
     final SipMessage request;
-    Hop back;
+
+    /** The address that responses are sent to. */
+    Hop responseAddress;
+
     State state = State.PROCEEDING;
-    SipMessage last;
-    long gap;
-    Timers.Timer resend;
-    Timers.Timer end;
-    String dialog;
+    SipMessage lastResponse;
+
+    /** Microseconds from the last transmission of the response to the next (timer G). */
+    long retransmitInterval;
+
+    Timers.Timer retransmitTimer;
+
+    /** Ends the transaction: timers H, I, J and L. */
+    Timers.Timer endTimer;
+
+    /** The key by which the ACK of a 2xx is matched; null until a 2xx was sent. */
+    String ackKey;
+
     private Object owner;
 
-    ServerTx(String key, SipMessage request, Hop back) {
+    ServerTx(String key, SipMessage request, Hop responseAddress) {
         this.key = key;
         this.request = request;
-        this.back = back;
+        this.responseAddress = responseAddress;
     }
 
     public SipMessage request() {
         return request;
     }
 
-    /** What the user attached. */
+    /** The object that the transaction user attached, or null. */
     public Object owner() {
         return owner;
     }
 
-    public void owner(Object it) {
-        owner = it;
+    public void owner(Object owner) {
+        this.owner = owner;
     }
 
-    public boolean answered() {
+    /** Whether a final response was sent. */
+    public boolean hasFinalResponse() {
         return state != State.PROCEEDING;
     }
 
-    boolean invite() {
+    boolean isInvite() {
         return request.method().equals("INVITE");
     }
 }
