--- a/src/main/java/coralcove/Choice.java
+++ b/src/main/java/coralcove/ExponentialPenaltyRouter.java
@@ -26,9 +26,9 @@
  * <pre>    x/c0 &lt;= y/c1 + log(c0/c1) / (beta * b)</pre>
  *
  * <p>that is, if the penalty exp(beta*b*x/c0) + exp(beta*b*y/c1) grows less by accepting the call
- * than by refusing it. The targets c0 and c1 and the exponent beta come from a {@link Targets}. A
- * session whose direct group is full overflows to the tandem whose first group passes the test with
- * the least slope of the penalty along x.
+ * than by refusing it. The targets c0 and c1 and the exponent beta come from a {@link
+ * TargetSource}. A session whose direct group is full overflows to the tandem whose first group
+ * passes the test with the least slope of the penalty along x.
  *
  * <p>Beside the rule, limits protect the processors of the exchanges: windows of INVITEs in flight,
  * a failure count, retry delays and a set-up budget for cold exchanges. docs/design.md describes
@@ -37,7 +37,7 @@
  * <p>One object serves the router of one exchange. It has no clock and does no input or output. Not
  * thread-safe.
  */
-public final class Choice implements CallRouter {
+public final class ExponentialPenaltyRouter implements CallRouter {
     // ---- the penalty rule
 
     /** Window in µs over which the load of a class on a group is measured. */
@@ -279,7 +279,7 @@
     private final long warmUpTime;
     private final boolean subscribes;
     private final RandomGenerator random;
-    private final Targets targets;
+    private final TargetSource targets;
     private final CallClass[] classes;
 
     /** Circuits of a call of the widest service. */
@@ -502,7 +502,7 @@
     }
 
     /** Creates a router that computes its targets itself. */
-    public Choice(Settings settings, RandomGenerator random) {
+    public ExponentialPenaltyRouter(Settings settings, RandomGenerator random) {
         this(settings, random, new Planner(settings));
     }
 
@@ -510,26 +510,27 @@
      * Creates a router with another source of targets, such as a separate planner, which may be
      * late, restart or be gone.
      */
-    public Choice(Settings settings, RandomGenerator random, Targets targets) {
+    public ExponentialPenaltyRouter(
+            Settings settings, RandomGenerator random, TargetSource targets) {
         this.random = random;
         this.targets = targets;
-        localNumber = settings.ownNumber();
+        localNumber = settings.localNumber();
         routers = settings.routers();
-        usesPools = settings.pools();
-        maxInvites = settings.inviteLimit();
-        maxRetryAfter = settings.comeBack() ? settings.longestComeBack() : 0;
+        usesPools = settings.usesPools();
+        maxInvites = settings.maxInvites();
+        maxRetryAfter = settings.retryAfterAllowed() ? settings.maxRetryAfter() : 0;
         releaseWait = settings.releaseWait();
-        overloadWindow = settings.fallWindow();
-        warmUpTime = settings.warmUp();
+        overloadWindow = settings.overloadWindow();
+        warmUpTime = settings.warmUpTime();
         coldBudget =
                 COLD_BUDGET_FACTOR
-                        * settings.fallMultiple()
-                        * settings.coldFrom()
+                        * settings.overloadMultiple()
+                        * settings.coldCapacityShare()
                         * overloadWindow
                         / 1e6;
-        subscribes = settings.subscribe();
+        subscribes = settings.mustSubscribe();
         subscribeAt = subscribes ? 0 : NEVER;
-        advertises = settings.peers() && !usesPools;
+        advertises = settings.peerMessagesAllowed() && !usesPools;
         // Each router sends to all others: at a fixed interval the work of receiving would grow
         // with the square of the fleet.
         advertisementInterval =
@@ -544,18 +545,19 @@
             Settings.Service service = services.get(i / 2);
             classes[i] =
                     new CallClass(
-                            service.target(),
-                            service.width(),
-                            service.hold(),
+                            service.postDialTarget(),
+                            service.circuits(),
+                            service.holdTime(),
                             service.repeatable(),
                             i == mostValuable && services.size() > 1
                                     ? HIGH_VALUE_WINDOW_SHARE
                                     : LOW_VALUE_WINDOW_SHARE,
-                            service.pools());
-            mostCircuits = Math.max(mostCircuits, service.width());
+                            service.allowedPools());
+            mostCircuits = Math.max(mostCircuits, service.circuits());
         }
         widest = mostCircuits;
-        shortestTarget = services.stream().mapToLong(Settings.Service::target).min().orElse(0);
+        shortestTarget =
+                services.stream().mapToLong(Settings.Service::postDialTarget).min().orElse(0);
     }
 
     /**
@@ -564,12 +566,15 @@
      * number tells when its caller tried first.
      */
     private int classOf(long now, Session session) {
-        CalledNumber called = session.transit() ? null : calledNumbers.get(session.number());
+        CalledNumber called = session.transit() ? null : calledNumbers.get(session.calledNumber());
         called =
                 called != null && now - called.firstTryAt > CALLED_NUMBER_MEMORY_MICROS
                         ? null
                         : called;
-        boolean tried = redialsMarked ? session.redialled() && !session.cut() : called != null;
+        boolean tried =
+                redialsMarked
+                        ? session.redialled() && !session.redialledAfterCut()
+                        : called != null;
         long target = classes[2 * session.service()].postDialTarget;
         boolean inTime = called != null && now <= called.firstTryAt + LATE_TRY_SHARE * target;
         return 2 * session.service() + (tried && !inTime ? 1 : 0);
@@ -580,13 +585,13 @@
      * have not been used for longer than the memory.
      */
     private CalledNumber useCalledNumber(long now, Session session) {
-        CalledNumber called = calledNumbers.remove(session.number());
+        CalledNumber called = calledNumbers.remove(session.calledNumber());
         called = called == null ? new CalledNumber() : called;
         if (now - called.firstTryAt > CALLED_NUMBER_MEMORY_MICROS) {
-            called.firstTryAt = session.arrived();
+            called.firstTryAt = session.arrivedAt();
         }
         called.lastUsedAt = now;
-        calledNumbers.put(session.number(), called);
+        calledNumbers.put(session.calledNumber(), called);
         Iterator<CalledNumber> leastRecentlyUsed = calledNumbers.values().iterator();
         while (now - leastRecentlyUsed.next().lastUsedAt > CALLED_NUMBER_MEMORY_MICROS) {
             leastRecentlyUsed.remove();
@@ -599,7 +604,7 @@
      * work for several processors.
      */
     private void recordBusyLines(long now, Session session) {
-        if (session.number() != 0) {
+        if (session.calledNumber() != 0) {
             CalledNumber called = useCalledNumber(now, session);
             called.busyLinesGap =
                     Math.min(
@@ -614,23 +619,23 @@
      * whether there were too many: such calls are refused again and are not counted as load.
      */
     private boolean isTooEarly(long now, Session session) {
-        CalledNumber called = session.transit() ? null : calledNumbers.get(session.number());
+        CalledNumber called = session.transit() ? null : calledNumbers.get(session.calledNumber());
         return called != null && now < called.retryAt && ++called.earlyCalls > MAX_EARLY_CALLS;
     }
 
     private boolean hasBusyLines(long now, Session session) {
-        CalledNumber called = calledNumbers.get(session.number());
+        CalledNumber called = calledNumbers.get(session.calledNumber());
         return called != null && now < called.busyLinesUntil;
     }
 
     // ---- decisions
 
     @Override
-    public Answer route(long now, Session session) {
+    public RoutingDecision route(long now, Session session) {
         recordStart(now);
         PendingSession pending = pendingSessions.get(session.id());
         if (pending == null && isTooEarly(now, session)) {
-            return Answer.refuse(calledNumbers.get(session.number()).retryAt - now);
+            return RoutingDecision.refuse(calledNumbers.get(session.calledNumber()).retryAt - now);
         }
         if (pending == null) {
             pending = new PendingSession(session, classOf(now, session));
@@ -645,16 +650,16 @@
             }
         }
         return now < pending.sendNotBefore
-                ? Answer.later(pending.sendNotBefore)
+                ? RoutingDecision.later(pending.sendNotBefore)
                 : chooseRoute(now, pending);
     }
 
     @Override
-    public Answer after(
+    public RoutingDecision onInviteOutcome(
             long now,
             long session,
-            Ending outcome,
-            Cause cause,
+            InviteOutcome outcome,
+            RejectionCause cause,
             long exchangeId,
             long took,
             long retryAfter,
@@ -662,24 +667,24 @@
         recordStart(now);
         PendingSession pending = pendingSessions.get(session);
         if (pending == null || pending.invite == null) {
-            return over ? Answer.NOTHING : Answer.FAIL;
+            return over ? RoutingDecision.NOTHING : RoutingDecision.FAIL;
         }
         RemoteExchange exchange = pending.invite.exchange;
         recordOutcome(now, pending, outcome, cause, took, retryAfter);
-        if (outcome == Ending.STANDS) {
-            return Answer.NOTHING;
+        if (outcome == InviteOutcome.ESTABLISHED) {
+            return RoutingDecision.NOTHING;
         }
         exchange.group.classStates[pending.classIndex].activeCalls--;
         pending.invite = null;
         if (over) {
             pendingSessions.remove(session);
-            return Answer.NOTHING;
+            return RoutingDecision.NOTHING;
         }
         return retry(now, pending, exchange, outcome, cause);
     }
 
     @Override
-    public Waiting waiting(long now) {
+    public PendingActions pendingActions(long now) {
         recordStart(now);
         boolean subscribe = now >= subscribeAt;
         if (subscribe) {
@@ -697,13 +702,13 @@
             }
         }
         long until = Math.min(subscribeAt, advertises ? advertiseAt : NEVER);
-        return new Waiting(until == NEVER ? 0 : until, List.of(), broadcasts, subscribe);
+        return new PendingActions(until == NEVER ? 0 : until, List.of(), broadcasts, subscribe);
     }
 
     // ---- facts
 
     @Override
-    public void roster(long now, boolean complete, List<Exchange> list) {
+    public void onExchangeList(long now, boolean complete, List<Exchange> list) {
         recordStart(now);
         exchanges.values().forEach(exchange -> exchange.ready &= !complete);
         for (Exchange listed : list) {
@@ -718,8 +723,8 @@
                                             group,
                                             new SlidingWindowSum(overloadWindow * 9 / 8, 9)));
             exchange.ready = listed.phase() == READY;
-            if (exchange.startedAt != listed.since()) {
-                exchange.startedAt = listed.since();
+            if (exchange.startedAt != listed.startedAt()) {
+                exchange.startedAt = listed.startedAt();
                 exchange.failuresInARow = 0;
                 exchange.window = INITIAL_COLD_WINDOW;
             }
@@ -737,7 +742,7 @@
     }
 
     @Override
-    public void rosterLost(long now) {
+    public void onExchangeListLost(long now) {
         // A failing directory is overloaded: all routers querying again at once would keep it so.
         subscribeAt =
                 subscribes
@@ -746,7 +751,7 @@
     }
 
     @Override
-    public void circuits(long now, long exchangeId, int free, int size) {
+    public void onCircuitUpdate(long now, long exchangeId, int free, int size) {
         RemoteExchange exchange = exchanges.get(exchangeId);
         if (exchange != null) {
             exchange.group.free = free;
@@ -755,12 +760,13 @@
     }
 
     @Override
-    public void report(long now, long exchangeId, boolean passed, long took, float[] columns) {
+    public void onProbeReply(
+            long now, long exchangeId, boolean passed, long took, float[] columns) {
         recordStart(now);
     }
 
     @Override
-    public void peer(long now, int rank, byte[] body) {
+    public void onPeerMessage(long now, int rank, byte[] body) {
         recordStart(now);
         Group tandem = body.length < 2 ? null : groups.get(body[0] & 0xff | (body[1] & 0xff) << 8);
         if (tandem == null) {
@@ -779,14 +785,14 @@
      * the tandem has a group to the far end.
      */
     private void recordAdvice(Session session) {
-        Group tandem = groups.get(session.advice());
+        Group tandem = groups.get(session.advisedTandem());
         if (tandem != null) {
             tandem.reachedFarEnds.add(session.farEnd());
         }
     }
 
     @Override
-    public void ended(long now, long session) {
+    public void onSessionEnded(long now, long session) {
         PendingSession pending = pendingSessions.get(session);
         if (pending != null && pending.invite == null) {
             pendingSessions.remove(session);
@@ -848,11 +854,11 @@
 
     // ---- routes
 
-    private Answer chooseRoute(long now, PendingSession pending) {
+    private RoutingDecision chooseRoute(long now, PendingSession pending) {
         Session session = pending.session;
         RemoteExchange direct = readyExchange(session.farEnd());
         if (pending.invitesSent >= maxInvites
-                || session.limit() - now < MIN_TIME_LEFT_MICROS
+                || session.deadline() - now < MIN_TIME_LEFT_MICROS
                 || hasBusyLines(now, session)) {
             return refuse(now, pending, direct);
         }
@@ -881,7 +887,7 @@
      * Sends a session whose direct group is full to the tandem whose first group passes the test
      * with the least slope of the penalty.
      */
-    private Answer overflow(long now, PendingSession pending, RemoteExchange direct) {
+    private RoutingDecision overflow(long now, PendingSession pending, RemoteExchange direct) {
         Session session = pending.session;
         CallClass callClass = classes[pending.classIndex];
         RemoteExchange best = null;
@@ -953,14 +959,14 @@
         return !usesPools || callClass.pools.isEmpty() || callClass.pools.contains(exchange.number);
     }
 
-    private Answer send(long now, PendingSession pending, RemoteExchange exchange) {
+    private RoutingDecision send(long now, PendingSession pending, RemoteExchange exchange) {
         Session session = pending.session;
         boolean trial = exchange.failuresInARow >= FAILURES_TO_CLOSE;
         pending.invite = new Invite(exchange, now);
         exchange.trial = trial ? pending.invite : exchange.trial;
         pending.invitesSent++;
         pending.tried.add(exchange);
-        exchange.group.free -= session.width();
+        exchange.group.free -= session.circuits();
         exchange.group.classStates[pending.classIndex].activeCalls++;
         exchange.pendingSetUps++;
         invitesInFlight++;
@@ -973,8 +979,8 @@
         exchange.sentInvites.add(pending.invite);
         exchange.recentInvites.add(now, 1);
         exchange.lastSentAt = now;
-        long timeLeft = session.limit() - now;
-        return Answer.send(
+        long timeLeft = session.deadline() - now;
+        return RoutingDecision.send(
                 exchange.id,
                 trial
                         ? Math.min(timeLeft, classes[pending.classIndex].postDialTarget)
@@ -991,7 +997,7 @@
             long now, PendingSession pending, RemoteExchange exchange, long timeLeft) {
         long target = classes[pending.classIndex].postDialTarget;
         long resendWait =
-                pending.session.arrived()
+                pending.session.arrivedAt()
                         + target
                         - now
                         - releaseWait
@@ -1013,7 +1019,7 @@
         return lostShare > LOSS_THRESHOLD;
     }
 
-    private Answer refuse(long now, PendingSession pending, RemoteExchange direct) {
+    private RoutingDecision refuse(long now, PendingSession pending, RemoteExchange direct) {
         pendingSessions.remove(pending.session.id());
         // A class that can only be established late may as well retry late: each try is work for a
         // loaded processor.
@@ -1021,7 +1027,7 @@
                 pending.classIndex % 2 == 0
                         ? (long) (RETRY_AFTER_SHARE * classes[pending.classIndex].postDialTarget)
                         : maxRetryAfter;
-        if (!pending.session.transit() && pending.session.number() != 0) {
+        if (!pending.session.transit() && pending.session.calledNumber() != 0) {
             CalledNumber called = useCalledNumber(now, pending.session);
             called.earlyCalls = now < called.retryAt ? called.earlyCalls : 0;
             called.retryAt = now + Math.min(maxRetryAfter, retryAfter);
@@ -1029,51 +1035,52 @@
         if (direct != null) {
             direct.group.classStates[pending.classIndex].phantomCalls.add(now, 1);
         }
-        return Answer.refuse(Math.min(maxRetryAfter, retryAfter));
+        return RoutingDecision.refuse(Math.min(maxRetryAfter, retryAfter));
     }
 
     /** Decides what to do with a session whose INVITE failed. */
-    private Answer retry(
+    private RoutingDecision retry(
             long now,
             PendingSession pending,
             RemoteExchange exchange,
-            Ending outcome,
-            Cause cause) {
+            InviteOutcome outcome,
+            RejectionCause cause) {
         CallClass callClass = classes[pending.classIndex];
         boolean needsRelease =
-                outcome == Ending.TIMED_OUT
-                        || outcome == Ending.RESET
-                        || outcome == Ending.CANCELLED;
+                outcome == InviteOutcome.TIMED_OUT
+                        || outcome == InviteOutcome.RESET
+                        || outcome == InviteOutcome.CANCELLED;
         if (needsRelease) {
             pending.sendNotBefore = now + releaseWait;
-            pending.answerLost = outcome != Ending.CANCELLED && losesAnswers();
+            pending.answerLost = outcome != InviteOutcome.CANCELLED && losesAnswers();
         }
-        if ((needsRelease || outcome == Ending.ERROR) && !callClass.repeatable) {
+        if ((needsRelease || outcome == InviteOutcome.ERROR) && !callClass.repeatable) {
             pendingSessions.remove(pending.session.id());
-            return Answer.FAIL;
+            return RoutingDecision.FAIL;
         }
         // While the local processor is down each INVITE fails at once, and a session would use up
         // all of its INVITEs.
-        boolean localProcessorDown = outcome == Ending.NOT_SENT && cause == Cause.PROCESSOR_FULL;
+        boolean localProcessorDown =
+                outcome == InviteOutcome.NOT_SENT && cause == RejectionCause.PROCESSOR_FULL;
         boolean hopeless =
                 localProcessorDown
-                        || cause == Cause.FULL_BEYOND
-                        || cause == Cause.LINES_BUSY
+                        || cause == RejectionCause.FAR_END_PROCESSOR_FULL
+                        || cause == RejectionCause.LINES_BUSY
                         || exchange.number == pending.session.farEnd()
-                                && outcome != Ending.NOT_SENT
+                                && outcome != InviteOutcome.NOT_SENT
                                 && !pending.answerLost
                         || Math.max(now, pending.sendNotBefore)
-                                > pending.session.arrived() + callClass.postDialTarget
+                                > pending.session.arrivedAt() + callClass.postDialTarget
                         // A redial may have less time left than the release wait: after it, the
                         // caller would no longer get an answer.
                         || Math.max(now, pending.sendNotBefore) + MIN_TIME_LEFT_MICROS
-                                > pending.session.limit()
+                                > pending.session.deadline()
                         || pending.session.transit();
         if (hopeless) {
             return refuse(now, pending, readyExchange(pending.session.farEnd()));
         }
         return now < pending.sendNotBefore
-                ? Answer.later(pending.sendNotBefore)
+                ? RoutingDecision.later(pending.sendNotBefore)
                 : chooseRoute(now, pending);
     }
 
@@ -1082,14 +1089,14 @@
     /** Tests whether a group accepts a session: by free circuits, then by the penalty rule. */
     private TestResult test(long now, Group group, PendingSession pending) {
         Session session = pending.session;
-        if (group.free < session.width()) {
+        if (group.free < session.circuits()) {
             return TestResult.GROUP_FULL;
         }
         if (now >= group.refreshAt) {
             refreshTargets(now, group);
         } else if (targets.version() != group.targetsVersion) {
             // Applied at once: at the group's next refresh a plan would already be 5 s old.
-            applyTargets(now, group, targets.held(now, group.number));
+            applyTargets(now, group, targets.currentTargets(now, group.number));
         }
         ClassState state = group.classStates[pending.classIndex];
         boolean freeRoom =
@@ -1107,7 +1114,7 @@
         }
         int x = state.activeCalls;
         double y = state.phantomCalls.sum(now);
-        int b = session.width();
+        int b = session.circuits();
         double bound = y / state.c1 + Math.log(state.c0 / state.c1) / (group.beta * b);
         return x / state.c0 <= bound ? TestResult.PASS : TestResult.REFUSE;
     }
@@ -1131,7 +1138,7 @@
         if (!state.hasTargets || state.c0 <= 0 || group.beta <= 0) {
             return Double.NEGATIVE_INFINITY;
         }
-        double exponentPerCall = group.beta * pending.session.width() / state.c0;
+        double exponentPerCall = group.beta * pending.session.circuits() / state.c0;
         return Math.log(exponentPerCall) + exponentPerCall * state.activeCalls;
     }
 
@@ -1148,20 +1155,20 @@
         applyTargets(
                 now,
                 group,
-                targets.of(now, new GroupFacts(now, group.number, group.size, erlangs)));
+                targets.targetsFor(now, new GroupLoad(now, group.number, group.size, erlangs)));
     }
 
-    private void applyTargets(long now, Group group, GroupPlan plan) {
+    private void applyTargets(long now, Group group, GroupTargets plan) {
         group.targetsVersion = targets.version();
         for (int i = 0; i < group.classStates.length; i++) {
             ClassState state = group.classStates[i];
             boolean first = !state.hasTargets;
-            state.hasTargets = plan != null && plan.seen()[i];
+            state.hasTargets = plan != null && plan.hasLoad()[i];
             if (state.hasTargets) {
                 state.c0 = plan.c0()[i];
                 state.c1 = plan.c1()[i];
                 if (first) {
-                    state.phantomCalls.spread(now, plan.phantoms()[i]);
+                    state.phantomCalls.spread(now, plan.initialPhantoms()[i]);
                 }
             }
         }
@@ -1296,8 +1303,8 @@
     private void recordOutcome(
             long now,
             PendingSession pending,
-            Ending outcome,
-            Cause cause,
+            InviteOutcome outcome,
+            RejectionCause cause,
             long took,
             long retryAfter) {
         RemoteExchange exchange = pending.invite.exchange;
@@ -1311,14 +1318,16 @@
             invitesInFlight--;
             overdueInvites -= pending.invite.overdue ? 1 : 0;
         }
-        if (outcome == Ending.STANDS && exchange.number != pending.session.farEnd()) {
+        if (outcome == InviteOutcome.ESTABLISHED && exchange.number != pending.session.farEnd()) {
             recordUnknownTandem(exchange.group, pending.session.farEnd(), 1);
             exchange.group.reachedFarEnds.add(pending.session.farEnd());
         }
         boolean answered =
-                outcome == Ending.STANDS || outcome == Ending.BUSY || outcome == Ending.ERROR;
-        CalledNumber called = calledNumbers.get(pending.session.number());
-        if (outcome == Ending.STANDS && called != null) {
+                outcome == InviteOutcome.ESTABLISHED
+                        || outcome == InviteOutcome.BUSY
+                        || outcome == InviteOutcome.ERROR;
+        CalledNumber called = calledNumbers.get(pending.session.calledNumber());
+        if (outcome == InviteOutcome.ESTABLISHED && called != null) {
             called.busyLinesGap = 0;
         }
         if (answered && wasSettingUp) {
@@ -1327,9 +1336,9 @@
             exchange.failedTrials = 0;
             // A busy reply is quick, but no sign of a quick processor: an overloaded one must not
             // widen its own window.
-            if (outcome == Ending.STANDS || cause == Cause.PROCESSOR_FULL) {
+            if (outcome == InviteOutcome.ESTABLISHED || cause == RejectionCause.PROCESSOR_FULL) {
                 boolean quick =
-                        outcome == Ending.STANDS
+                        outcome == InviteOutcome.ESTABLISHED
                                 && took
                                         < SLOW_SET_UP_SHARE
                                                 * classes[pending.classIndex].postDialTarget;
@@ -1339,14 +1348,14 @@
                 if (quick) {
                     markOvertaken(now, exchange, pending.invite.sentAt);
                 }
-                if (quick || queued || outcome == Ending.BUSY) {
+                if (quick || queued || outcome == InviteOutcome.BUSY) {
                     adjustWindows(now, exchange, pending.invite, quick, true);
                 }
             }
         } else if (wasSettingUp
-                && (outcome == Ending.TIMED_OUT
-                        || outcome == Ending.UNREACHABLE
-                        || outcome == Ending.RESET)) {
+                && (outcome == InviteOutcome.TIMED_OUT
+                        || outcome == InviteOutcome.UNREACHABLE
+                        || outcome == InviteOutcome.RESET)) {
             // An exchange that has just answered does not hang, so its first failure counts as a
             // lost answer; a second one in a row says nothing about losses.
             lostShare +=
@@ -1372,14 +1381,14 @@
                                                 << Math.min(8, exchange.failedTrials));
             }
         }
-        if (cause == Cause.PROCESSOR_FULL && outcome == Ending.BUSY) {
+        if (cause == RejectionCause.PROCESSOR_FULL && outcome == InviteOutcome.BUSY) {
             exchange.overloadedUntil =
                     now + (retryAfter > 0 ? retryAfter : DEFAULT_OVERLOAD_WAIT_MICROS);
         }
-        if (cause == Cause.LINES_BUSY) {
+        if (cause == RejectionCause.LINES_BUSY) {
             recordBusyLines(now, pending.session);
         }
-        if (cause == Cause.TURNED_BACK || cause == Cause.FULL_BEYOND) {
+        if (cause == RejectionCause.CRANKBACK || cause == RejectionCause.FAR_END_PROCESSOR_FULL) {
             recordCrankback(now, exchange.group, pending.session.farEnd());
         }
     }
--- a/src/main/java/coralcove/Ending.java
+++ b/src/main/java/coralcove/InviteOutcome.java
@@ -1,14 +1,14 @@
 package coralcove;
 
 /**
- * The outcome of an INVITE; all but {@link #STANDS} are final for it. Logs and counters show an
- * outcome by its printed name, which does not follow a renamed constant.
+ * The outcome of an INVITE; all but {@link #ESTABLISHED} are final for it. Logs and counters show
+ * an outcome by its printed name, which does not follow a renamed constant.
  */
-public enum Ending {
+public enum InviteOutcome {
     /** The call is established. */
-    STANDS("STANDS"),
+    ESTABLISHED("STANDS"),
     /** The established call was released normally. */
-    OVER("OVER"),
+    RELEASED("OVER"),
     ERROR("ERROR"),
     /** The exchange answered with a busy reply. */
     BUSY("BUSY"),
@@ -22,7 +22,7 @@
 
     private final String printedName;
 
-    Ending(String printedName) {
+    InviteOutcome(String printedName) {
         this.printedName = printedName;
     }
 
--- a/src/main/java/coralcove/Micros.java
+++ b/src/main/java/coralcove/Micros.java
@@ -5,12 +5,12 @@
     private Micros() {}
 
     /** Rounds up, so that a wait is never shortened. */
-    public static long up(long nanos) {
+    public static long ceilFromNanos(long nanos) {
         return -Math.floorDiv(-nanos, 1000L);
     }
 
     /** Rounds down, so that an allowance is never lengthened. */
-    public static long down(long nanos) {
+    public static long floorFromNanos(long nanos) {
         return Math.floorDiv(nanos, 1000L);
     }
 }
--- a/src/main/java/coralcove/Waiting.java
+++ b/src/main/java/coralcove/PendingActions.java
@@ -5,9 +5,10 @@
 /**
  * What a router has to send besides sessions.
  *
- * @param until time at which to request pending actions again, 0 if there is none
+ * @param wakeAt time at which to request pending actions again, 0 if there is none
  * @param probes exchanges to probe
  * @param broadcasts messages to send to all peers
  * @param subscribe whether to subscribe to the directory now
  */
-public record Waiting(long until, List<Long> probes, List<byte[]> broadcasts, boolean subscribe) {}
+public record PendingActions(
+        long wakeAt, List<Long> probes, List<byte[]> broadcasts, boolean subscribe) {}
--- a/src/main/java/coralcove/PlanKeeper.java
+++ b/src/main/java/coralcove/PlannedTargetSource.java
@@ -9,16 +9,16 @@
  * any call that fits; stale ones do not apply, as before the first plan. The router's own counts
  * and limits never come from a planner. Not thread-safe: one thread owns it.
  */
-public final class PlanKeeper implements Targets {
+public final class PlannedTargetSource implements TargetSource {
     /** How far the plan of a group applies. */
-    public enum Age {
+    public enum Freshness {
         FRESH,
         AGEING,
         STALE
     }
 
     /** Why a plan was rejected. The names are sent to the planner, logged and counted. */
-    public enum Refusal {
+    public enum Rejection {
         NONE,
         OTHER_ROUTER,
         OLDER_VERSION,
@@ -37,7 +37,7 @@
      * Age in µs from which a plan is stale: a load may have doubled meanwhile, as the router itself
      * measures load over 10 s.
      */
-    public static final long STALE_FROM = 60_000_000;
+    public static final long STALE_AGE_MICROS = 60_000_000;
 
     /**
      * µs by which measurements may lie in the future: of two programs on one machine, one may not
@@ -55,31 +55,31 @@
     private final int classCount;
 
     /** Indexed by group number, so that a look-up allocates nothing. */
-    private GroupPlan[] plans = {};
+    private GroupTargets[] plans = {};
 
-    private final Consumer<GroupFacts> loadListener;
+    private final Consumer<GroupLoad> loadListener;
     private long version;
 
     /** Passes the load of each group on to {@code loadListener}. */
-    public PlanKeeper(Settings settings, Consumer<GroupFacts> loadListener) {
-        router = settings.ownNumber();
+    public PlannedTargetSource(Settings settings, Consumer<GroupLoad> loadListener) {
+        router = settings.localNumber();
         classCount = 2 * settings.services().size();
         this.loadListener = loadListener;
     }
 
     @Override
-    public GroupPlan of(long now, GroupFacts load) {
+    public GroupTargets targetsFor(long now, GroupLoad load) {
         loadListener.accept(load);
-        return held(now, load.number());
+        return currentTargets(now, load.number());
     }
 
     @Override
-    public GroupPlan held(long now, int number) {
-        GroupPlan plan = plan(number);
-        return plan == null ? null : applyAge(plan, now - plan.at());
+    public GroupTargets currentTargets(long now, int number) {
+        GroupTargets plan = plan(number);
+        return plan == null ? null : applyAge(plan, now - plan.measuredAt());
     }
 
-    private GroupPlan plan(int number) {
+    private GroupTargets plan(int number) {
         return number >= 0 && number < plans.length ? plans[number] : null;
     }
 
@@ -94,46 +94,46 @@
      * Applies a plan as a whole or rejects it as a whole. In an applied plan, a group whose
      * measurements are older than those of the current targets is skipped.
      */
-    public Refusal offer(long now, Plan plan) {
+    public Rejection offer(long now, Plan plan) {
         if (plan.router() != router) {
-            return Refusal.OTHER_ROUTER;
+            return Rejection.OTHER_ROUTER;
         }
         if (plan.version() <= version) {
-            return Refusal.OLDER_VERSION;
+            return Rejection.OLDER_VERSION;
         }
-        for (GroupPlan group : plan.groups()) {
+        for (GroupTargets group : plan.groups()) {
             if (!isInRange(group)) {
-                return Refusal.OUT_OF_RANGE;
+                return Rejection.OUT_OF_RANGE;
             }
-            if (group.at() > now + MAX_CLOCK_LEAD_MICROS) {
-                return Refusal.FUTURE_FACTS;
+            if (group.measuredAt() > now + MAX_CLOCK_LEAD_MICROS) {
+                return Rejection.FUTURE_FACTS;
             }
-            if (now - group.at() >= STALE_FROM) {
-                return Refusal.OLD_FACTS;
+            if (now - group.measuredAt() >= STALE_AGE_MICROS) {
+                return Rejection.OLD_FACTS;
             }
         }
         version = plan.version();
-        for (GroupPlan group : plan.groups()) {
-            GroupPlan previous = plan(group.number());
+        for (GroupTargets group : plan.groups()) {
+            GroupTargets previous = plan(group.number());
             if (group.number() >= plans.length) {
                 plans = Arrays.copyOf(plans, 2 * group.number() + 1);
             }
-            if (previous == null || group.at() >= previous.at()) {
+            if (previous == null || group.measuredAt() >= previous.measuredAt()) {
                 plans[group.number()] = group;
             }
         }
-        return Refusal.NONE;
+        return Rejection.NONE;
     }
 
     /**
      * Checks the bounds of the method: no target is negative, each class with load has one above 0,
      * and β is at most ε times the least target.
      */
-    private boolean isInRange(GroupPlan plan) {
+    private boolean isInRange(GroupTargets plan) {
         if (plan.c0().length != classCount
                 || plan.c1().length != classCount
-                || plan.seen().length != classCount
-                || plan.phantoms().length != classCount
+                || plan.hasLoad().length != classCount
+                || plan.initialPhantoms().length != classCount
                 || plan.number() < 0
                 || plan.number() >= GROUP_NUMBER_LIMIT) {
             return false;
@@ -144,13 +144,13 @@
         for (int i = 0; i < classCount; i++) {
             double c0 = plan.c0()[i];
             double c1 = plan.c1()[i];
-            double phantoms = plan.phantoms()[i];
+            double phantoms = plan.initialPhantoms()[i];
             boolean finite =
                     c0 >= 0 && c1 >= 0 && phantoms >= 0 && Double.isFinite(c0 + c1 + phantoms);
-            if (!finite || plan.seen()[i] != c0 + c1 > 0) {
+            if (!finite || plan.hasLoad()[i] != c0 + c1 > 0) {
                 return false;
             }
-            anySeen |= plan.seen()[i];
+            anySeen |= plan.hasLoad()[i];
             anyAccepted |= c0 > 0;
             least = Math.min(least, leastTarget(c0, c1));
         }
@@ -173,24 +173,27 @@
     // ---- age
 
     /** Returns how fresh a group's targets are; a group without any is stale. */
-    public Age age(long now, int number) {
-        GroupPlan plan = plan(number);
-        long age = plan == null ? STALE_FROM : now - plan.at();
-        return age >= STALE_FROM ? Age.STALE : age > FRESH_AGE_MICROS ? Age.AGEING : Age.FRESH;
+    public Freshness freshness(long now, int number) {
+        GroupTargets plan = plan(number);
+        long age = plan == null ? STALE_AGE_MICROS : now - plan.measuredAt();
+        return age >= STALE_AGE_MICROS
+                ? Freshness.STALE
+                : age > FRESH_AGE_MICROS ? Freshness.AGEING : Freshness.FRESH;
     }
 
     /**
      * Moves, from fresh to stale, a growing part of each class's c1 to its c0, until any call that
      * fits is accepted. Returns null for a stale plan.
      */
-    private static GroupPlan applyAge(GroupPlan plan, long age) {
+    private static GroupTargets applyAge(GroupTargets plan, long age) {
         if (age <= FRESH_AGE_MICROS) {
             return plan;
         }
-        if (age >= STALE_FROM) {
+        if (age >= STALE_AGE_MICROS) {
             return null;
         }
-        double movedShare = (double) (age - FRESH_AGE_MICROS) / (STALE_FROM - FRESH_AGE_MICROS);
+        double movedShare =
+                (double) (age - FRESH_AGE_MICROS) / (STALE_AGE_MICROS - FRESH_AGE_MICROS);
         double[] c0 = plan.c0().clone();
         double[] c1 = plan.c1().clone();
         double beta = plan.beta();
@@ -205,6 +208,13 @@
             least = Math.min(least, leastTarget(c0[i], c1[i]));
         }
         beta = Math.min(beta, Planner.EPSILON * least);
-        return new GroupPlan(plan.at(), plan.number(), beta, c0, c1, plan.seen(), plan.phantoms());
+        return new GroupTargets(
+                plan.measuredAt(),
+                plan.number(),
+                beta,
+                c0,
+                c1,
+                plan.hasLoad(),
+                plan.initialPhantoms());
     }
 }
--- a/src/main/java/coralcove/Planner.java
+++ b/src/main/java/coralcove/Planner.java
@@ -8,7 +8,7 @@
  * the decision for a session. In a single process the router calls it directly; with a separate
  * planner it runs there.
  */
-public final class Planner implements Targets {
+public final class Planner implements TargetSource {
     /**
      * ε, the slack of the targets as a share: the largest that the method allows, which gives the
      * steepest penalty.
@@ -25,7 +25,8 @@
         classesByValue = classesByValuePerCircuit(services);
         classes = new CallClass[2 * services.size()];
         for (int i = 0; i < classes.length; i++) {
-            classes[i] = new CallClass(services.get(i / 2).width(), services.get(i / 2).hold());
+            classes[i] =
+                    new CallClass(services.get(i / 2).circuits(), services.get(i / 2).holdTime());
         }
     }
 
@@ -50,7 +51,7 @@
      */
     private static double valuePerCircuit(List<Settings.Service> services, int i) {
         Settings.Service service = services.get(i / 2);
-        return service.value() / service.width() * (i % 2 == 0 ? 1 : service.lateValue());
+        return service.value() / service.circuits() * (i % 2 == 0 ? 1 : service.lateValue());
     }
 
     /**
@@ -59,11 +60,11 @@
      * times the least of c0/b, and of c1/b where 0 &lt; α &lt; 1.
      */
     @Override
-    public GroupPlan of(long now, GroupFacts load) {
+    public GroupTargets targetsFor(long now, GroupLoad load) {
         int n = classes.length;
-        GroupPlan plan =
-                new GroupPlan(
-                        load.at(),
+        GroupTargets plan =
+                new GroupTargets(
+                        load.measuredAt(),
                         load.number(),
                         0,
                         new double[n],
@@ -73,10 +74,10 @@
         double left = load.size() / (1 + 4 * EPSILON);
         double least = Double.POSITIVE_INFINITY;
         for (int i : classesByValue) {
-            double rho = load.calls()[i];
+            double rho = load.erlangs()[i];
             int b = classes[i].circuits;
             double need = rho * b;
-            plan.seen()[i] = need > 0;
+            plan.hasLoad()[i] = need > 0;
             if (need <= 0) {
                 continue;
             }
@@ -90,15 +91,15 @@
             if (alpha > 0 && alpha < 1) {
                 least = Math.min(least, plan.c1()[i] / b);
             }
-            plan.phantoms()[i] = (1 - alpha) * rho;
+            plan.initialPhantoms()[i] = (1 - alpha) * rho;
         }
-        return new GroupPlan(
-                plan.at(),
+        return new GroupTargets(
+                plan.measuredAt(),
                 plan.number(),
                 EPSILON * least,
                 plan.c0(),
                 plan.c1(),
-                plan.seen(),
-                plan.phantoms());
+                plan.hasLoad(),
+                plan.initialPhantoms());
     }
 }
--- a/src/main/java/coralcove/Answer.java
+++ b/src/main/java/coralcove/RoutingDecision.java
@@ -5,7 +5,7 @@
  * of the INVITE (a duration), for LATER the time at which {@link CallRouter#route} is to be called
  * again, for REFUSE the retry-after delay (a duration); 0 otherwise.
  */
-public record Answer(Kind kind, long exchange, long time) {
+public record RoutingDecision(Kind kind, long exchange, long time) {
     /** What is to be done with the session. */
     public enum Kind {
         /** Send an INVITE to the exchange. */
@@ -20,21 +20,21 @@
         NOTHING
     }
 
-    public static final Answer NOTHING = new Answer(Kind.NOTHING, 0, 0);
-    public static final Answer FAIL = new Answer(Kind.FAIL, 0, 0);
+    public static final RoutingDecision NOTHING = new RoutingDecision(Kind.NOTHING, 0, 0);
+    public static final RoutingDecision FAIL = new RoutingDecision(Kind.FAIL, 0, 0);
 
     /** Sends the session to {@code exchange} with an INVITE that may take {@code limit} µs. */
-    public static Answer send(long exchange, long limit) {
-        return new Answer(Kind.SEND, exchange, limit);
+    public static RoutingDecision send(long exchange, long limit) {
+        return new RoutingDecision(Kind.SEND, exchange, limit);
     }
 
     /** Postpones the decision to the time {@code at}. */
-    public static Answer later(long at) {
-        return new Answer(Kind.LATER, 0, at);
+    public static RoutingDecision later(long at) {
+        return new RoutingDecision(Kind.LATER, 0, at);
     }
 
     /** Rejects the session with a retry-after delay of {@code retryAfter} µs. */
-    public static Answer refuse(long retryAfter) {
-        return new Answer(Kind.REFUSE, 0, retryAfter);
+    public static RoutingDecision refuse(long retryAfter) {
+        return new RoutingDecision(Kind.REFUSE, 0, retryAfter);
     }
 }
--- a/src/main/java/coralcove/baseline/Direct.java
+++ b/src/main/java/coralcove/baseline/Direct.java
@@ -1,13 +1,13 @@
 package coralcove.baseline;
 
-import coralcove.Answer;
 import coralcove.CallRouter;
-import coralcove.Cause;
-import coralcove.Ending;
 import coralcove.Exchange;
+import coralcove.InviteOutcome;
+import coralcove.PendingActions;
+import coralcove.RejectionCause;
+import coralcove.RoutingDecision;
 import coralcove.Session;
 import coralcove.Settings;
-import coralcove.Waiting;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -79,18 +79,18 @@
     }
 
     @Override
-    public Answer route(long now, Session session) {
+    public RoutingDecision route(long now, Session session) {
         return choose(
                 now,
                 pendingSessions.computeIfAbsent(session.id(), id -> new PendingSession(session)));
     }
 
-    private Answer choose(long now, PendingSession pending) {
+    private RoutingDecision choose(long now, PendingSession pending) {
         if (now < pending.notBefore) {
-            return Answer.later(pending.notBefore);
+            return RoutingDecision.later(pending.notBefore);
         }
         Session session = pending.session;
-        if (pending.invitesSent < settings.inviteLimit() && session.limit() > now) {
+        if (pending.invitesSent < settings.maxInvites() && session.deadline() > now) {
             for (Exchange exchange : exchanges.values()) {
                 if (exchange.number() == session.farEnd()
                         && accepts(
@@ -127,14 +127,14 @@
         return refuse(pending);
     }
 
-    private Answer refuse(PendingSession pending) {
+    private RoutingDecision refuse(PendingSession pending) {
         pendingSessions.remove(pending.session.id());
-        return Answer.refuse(settings.longestComeBack());
+        return RoutingDecision.refuse(settings.maxRetryAfter());
     }
 
     private boolean isTandem(Exchange exchange, Session session) {
         return !session.transit()
-                && exchange.number() != settings.ownNumber()
+                && exchange.number() != settings.localNumber()
                 && exchange.number() != session.farEnd();
     }
 
@@ -150,7 +150,7 @@
         return exchange.phase() == Exchange.Phase.READY
                 && !pending.triedExchanges.contains(exchange.id())
                 && freeCircuits.getOrDefault(exchange.id(), 0)
-                        >= pending.session.width() + reserved;
+                        >= pending.session.circuits() + reserved;
     }
 
     /** Circuits of this trunk group that only direct calls may use. */
@@ -165,46 +165,48 @@
                                                 * groupSizes.getOrDefault(exchange.id(), 0)));
     }
 
-    private Answer send(long now, PendingSession pending, Exchange exchange) {
+    private RoutingDecision send(long now, PendingSession pending, Exchange exchange) {
         pending.invitesSent++;
         pending.triedExchanges.add(exchange.id());
-        return Answer.send(exchange.id(), pending.session.limit() - now);
+        return RoutingDecision.send(exchange.id(), pending.session.deadline() - now);
     }
 
     @Override
-    public Answer after(
+    public RoutingDecision onInviteOutcome(
             long now,
             long session,
-            Ending outcome,
-            Cause cause,
+            InviteOutcome outcome,
+            RejectionCause cause,
             long exchange,
             long elapsed,
             long retryAfter,
             boolean over) {
         PendingSession pending = pendingSessions.get(session);
-        if (outcome == Ending.STANDS || over || pending == null) {
+        if (outcome == InviteOutcome.ESTABLISHED || over || pending == null) {
             pendingSessions.remove(session);
-            return Answer.NOTHING;
+            return RoutingDecision.NOTHING;
         }
-        if (outcome == Ending.TIMED_OUT || outcome == Ending.RESET || outcome == Ending.CANCELLED) {
+        if (outcome == InviteOutcome.TIMED_OUT
+                || outcome == InviteOutcome.RESET
+                || outcome == InviteOutcome.CANCELLED) {
             pending.notBefore = now + settings.releaseWait();
         }
-        if (pending.notBefore >= pending.session.limit()) {
+        if (pending.notBefore >= pending.session.deadline()) {
             pendingSessions.remove(session);
-            return Answer.refuse(settings.longestComeBack());
+            return RoutingDecision.refuse(settings.maxRetryAfter());
         }
         return choose(now, pending);
     }
 
     @Override
-    public Waiting waiting(long now) {
+    public PendingActions pendingActions(long now) {
         boolean subscribeNow = subscribe && now >= subscribeAt;
         subscribe &= !subscribeNow;
-        return new Waiting(subscribe ? subscribeAt : 0, List.of(), List.of(), subscribeNow);
+        return new PendingActions(subscribe ? subscribeAt : 0, List.of(), List.of(), subscribeNow);
     }
 
     @Override
-    public void roster(long now, boolean complete, List<Exchange> update) {
+    public void onExchangeList(long now, boolean complete, List<Exchange> update) {
         if (complete) {
             exchanges.clear();
         }
@@ -212,29 +214,30 @@
     }
 
     @Override
-    public void rosterLost(long now) {
+    public void onExchangeListLost(long now) {
         subscribe = true;
         subscribeAt = now + 1_000_000;
     }
 
     @Override
-    public void circuits(long now, long exchange, int free, int size) {
+    public void onCircuitUpdate(long now, long exchange, int free, int size) {
         freeCircuits.put(exchange, free);
         groupSizes.put(exchange, size);
     }
 
     @Override
-    public void report(long now, long exchange, boolean passed, long elapsed, float[] columns) {
+    public void onProbeReply(
+            long now, long exchange, boolean passed, long elapsed, float[] columns) {
         // Baselines do not probe.
     }
 
     @Override
-    public void peer(long now, int rank, byte[] body) {
+    public void onPeerMessage(long now, int rank, byte[] body) {
         // Baselines ignore messages of peers.
     }
 
     @Override
-    public void ended(long now, long session) {
+    public void onSessionEnded(long now, long session) {
         pendingSessions.remove(session);
     }
 }
--- a/src/main/java/coralcove/baseline/Policies.java
+++ b/src/main/java/coralcove/baseline/Policies.java
@@ -1,7 +1,7 @@
 package coralcove.baseline;
 
 import coralcove.CallRouter;
-import coralcove.Choice;
+import coralcove.ExponentialPenaltyRouter;
 import coralcove.Settings;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -23,7 +23,7 @@
             case "reserved" -> new Direct(settings, Direct.Kind.TRUNK_RESERVATION);
             case "one-tandem" -> new Direct(settings, Direct.Kind.RANDOM_TANDEM, seed);
             case "least-busy" -> new Direct(settings, Direct.Kind.LEAST_BUSY);
-            default -> new Choice(settings, new SplittableRandom(seed));
+            default -> new ExponentialPenaltyRouter(settings, new SplittableRandom(seed));
         };
     }
 }
--- a/src/main/java/coralcove/boot/Boot.java
+++ b/src/main/java/coralcove/boot/Boot.java
@@ -146,12 +146,12 @@
 
     /** Converts nanoseconds to µs, rounded down so that an allowance is never lengthened. */
     private static long microsRoundedDown(String nanos) {
-        return Micros.down(Long.parseLong(nanos));
+        return Micros.floorFromNanos(Long.parseLong(nanos));
     }
 
     /** Converts nanoseconds to µs, rounded up so that a wait is never shortened. */
     private static long microsRoundedUp(String nanos) {
-        return Micros.up(Long.parseLong(nanos));
+        return Micros.ceilFromNanos(Long.parseLong(nanos));
     }
 
     /**
--- a/src/main/java/coralcove/cli/Commands.java
+++ b/src/main/java/coralcove/cli/Commands.java
@@ -1,9 +1,9 @@
 package coralcove.cli;
 
-import coralcove.Choice;
-import coralcove.GroupFacts;
+import coralcove.ExponentialPenaltyRouter;
+import coralcove.GroupLoad;
 import coralcove.Plan;
-import coralcove.PlanKeeper;
+import coralcove.PlannedTargetSource;
 import coralcove.Settings;
 import coralcove.baseline.Policies;
 import coralcove.config.BadConfig;
@@ -289,13 +289,13 @@
             EdgeFile file = EdgeFile.of(toml);
             Settings module = file.settings().module();
             FactsOut facts = new FactsOut(PlannerCore.MOST_GROUPS);
-            PlanKeeper keeper = new PlanKeeper(module, facts::add);
+            PlannedTargetSource keeper = new PlannedTargetSource(module, facts::add);
             EdgeCore core =
                     new EdgeCore(
                             file.settings(),
                             file.planner() == null
                                     ? Policies.router(file.policy(), module, file.settings().seed())
-                                    : new Choice(
+                                    : new ExponentialPenaltyRouter(
                                             module,
                                             new SplittableRandom(file.settings().seed()),
                                             keeper));
@@ -330,7 +330,7 @@
      *
      * @return receives each new plan; ignores it where the settings name no plan store
      */
-    private static Consumer<Plan> restoreAndStorePlans(EdgeFile file, PlanKeeper keeper) {
+    private static Consumer<Plan> restoreAndStorePlans(EdgeFile file, PlannedTargetSource keeper) {
         if (file.plans() == null) {
             return plan -> {};
         }
@@ -389,7 +389,7 @@
                             new SplittableRandom(start),
                             file.ahead());
             String name = "planner-" + file.settings().number();
-            EntryStore<Integer, GroupFacts> store =
+            EntryStore<Integer, GroupLoad> store =
                     file.store() == null
                             ? null
                             : GroupStore.facts(
--- a/src/main/java/coralcove/drill/Drill.java
+++ b/src/main/java/coralcove/drill/Drill.java
@@ -167,7 +167,7 @@
                             in.getInt(at + 12) & 0xffffffffL,
                             in.getShort(at + 16) & 0xffff,
                             Phase.values()[phase],
-                            Micros.up(in.getLong(at + 2))));
+                            Micros.ceilFromNanos(in.getLong(at + 2))));
         }
         return exchanges;
     }
--- a/src/main/java/coralcove/drill/RouterInstance.java
+++ b/src/main/java/coralcove/drill/RouterInstance.java
@@ -1,11 +1,11 @@
 package coralcove.drill;
 
 import coralcove.CallRouter;
-import coralcove.Cause;
-import coralcove.Choice;
-import coralcove.Ending;
 import coralcove.Exchange;
+import coralcove.ExponentialPenaltyRouter;
+import coralcove.InviteOutcome;
 import coralcove.Micros;
+import coralcove.RejectionCause;
 import coralcove.Session;
 import coralcove.Settings;
 import coralcove.inhand.InHand;
@@ -21,20 +21,24 @@
  */
 final class RouterInstance implements Wire {
     /** Indexed by the outcome code of an event. */
-    private static final Ending[] OUTCOMES = {
-        Ending.ERROR,
-        Ending.OVER,
-        Ending.BUSY,
-        Ending.TIMED_OUT,
-        Ending.UNREACHABLE,
-        Ending.RESET,
-        Ending.CANCELLED,
-        Ending.NOT_SENT
+    private static final InviteOutcome[] OUTCOMES = {
+        InviteOutcome.ERROR,
+        InviteOutcome.RELEASED,
+        InviteOutcome.BUSY,
+        InviteOutcome.TIMED_OUT,
+        InviteOutcome.UNREACHABLE,
+        InviteOutcome.RESET,
+        InviteOutcome.CANCELLED,
+        InviteOutcome.NOT_SENT
     };
 
     /** Indexed by the low four bits of an event's reason. */
-    private static final Cause[] CAUSES = {
-        Cause.NONE, Cause.NO_CIRCUIT, Cause.TURNED_BACK, Cause.PROCESSOR_FULL, Cause.LINES_BUSY
+    private static final RejectionCause[] CAUSES = {
+        RejectionCause.NONE,
+        RejectionCause.NO_CIRCUIT,
+        RejectionCause.CRANKBACK,
+        RejectionCause.PROCESSOR_FULL,
+        RejectionCause.LINES_BUSY
     };
 
     /** Label of the wake-up timer; the timers of deferred sessions have higher ones. */
@@ -56,7 +60,7 @@
     RouterInstance(int number, long seed, Settings settings) {
         this.number = number;
         serviceCount = settings.services().size();
-        router = new Choice(settings, new SplittableRandom(seed));
+        router = new ExponentialPenaltyRouter(settings, new SplittableRandom(seed));
         pendingSessions = new InHand(router, this);
     }
 
@@ -67,16 +71,16 @@
     /** An exchange list of kind 0 (changes), 1 or 2 (complete list), or 3 (updates were lost). */
     void exchangeList(long clock, int kind, List<Exchange> exchanges) {
         if (kind == 3) {
-            router.rosterLost(Micros.up(clock));
+            router.onExchangeListLost(Micros.ceilFromNanos(clock));
         } else {
-            router.roster(Micros.up(clock), kind != 0, exchanges);
+            router.onExchangeList(Micros.ceilFromNanos(clock), kind != 0, exchanges);
         }
     }
 
     /** Handles any other event of this instance. */
     void event(int code, EventRecord event, long clock, ReplyFrame output) throws BadFrame {
         reply = output;
-        long now = Micros.up(clock);
+        long now = Micros.ceilFromNanos(clock);
         switch (code) {
             case 0 -> {
                 Long id = deferredSessions.remove(event.i32(3));
@@ -86,10 +90,10 @@
             }
             case 1 ->
                     pendingSessions.stands(
-                            now, event.u32(3), event.u32(7), Micros.up(event.i64(11)));
+                            now, event.u32(3), event.u32(7), Micros.ceilFromNanos(event.i64(11)));
             case 2 -> inviteOutcome(event, now);
             case 6 -> session(event, clock);
-            case 7 -> router.peer(now, event.i32(3), event.tail(7));
+            case 7 -> router.onPeerMessage(now, event.i32(3), event.tail(7));
             case 8 -> probeResult(event, now);
             case 9 -> pendingSessions.left(now, event.u32(3));
             default -> throw new BadFrame(event.position() + ": unknown event code " + code);
@@ -99,7 +103,7 @@
     /** Ends a batch: adds what the policy wants sent besides sessions, and the next wake-up. */
     void endBatch(long clock, ReplyFrame output) {
         reply = output;
-        pendingSessions.rest(Micros.up(clock));
+        pendingSessions.rest(Micros.ceilFromNanos(clock));
     }
 
     private void session(EventRecord event, long clock) throws BadFrame {
@@ -108,8 +112,8 @@
                     event.position() + ": service " + event.u8(7) + " is not in the settings");
         }
         int flags = event.u16(46);
-        long now = Micros.up(clock);
-        long deadline = Micros.down(clock + event.i64(18));
+        long now = Micros.ceilFromNanos(clock);
+        long deadline = Micros.floorFromNanos(clock + event.i64(18));
         pendingSessions.take(
                 now,
                 new Session(
@@ -134,18 +138,18 @@
         }
         int reason = event.i32(24);
         int low = reason & 15;
-        Cause cause =
+        RejectionCause cause =
                 low == 2 && (reason & 16) != 0
-                        ? Cause.FULL_BEYOND
-                        : low < CAUSES.length ? CAUSES[low] : Cause.NONE;
-        long retryAfter = cause == Cause.PROCESSOR_FULL ? (reason >>> 4) * 1000L : 0;
+                        ? RejectionCause.FAR_END_PROCESSOR_FULL
+                        : low < CAUSES.length ? CAUSES[low] : RejectionCause.NONE;
+        long retryAfter = cause == RejectionCause.PROCESSOR_FULL ? (reason >>> 4) * 1000L : 0;
         pendingSessions.ended(
                 now,
                 event.u32(3),
                 OUTCOMES[outcome],
                 cause,
                 event.u32(9),
-                Micros.up(event.i64(15)),
+                Micros.ceilFromNanos(event.i64(15)),
                 retryAfter,
                 event.u8(23) != 0);
     }
@@ -155,10 +159,10 @@
         long exchange = event.u32(11);
         boolean passed = event.u16(15) == 1;
         if (columns.length >= 2) {
-            router.circuits(now, exchange, (int) columns[0], (int) columns[1]);
+            router.onCircuitUpdate(now, exchange, (int) columns[0], (int) columns[1]);
         }
         if (event.i64(3) > 0 || !passed) {
-            router.report(now, exchange, passed, Micros.up(event.i64(3)), columns);
+            router.onProbeReply(now, exchange, passed, Micros.ceilFromNanos(event.i64(3)), columns);
         }
     }
 
--- a/src/main/java/coralcove/edge/EdgeCore.java
+++ b/src/main/java/coralcove/edge/EdgeCore.java
@@ -1,13 +1,13 @@
 package coralcove.edge;
 
-import coralcove.Answer;
 import coralcove.CallRouter;
-import coralcove.Cause;
-import coralcove.Ending;
 import coralcove.Exchange;
 import coralcove.Exchange.Phase;
+import coralcove.InviteOutcome;
+import coralcove.PendingActions;
+import coralcove.RejectionCause;
+import coralcove.RoutingDecision;
 import coralcove.Session;
-import coralcove.Waiting;
 import coralcove.dns.Questions;
 import coralcove.numbers.NumberTable;
 import coralcove.numbers.Porting;
@@ -76,7 +76,7 @@
         /** Runs while the session waits for its next INVITE or for the portability server. */
         Timers.Timer waitTimer;
 
-        Cause lastCause = Cause.NONE;
+        RejectionCause lastCause = RejectionCause.NONE;
         boolean answered;
         boolean holdsIncomingCircuits;
 
@@ -229,7 +229,7 @@
     }
 
     private void performPendingActions(long now, Out out) {
-        Waiting waiting = policy.waiting(now);
+        PendingActions waiting = policy.pendingActions(now);
         if (waiting.subscribe()) {
             rosterManager.subscribe(now, out);
         }
@@ -237,9 +237,9 @@
         for (byte[] body : waiting.broadcasts()) {
             broadcastToPeers(body, out);
         }
-        if (waiting.until() > 0 && waiting.until() != wakeAt) {
+        if (waiting.wakeAt() > 0 && waiting.wakeAt() != wakeAt) {
             timers.cancel(wakeTimer);
-            wakeAt = waiting.until();
+            wakeAt = waiting.wakeAt();
             wakeTimer = timers.set(wakeAt, (at, o) -> {});
         }
     }
@@ -296,7 +296,7 @@
                     "Service Unavailable",
                     out,
                     "Retry-After",
-                    Outcomes.retryAfter(settings.module().longestComeBack()));
+                    Outcomes.retryAfter(settings.module().maxRetryAfter()));
             return;
         }
         boolean inTransit = headers.origin() >= 0;
@@ -583,7 +583,8 @@
                 activeSession.inboundCall.sessionId());
     }
 
-    private void applyDecision(long now, ActiveSession activeSession, Answer decision, Out out) {
+    private void applyDecision(
+            long now, ActiveSession activeSession, RoutingDecision decision, Out out) {
         switch (decision.kind()) {
             case SEND -> sendInvite(now, activeSession, decision, out);
             case LATER -> {
@@ -610,17 +611,18 @@
         }
     }
 
-    private void sendInvite(long now, ActiveSession activeSession, Answer decision, Out out) {
+    private void sendInvite(
+            long now, ActiveSession activeSession, RoutingDecision decision, Out out) {
         RosterManager.RouterLocation location = rosterManager.locationOf(decision.exchange());
         int exchangeNumber = location == null ? -1 : location.exchange().number();
         OutboundLeg leg = new OutboundLeg(activeSession, exchangeNumber, decision.exchange(), now);
         activeSession.outboundLeg = leg;
         if (location == null) {
-            finishInvite(now, leg, Ending.NOT_SENT, Cause.NONE, 0, out);
+            finishInvite(now, leg, InviteOutcome.NOT_SENT, RejectionCause.NONE, 0, out);
             return;
         }
         if (trunkGroups.free(now, exchangeNumber) < activeSession.headers.width()) {
-            finishInvite(now, leg, Ending.NOT_SENT, Cause.NO_CIRCUIT, 0, out);
+            finishInvite(now, leg, InviteOutcome.NOT_SENT, RejectionCause.NO_CIRCUIT, 0, out);
             return;
         }
         trunkGroups.seizeOutgoing(exchangeNumber, activeSession.headers.width());
@@ -645,12 +647,18 @@
                             timers.set(
                                     at + settings.module().releaseWait(),
                                     (releaseAt, unused) -> releaseCircuits(releaseAt, leg));
-                            finishInvite(at, leg, Ending.TIMED_OUT, Cause.NONE, 0, o);
+                            finishInvite(
+                                    at, leg, InviteOutcome.TIMED_OUT, RejectionCause.NONE, 0, o);
                         });
     }
 
     private void finishInvite(
-            long now, OutboundLeg leg, Ending outcome, Cause cause, long namedWait, Out out) {
+            long now,
+            OutboundLeg leg,
+            InviteOutcome outcome,
+            RejectionCause cause,
+            long namedWait,
+            Out out) {
         ActiveSession activeSession = leg.activeSession;
         timers.cancel(leg.timeoutTimer);
         if (activeSession.outboundLeg != leg) {
@@ -662,7 +670,7 @@
         applyDecision(
                 now,
                 activeSession,
-                policy.after(
+                policy.onInviteOutcome(
                         now,
                         activeSession.id,
                         outcome,
@@ -688,7 +696,7 @@
      */
     private void rejectByPolicy(long now, ActiveSession activeSession, long retryAfter, Out out) {
         if (activeSession.headers.origin() >= 0) {
-            boolean fullBeyond = activeSession.lastCause == Cause.PROCESSOR_FULL;
+            boolean fullBeyond = activeSession.lastCause == RejectionCause.PROCESSOR_FULL;
             rejectSession(
                     now,
                     activeSession,
@@ -767,11 +775,11 @@
         out.log("stands", activeSession.inboundCall.sessionId(), (now - leg.sentAt) / 1000 + " ms");
         agent.answer(now, activeSession.inboundCall, response, out);
         if (activeSession.session != null) {
-            policy.after(
+            policy.onInviteOutcome(
                     now,
                     activeSession.id,
-                    Ending.STANDS,
-                    Cause.NONE,
+                    InviteOutcome.ESTABLISHED,
+                    RejectionCause.NONE,
                     leg.exchangeId,
                     now - leg.sentAt,
                     0,
@@ -817,7 +825,7 @@
         OutboundLeg leg = activeSession.outboundLeg;
         endSession(now, activeSession);
         if (activeSession.session != null) {
-            policy.ended(now, activeSession.id);
+            policy.onSessionEnded(now, activeSession.id);
         }
         if (leg != null) {
             agent.cancel(now, leg.call, out);
@@ -825,7 +833,7 @@
                     now + settings.module().releaseWait(),
                     (releaseAt, unused) -> releaseCircuits(releaseAt, leg));
             if (activeSession.session != null) {
-                finishInvite(now, leg, Ending.CANCELLED, Cause.NONE, 0, out);
+                finishInvite(now, leg, InviteOutcome.CANCELLED, RejectionCause.NONE, 0, out);
             } else {
                 timers.cancel(leg.timeoutTimer);
             }
@@ -846,11 +854,11 @@
         releaseCircuits(now, leg);
         endSession(now, activeSession);
         if (activeSession.session != null) {
-            policy.after(
+            policy.onInviteOutcome(
                     now,
                     activeSession.id,
-                    wasCut ? Ending.RESET : Ending.OVER,
-                    Cause.NONE,
+                    wasCut ? InviteOutcome.RESET : InviteOutcome.RELEASED,
+                    RejectionCause.NONE,
                     leg.exchangeId,
                     now - leg.sentAt,
                     0,
@@ -915,7 +923,7 @@
         reportedCircuits.put(number, new int[] {free, size});
         for (Belief entry : rosterManager.entries()) {
             if (entry.exchange().number() == number) {
-                policy.circuits(now, entry.exchange().id(), free, size);
+                policy.onCircuitUpdate(now, entry.exchange().id(), free, size);
             }
         }
     }
@@ -952,7 +960,7 @@
             case "NOTIFY" -> rosterManager.subscriber().notified(now, tx, from, out);
             case "MESSAGE" -> {
                 if (request.body().length <= MAX_PEER_MESSAGE_BYTES) {
-                    policy.peer(now, (int) request.number("X-Number", -1), request.body());
+                    policy.onPeerMessage(now, (int) request.number("X-Number", -1), request.body());
                 } else {
                     agent.count("long-news");
                 }
@@ -986,7 +994,7 @@
             }
             agent.respond(now, probeRequest, reply, out);
         } else if (tx.owner() instanceof Object[] probe) {
-            policy.report(
+            policy.onProbeReply(
                     now,
                     (Long) probe[0],
                     succeeded,
@@ -1010,14 +1018,14 @@
 
     @Override
     public void rosterChanged(long now, List<Exchange> changes) {
-        policy.roster(now, false, changes);
+        policy.onExchangeList(now, false, changes);
         reportedCircuits.clear();
         trunkGroups.numbers().forEach(number -> reportCircuits(now, number));
     }
 
     @Override
     public void directorySubscriptionEnded(long now) {
-        policy.rosterLost(now);
+        policy.onExchangeListLost(now);
     }
 
     @Override
--- a/src/main/java/coralcove/inhand/InHand.java
+++ b/src/main/java/coralcove/inhand/InHand.java
@@ -1,11 +1,11 @@
 package coralcove.inhand;
 
-import coralcove.Answer;
 import coralcove.CallRouter;
-import coralcove.Cause;
-import coralcove.Ending;
+import coralcove.InviteOutcome;
+import coralcove.PendingActions;
+import coralcove.RejectionCause;
+import coralcove.RoutingDecision;
 import coralcove.Session;
-import coralcove.Waiting;
 import java.util.HashMap;
 import java.util.Map;
 
@@ -44,7 +44,15 @@
 
     /** Informs the policy that the call was established {@code elapsed} µs after its INVITE. */
     public void stands(long now, long id, long exchange, long elapsed) {
-        router.after(now, id, Ending.STANDS, Cause.NONE, exchange, elapsed, 0, true);
+        router.onInviteOutcome(
+                now,
+                id,
+                InviteOutcome.ESTABLISHED,
+                RejectionCause.NONE,
+                exchange,
+                elapsed,
+                0,
+                true);
     }
 
     /**
@@ -54,8 +62,8 @@
     public void ended(
             long now,
             long id,
-            Ending outcome,
-            Cause cause,
+            InviteOutcome outcome,
+            RejectionCause cause,
             long exchange,
             long elapsed,
             long retryAfter,
@@ -64,8 +72,8 @@
             sessions.remove(id);
         }
         Session session = sessions.get(id);
-        Answer decision =
-                router.after(
+        RoutingDecision decision =
+                router.onInviteOutcome(
                         now, id, outcome, cause, exchange, elapsed, retryAfter, session == null);
         if (session != null) {
             carryOut(session, decision);
@@ -75,7 +83,7 @@
     /** The caller abandoned the session: it needs no further answer. */
     public void left(long now, long id) {
         sessions.remove(id);
-        router.ended(now, id);
+        router.onSessionEnded(now, id);
     }
 
     /**
@@ -83,19 +91,19 @@
      * schedules the next wake-up.
      */
     public void rest(long now) {
-        Waiting pending = router.waiting(now);
+        PendingActions pending = router.pendingActions(now);
         if (pending.subscribe()) {
             executor.subscribe();
         }
         pending.probes().forEach(executor::probe);
         pending.broadcasts().forEach(executor::broadcast);
-        if (pending.until() > 0 && pending.until() != scheduledWakeUp) {
-            scheduledWakeUp = pending.until();
+        if (pending.wakeAt() > 0 && pending.wakeAt() != scheduledWakeUp) {
+            scheduledWakeUp = pending.wakeAt();
             executor.wake(scheduledWakeUp);
         }
     }
 
-    private void carryOut(Session session, Answer decision) {
+    private void carryOut(Session session, RoutingDecision decision) {
         switch (decision.kind()) {
             case SEND -> executor.send(session, decision.exchange(), decision.time());
             case LATER -> executor.later(session, decision.time());
--- a/src/main/java/coralcove/planner/EdgeLink.java
+++ b/src/main/java/coralcove/planner/EdgeLink.java
@@ -1,7 +1,7 @@
 package coralcove.planner;
 
 import coralcove.Plan;
-import coralcove.PlanKeeper;
+import coralcove.PlannedTargetSource;
 import coralcove.Settings;
 import java.util.Map;
 import java.util.TreeMap;
@@ -10,7 +10,7 @@
 /**
  * The edge's end of the link to its planner, without sockets and clock: it accepts one planner,
  * sends it group loads and receives its plans. A planner affects sessions only through {@link
- * PlanKeeper}, however it behaves or fails.
+ * PlannedTargetSource}, however it behaves or fails.
  */
 public final class EdgeLink {
     /** Actions of the link on its connections and its log. */
@@ -64,7 +64,7 @@
     private static final long NO_CONNECTION = -1;
 
     private final Settings settings;
-    private final PlanKeeper plannedTargets;
+    private final PlannedTargetSource plannedTargets;
     private final FactsOut loadQueue;
     private final long startTag;
     private final Consumer<Plan> planAccepted;
@@ -79,14 +79,17 @@
 
     /** Creates a link; {@code startTag} distinguishes this start of the edge from others. */
     public EdgeLink(
-            Settings settings, PlanKeeper plannedTargets, FactsOut loadQueue, long startTag) {
+            Settings settings,
+            PlannedTargetSource plannedTargets,
+            FactsOut loadQueue,
+            long startTag) {
         this(settings, plannedTargets, loadQueue, startTag, plan -> {});
     }
 
     /** Creates a link that passes each plan that comes into force to {@code planAccepted}. */
     public EdgeLink(
             Settings settings,
-            PlanKeeper plannedTargets,
+            PlannedTargetSource plannedTargets,
             FactsOut loadQueue,
             long startTag,
             Consumer<Plan> planAccepted) {
@@ -157,16 +160,18 @@
             count("unknown-peer");
             drop(connection, "message received before a hello", actions);
         } else if (frame instanceof Frame.PlanOffer offer) {
-            PlanKeeper.Refusal result = plannedTargets.offer(now, offer.plan());
+            PlannedTargetSource.Rejection result = plannedTargets.offer(now, offer.plan());
             count(
-                    result == PlanKeeper.Refusal.NONE
+                    result == PlannedTargetSource.Rejection.NONE
                             ? "taken"
                             : result.name().toLowerCase(java.util.Locale.ROOT));
-            if (result == PlanKeeper.Refusal.NONE) {
+            if (result == PlannedTargetSource.Rejection.NONE) {
                 planAccepted.accept(offer.plan());
                 offer.plan()
                         .groups()
-                        .forEach(group -> loadQueue.planAccepted(group.number(), group.at()));
+                        .forEach(
+                                group ->
+                                        loadQueue.planAccepted(group.number(), group.measuredAt()));
             } else {
                 actions.log("plan-refused", "version " + offer.plan().version() + " " + result);
             }
@@ -178,7 +183,7 @@
         String rejection =
                 !hello.fromPlanner()
                         ? "not a planner"
-                        : hello.router() != settings.ownNumber()
+                        : hello.router() != settings.localNumber()
                                 ? "a planner for router " + hello.router()
                                 : hello.classCount() != 2 * settings.services().size()
                                         ? "a planner of " + hello.classCount() + " classes"
@@ -204,7 +209,7 @@
                 connection,
                 new Frame.Hello(
                         false,
-                        settings.ownNumber(),
+                        settings.localNumber(),
                         hello.classCount(),
                         startTag,
                         plannedTargets.version()),
--- a/src/main/java/coralcove/planner/FactsOut.java
+++ b/src/main/java/coralcove/planner/FactsOut.java
@@ -1,6 +1,6 @@
 package coralcove.planner;
 
-import coralcove.GroupFacts;
+import coralcove.GroupLoad;
 import java.util.ArrayList;
 import java.util.Iterator;
 import java.util.LinkedHashMap;
@@ -15,13 +15,13 @@
  */
 public final class FactsOut {
     private final int maxGroups;
-    private final Map<Integer, GroupFacts> queued = new LinkedHashMap<>();
+    private final Map<Integer, GroupLoad> queued = new LinkedHashMap<>();
 
     /**
      * Loads that were sent while no plan based on them has been accepted yet; a planner that
      * connects later receives them again.
      */
-    private final Map<Integer, GroupFacts> unplanned = new LinkedHashMap<>();
+    private final Map<Integer, GroupLoad> unplanned = new LinkedHashMap<>();
 
     private long dropped;
     private long replaced;
@@ -32,7 +32,7 @@
     }
 
     /** Queues the load of a group in place of any older one of the same group. */
-    public void add(GroupFacts load) {
+    public void add(GroupLoad load) {
         if (queued.remove(load.number()) != null) {
             replaced++;
         }
@@ -47,11 +47,11 @@
     }
 
     /** Removes and returns at most {@code count} loads, the least recently updated ones first. */
-    public List<GroupFacts> drain(int count) {
-        List<GroupFacts> drained = new ArrayList<>();
-        Iterator<GroupFacts> oldest = queued.values().iterator();
+    public List<GroupLoad> drain(int count) {
+        List<GroupLoad> drained = new ArrayList<>();
+        Iterator<GroupLoad> oldest = queued.values().iterator();
         while (drained.size() < count && oldest.hasNext()) {
-            GroupFacts next = oldest.next();
+            GroupLoad next = oldest.next();
             drained.add(next);
             unplanned.put(next.number(), next);
             oldest.remove();
@@ -64,8 +64,8 @@
 
     /** Notes that the plan in force for a group is based on its load measured at {@code at}, µs. */
     public void planAccepted(int number, long at) {
-        GroupFacts sent = unplanned.get(number);
-        if (sent != null && sent.at() <= at) {
+        GroupLoad sent = unplanned.get(number);
+        if (sent != null && sent.measuredAt() <= at) {
             unplanned.remove(number);
         }
     }
@@ -75,7 +75,7 @@
      * when another planner connects.
      */
     public void requeueUnplanned() {
-        Map<Integer, GroupFacts> newer = new LinkedHashMap<>(queued);
+        Map<Integer, GroupLoad> newer = new LinkedHashMap<>(queued);
         queued.clear();
         queued.putAll(unplanned);
         unplanned.clear();
--- a/src/main/java/coralcove/planner/Frame.java
+++ b/src/main/java/coralcove/planner/Frame.java
@@ -1,7 +1,7 @@
 package coralcove.planner;
 
-import coralcove.GroupFacts;
-import coralcove.GroupPlan;
+import coralcove.GroupLoad;
+import coralcove.GroupTargets;
 import coralcove.Plan;
 import java.nio.BufferUnderflowException;
 import java.nio.ByteBuffer;
@@ -32,7 +32,7 @@
     record HelloRejected(String reason) implements Frame {}
 
     /** Loads of some groups, from the edge. */
-    record GroupLoads(List<GroupFacts> groups) implements Frame {}
+    record GroupLoads(List<GroupLoad> groups) implements Frame {}
 
     /** A plan for some groups, from the planner. */
     record PlanOffer(Plan plan) implements Frame {}
@@ -99,7 +99,10 @@
     /** Bytes that the body takes at most: exact for loads and plans, an upper bound for others. */
     private int maxBodyBytes() {
         if (this instanceof GroupLoads loads) {
-            return 4 + loads.groups.stream().mapToInt(group -> 18 + 8 * group.calls().length).sum();
+            return 4
+                    + loads.groups.stream()
+                            .mapToInt(group -> 18 + 8 * group.erlangs().length)
+                            .sum();
         }
         if (this instanceof PlanOffer offer) {
             return 16
@@ -126,12 +129,12 @@
         }
         if (this instanceof GroupLoads loads) {
             out.putInt(loads.groups.size());
-            for (GroupFacts load : loads.groups) {
-                out.putLong(load.at())
+            for (GroupLoad load : loads.groups) {
+                out.putLong(load.measuredAt())
                         .putInt(load.number())
                         .putInt(load.size())
-                        .putShort((short) load.calls().length);
-                for (double calls : load.calls()) {
+                        .putShort((short) load.erlangs().length);
+                for (double calls : load.erlangs()) {
                     out.putDouble(calls);
                 }
             }
@@ -141,16 +144,16 @@
             out.putInt(offer.plan.router())
                     .putLong(offer.plan.version())
                     .putInt(offer.plan.groups().size());
-            for (GroupPlan group : offer.plan.groups()) {
-                out.putLong(group.at())
+            for (GroupTargets group : offer.plan.groups()) {
+                out.putLong(group.measuredAt())
                         .putInt(group.number())
                         .putDouble(group.beta())
                         .putShort((short) group.c0().length);
                 for (int i = 0; i < group.c0().length; i++) {
                     out.putDouble(group.c0()[i])
                             .putDouble(group.c1()[i])
-                            .putDouble(group.phantoms()[i])
-                            .put((byte) (group.seen()[i] ? 1 : 0));
+                            .putDouble(group.initialPhantoms()[i])
+                            .put((byte) (group.hasLoad()[i] ? 1 : 0));
                 }
             }
             return TYPE_PLAN_OFFER;
@@ -207,7 +210,7 @@
             case TYPE_HELLO_REJECTED -> new HelloRejected(readText(in));
             case TYPE_GROUP_LOADS -> {
                 int count = readGroupCount(in, MAX_GROUPS);
-                List<GroupFacts> groups = new ArrayList<>();
+                List<GroupLoad> groups = new ArrayList<>();
                 for (int i = 0; i < count; i++) {
                     long at = in.getLong();
                     int number = in.getInt();
@@ -223,7 +226,7 @@
                         throw new MalformedFrameException(
                                 "invalid group " + number + " of size " + size);
                     }
-                    groups.add(new GroupFacts(at, number, size, calls));
+                    groups.add(new GroupLoad(at, number, size, calls));
                 }
                 yield new GroupLoads(groups);
             }
@@ -231,7 +234,7 @@
                 int router = in.getInt();
                 long version = in.getLong();
                 int count = readGroupCount(in, MAX_GROUPS);
-                List<GroupPlan> groups = new ArrayList<>();
+                List<GroupTargets> groups = new ArrayList<>();
                 for (int i = 0; i < count; i++) {
                     groups.add(readGroupPlan(in));
                 }
@@ -243,13 +246,13 @@
         };
     }
 
-    private static GroupPlan readGroupPlan(ByteBuffer in) throws MalformedFrameException {
+    private static GroupTargets readGroupPlan(ByteBuffer in) throws MalformedFrameException {
         long at = in.getLong();
         int number = in.getInt();
         double beta = in.getDouble();
         int classes = readClassCount(in);
-        GroupPlan plan =
-                new GroupPlan(
+        GroupTargets plan =
+                new GroupTargets(
                         at,
                         number,
                         beta,
@@ -260,8 +263,8 @@
         for (int i = 0; i < classes; i++) {
             plan.c0()[i] = in.getDouble();
             plan.c1()[i] = in.getDouble();
-            plan.phantoms()[i] = in.getDouble();
-            plan.seen()[i] = in.get() != 0;
+            plan.initialPhantoms()[i] = in.getDouble();
+            plan.hasLoad()[i] = in.get() != 0;
         }
         return plan;
     }
--- a/src/main/java/coralcove/planner/LoadForecast.java
+++ b/src/main/java/coralcove/planner/LoadForecast.java
@@ -1,6 +1,6 @@
 package coralcove.planner;
 
-import coralcove.GroupFacts;
+import coralcove.GroupLoad;
 import java.util.ArrayDeque;
 import java.util.Arrays;
 import java.util.HashMap;
@@ -41,7 +41,7 @@
 
     /** Recent loads of one group and its current contribution to the totals. */
     private static final class GroupHistory {
-        final ArrayDeque<GroupFacts> loads = new ArrayDeque<>();
+        final ArrayDeque<GroupLoad> loads = new ArrayDeque<>();
 
         /** Number of calls per class in the latest window; null without an earlier window. */
         double[] currentCalls;
@@ -68,7 +68,7 @@
     }
 
     /** Records a measured load and returns the load to plan for. */
-    public GroupFacts forecast(GroupFacts measured) {
+    public GroupLoad forecast(GroupLoad measured) {
         GroupHistory history = histories.get(measured.number());
         if (history == null) {
             if (histories.size() >= maxGroups) {
@@ -78,29 +78,31 @@
             histories.put(measured.number(), history);
         }
         record(history, measured);
-        double[] calls = measured.calls().clone();
+        double[] calls = measured.erlangs().clone();
         for (int i = 0; i < calls.length; i++) {
             calls[i] *= changeFactor(i);
         }
-        return new GroupFacts(measured.at(), measured.number(), measured.size(), calls);
+        return new GroupLoad(measured.measuredAt(), measured.number(), measured.size(), calls);
     }
 
-    private void record(GroupHistory history, GroupFacts measured) {
-        if (!history.loads.isEmpty() && history.loads.peekLast().at() >= measured.at()) {
+    private void record(GroupHistory history, GroupLoad measured) {
+        if (!history.loads.isEmpty()
+                && history.loads.peekLast().measuredAt() >= measured.measuredAt()) {
             return;
         }
         addToTotals(history, -1);
         history.loads.add(measured);
         while (history.loads.size() > MAX_HISTORY_SIZE
-                || measured.at() - history.loads.peek().at() > MAX_HISTORY_AGE_MICROS) {
+                || measured.measuredAt() - history.loads.peek().measuredAt()
+                        > MAX_HISTORY_AGE_MICROS) {
             history.loads.poll();
         }
         history.currentCalls = null;
         history.previousCalls = null;
-        for (Iterator<GroupFacts> newestFirst = history.loads.descendingIterator();
+        for (Iterator<GroupLoad> newestFirst = history.loads.descendingIterator();
                 newestFirst.hasNext(); ) {
-            GroupFacts earlier = newestFirst.next();
-            if (measured.at() - earlier.at() >= MEASUREMENT_WINDOW_MICROS) {
+            GroupLoad earlier = newestFirst.next();
+            if (measured.measuredAt() - earlier.measuredAt() >= MEASUREMENT_WINDOW_MICROS) {
                 history.currentCalls = callsInWindow(measured);
                 history.previousCalls = callsInWindow(earlier);
                 break;
@@ -117,9 +119,9 @@
         }
     }
 
-    private double[] callsInWindow(GroupFacts load) {
+    private double[] callsInWindow(GroupLoad load) {
         double[] counts = new double[holdTimes.length];
-        Arrays.setAll(counts, i -> load.calls()[i] * MEASUREMENT_WINDOW_MICROS / holdTimes[i]);
+        Arrays.setAll(counts, i -> load.erlangs()[i] * MEASUREMENT_WINDOW_MICROS / holdTimes[i]);
         return counts;
     }
 
--- a/src/main/java/coralcove/planner/PlanShelf.java
+++ b/src/main/java/coralcove/planner/PlanShelf.java
@@ -1,8 +1,8 @@
 package coralcove.planner;
 
-import coralcove.GroupPlan;
+import coralcove.GroupTargets;
 import coralcove.Plan;
-import coralcove.PlanKeeper;
+import coralcove.PlannedTargetSource;
 import coralcove.Settings;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -20,7 +20,7 @@
 
     /** Adds the groups of a plan that has come into force. */
     public synchronized void taken(Plan plan) {
-        for (GroupPlan group : plan.groups()) {
+        for (GroupTargets group : plan.groups()) {
             pendingByGroup.put(
                     group.number(), new Plan(plan.router(), plan.version(), List.of(group)));
         }
@@ -39,13 +39,14 @@
      * are those whose loads were measured after {@code now}, as after a clock was set back: their
      * age is unknown.
      */
-    public static int resume(long now, Settings settings, PlanKeeper keeper, List<Plan> stored) {
-        TreeMap<Long, List<GroupPlan>> groupsByVersion = new TreeMap<>();
+    public static int resume(
+            long now, Settings settings, PlannedTargetSource keeper, List<Plan> stored) {
+        TreeMap<Long, List<GroupTargets>> groupsByVersion = new TreeMap<>();
         for (Plan plan : stored) {
-            for (GroupPlan group : plan.groups()) {
-                if (plan.router() == settings.ownNumber()
-                        && group.at() <= now
-                        && now - group.at() < PlanKeeper.STALE_FROM) {
+            for (GroupTargets group : plan.groups()) {
+                if (plan.router() == settings.localNumber()
+                        && group.measuredAt() <= now
+                        && now - group.measuredAt() < PlannedTargetSource.STALE_AGE_MICROS) {
                     groupsByVersion
                             .computeIfAbsent(plan.version(), version -> new ArrayList<>())
                             .add(group);
@@ -53,10 +54,12 @@
             }
         }
         int restored = 0;
-        for (Map.Entry<Long, List<GroupPlan>> entry : groupsByVersion.entrySet()) {
-            Plan plan = new Plan(settings.ownNumber(), entry.getKey(), entry.getValue());
+        for (Map.Entry<Long, List<GroupTargets>> entry : groupsByVersion.entrySet()) {
+            Plan plan = new Plan(settings.localNumber(), entry.getKey(), entry.getValue());
             restored +=
-                    keeper.offer(now, plan) == PlanKeeper.Refusal.NONE ? plan.groups().size() : 0;
+                    keeper.offer(now, plan) == PlannedTargetSource.Rejection.NONE
+                            ? plan.groups().size()
+                            : 0;
         }
         return restored;
     }
--- a/src/main/java/coralcove/planner/PlannerCore.java
+++ b/src/main/java/coralcove/planner/PlannerCore.java
@@ -1,7 +1,7 @@
 package coralcove.planner;
 
-import coralcove.GroupFacts;
-import coralcove.GroupPlan;
+import coralcove.GroupLoad;
+import coralcove.GroupTargets;
 import coralcove.Plan;
 import coralcove.Planner;
 import coralcove.Settings;
@@ -114,11 +114,11 @@
         planner = new Planner(settings);
         int[] widths = new int[2 * settings.services().size()];
         for (int i = 0; i < widths.length; i++) {
-            widths[i] = settings.services().get(i / 2).width();
+            widths[i] = settings.services().get(i / 2).circuits();
         }
         schedule = new PlanningSchedule(widths, MOST_GROUPS);
         long[] holdTimes = new long[widths.length];
-        Arrays.setAll(holdTimes, i -> settings.services().get(i / 2).hold());
+        Arrays.setAll(holdTimes, i -> settings.services().get(i / 2).holdTime());
         forecast = forecastLoads ? new LoadForecast(holdTimes, MOST_GROUPS) : null;
     }
 
@@ -136,17 +136,17 @@
      * Adds loads from a store. They are planned if they are still recent by the edge's clock once
      * the edge has sent a load.
      */
-    public void restore(List<GroupFacts> loads) {
-        for (GroupFacts load : loads) {
+    public void restore(List<GroupLoad> loads) {
+        for (GroupLoad load : loads) {
             if (schedule.add(load)) {
-                newestLoadAt = Math.max(newestLoadAt, load.at());
+                newestLoadAt = Math.max(newestLoadAt, load.measuredAt());
             }
         }
         schedule.drainChanged();
     }
 
     /** Returns the loads received since the last call, to be written to the store. */
-    public List<GroupFacts> drainChanged() {
+    public List<GroupLoad> drainChanged() {
         return schedule.drainChanged();
     }
 
@@ -158,7 +158,7 @@
         actions.send(
                 new Frame.Hello(
                                 true,
-                                settings.ownNumber(),
+                                settings.localNumber(),
                                 2 * settings.services().size(),
                                 startTag,
                                 version)
@@ -214,9 +214,9 @@
             actions.close();
             closed(now, actions);
         } else if (frame instanceof Frame.GroupLoads loads) {
-            for (GroupFacts load : loads.groups()) {
-                if (schedule.add(load) && load.at() >= newestLoadAt) {
-                    newestLoadAt = load.at();
+            for (GroupLoad load : loads.groups()) {
+                if (schedule.add(load) && load.measuredAt() >= newestLoadAt) {
+                    newestLoadAt = load.measuredAt();
                     newestLoadReceivedAt = now;
                 }
             }
@@ -264,15 +264,17 @@
         // The edge's time as far as it is known, so that a step of the local clock does not change
         // the age of loads.
         long edgeNow = newestLoadAt + (now - newestLoadReceivedAt);
-        List<GroupPlan> groups = new ArrayList<>();
-        for (GroupFacts load : schedule.takeNext(edgeNow, GROUPS_PER_ROUND)) {
-            groups.add(planner.of(edgeNow, forecast == null ? load : forecast.forecast(load)));
+        List<GroupTargets> groups = new ArrayList<>();
+        for (GroupLoad load : schedule.takeNext(edgeNow, GROUPS_PER_ROUND)) {
+            groups.add(
+                    planner.targetsFor(edgeNow, forecast == null ? load : forecast.forecast(load)));
         }
         if (!groups.isEmpty()) {
             version++;
             nextHeartbeatAt = now + HEARTBEAT_INTERVAL_MICROS;
             actions.send(
-                    new Frame.PlanOffer(new Plan(settings.ownNumber(), version, groups)).encode());
+                    new Frame.PlanOffer(new Plan(settings.localNumber(), version, groups))
+                            .encode());
         }
     }
 
--- a/src/main/java/coralcove/planner/PlanningSchedule.java
+++ b/src/main/java/coralcove/planner/PlanningSchedule.java
@@ -1,6 +1,6 @@
 package coralcove.planner;
 
-import coralcove.GroupFacts;
+import coralcove.GroupLoad;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -29,7 +29,7 @@
 
     private final int[] widths;
     private final int maxGroups;
-    private final Map<Integer, GroupFacts> loads = new HashMap<>();
+    private final Map<Integer, GroupLoad> loads = new HashMap<>();
 
     /** Numbers of the groups whose latest load has not been planned, in order of arrival. */
     private final Set<Integer> unplanned = new LinkedHashSet<>();
@@ -54,11 +54,11 @@
      * Adds the latest load of a group. Returns false and ignores the load if it is older than the
      * stored one, has another number of classes, or would exceed the number of groups.
      */
-    public boolean add(GroupFacts load) {
-        GroupFacts known = loads.get(load.number());
+    public boolean add(GroupLoad load) {
+        GroupLoad known = loads.get(load.number());
         boolean acceptable =
-                load.calls().length == widths.length
-                        && (known == null || load.at() >= known.at())
+                load.erlangs().length == widths.length
+                        && (known == null || load.measuredAt() >= known.measuredAt())
                         && (known != null || loads.size() < maxGroups);
         if (!acceptable) {
             rejectedCount++;
@@ -74,20 +74,20 @@
      * Returns the loads of the groups to plan now, at most {@code budget} of them. Each load is
      * returned once.
      */
-    public List<GroupFacts> takeNext(long now, int budget) {
-        unplanned.removeIf(number -> now - loads.get(number).at() > MAX_LOAD_AGE_MICROS);
-        List<GroupFacts> priority = new ArrayList<>();
+    public List<GroupLoad> takeNext(long now, int budget) {
+        unplanned.removeIf(number -> now - loads.get(number).measuredAt() > MAX_LOAD_AGE_MICROS);
+        List<GroupLoad> priority = new ArrayList<>();
         for (int number : unplanned) {
             if (relativeLoad(loads.get(number)) >= PRIORITY_LOAD) {
                 priority.add(loads.get(number));
             }
         }
         priority.sort(
-                Comparator.<GroupFacts>comparingDouble(load -> -relativeLoad(load))
-                        .thenComparingInt(GroupFacts::number));
-        List<GroupFacts> selected = new ArrayList<>();
+                Comparator.<GroupLoad>comparingDouble(load -> -relativeLoad(load))
+                        .thenComparingInt(GroupLoad::number));
+        List<GroupLoad> selected = new ArrayList<>();
         int priorityCount = Math.min(priority.size(), budget - budget / IN_ORDER_DIVISOR);
-        for (GroupFacts load : priority.subList(0, priorityCount)) {
+        for (GroupLoad load : priority.subList(0, priorityCount)) {
             selected.add(load);
             unplanned.remove(load.number());
         }
@@ -104,10 +104,10 @@
     }
 
     /** Offered load in circuits over the size of the group; infinite for a group of size 0. */
-    private double relativeLoad(GroupFacts load) {
+    private double relativeLoad(GroupLoad load) {
         double offeredCircuits = 0;
         for (int i = 0; i < widths.length; i++) {
-            offeredCircuits += load.calls()[i] * widths[i];
+            offeredCircuits += load.erlangs()[i] * widths[i];
         }
         return load.size() == 0 ? Double.POSITIVE_INFINITY : offeredCircuits / load.size();
     }
@@ -123,8 +123,8 @@
     }
 
     /** Returns the loads added since the last call, to be written to the store. */
-    public List<GroupFacts> drainChanged() {
-        List<GroupFacts> all = new ArrayList<>();
+    public List<GroupLoad> drainChanged() {
+        List<GroupLoad> all = new ArrayList<>();
         for (int number : changed) {
             all.add(loads.get(number));
         }
--- a/src/main/java/coralcove/planner/store/GroupStore.java
+++ b/src/main/java/coralcove/planner/store/GroupStore.java
@@ -1,6 +1,6 @@
 package coralcove.planner.store;
 
-import coralcove.GroupFacts;
+import coralcove.GroupLoad;
 import coralcove.Plan;
 import coralcove.planner.Frame;
 import coralcove.store.EntryStore;
@@ -21,12 +21,12 @@
      * Opens or creates the store of a planner's group loads. Whatever is discarded is reported to
      * {@code warnings} with the reason.
      */
-    public static EntryStore<Integer, GroupFacts> facts(Path path, Consumer<String> warnings) {
+    public static EntryStore<Integer, GroupLoad> facts(Path path, Consumer<String> warnings) {
         return new EntryStore<>(
                 path,
                 new EntryStore.Form<>(
                         "facts",
-                        GroupFacts::number,
+                        GroupLoad::number,
                         load -> new Frame.GroupLoads(List.of(load)).encode(),
                         entry ->
                                 decode(
--- a/src/main/java/coralcove/planner/transport/PlannerPort.java
+++ b/src/main/java/coralcove/planner/transport/PlannerPort.java
@@ -1,6 +1,6 @@
 package coralcove.planner.transport;
 
-import coralcove.GroupFacts;
+import coralcove.GroupLoad;
 import coralcove.mina.Mina;
 import coralcove.planner.PlannerCore;
 import coralcove.store.EntryStore;
@@ -34,7 +34,7 @@
     private final Logger log;
     private final InetSocketAddress edge;
     private final PlannerCore core;
-    private final EntryStore<Integer, GroupFacts> store;
+    private final EntryStore<Integer, GroupLoad> store;
     private final NioSocketConnector connector = new NioSocketConnector(1);
     private final ScheduledExecutorService executor;
     private IoSession session;
@@ -52,7 +52,7 @@
             String host,
             int port,
             PlannerCore core,
-            EntryStore<Integer, GroupFacts> store) {
+            EntryStore<Integer, GroupLoad> store) {
         log = LoggerFactory.getLogger(name);
         edge = new InetSocketAddress(host, port);
         this.core = core;
--- a/src/main/java/coralcove/platform/EstablishedCalls.java
+++ b/src/main/java/coralcove/platform/EstablishedCalls.java
@@ -1,6 +1,6 @@
 package coralcove.platform;
 
-import coralcove.Ending;
+import coralcove.InviteOutcome;
 import coralcove.platform.Exchanges.ExchangeConnection;
 import coralcove.platform.Exchanges.RemoteExchange;
 import coralcove.platform.caller.CallerMessage;
@@ -34,7 +34,7 @@
 
     /** Is notified when a call has ended. */
     interface Listener {
-        void callEnded(long now, long id, RemoteExchange exchange, Ending outcome);
+        void callEnded(long now, long id, RemoteExchange exchange, InviteOutcome outcome);
     }
 
     private final Exchanges exchanges;
@@ -150,7 +150,7 @@
                 waiting.poll();
             }
         }
-        remove(now, id, call, Ending.OVER);
+        remove(now, id, call, InviteOutcome.RELEASED);
         return true;
     }
 
@@ -210,7 +210,7 @@
         remove(now, id, call, LegEndings.released(cause));
     }
 
-    private void remove(long now, long id, Call call, Ending outcome) {
+    private void remove(long now, long id, Call call, InviteOutcome outcome) {
         calls.remove(id);
         markFinished(now, id);
         call.exchange.establishedCalls--;
--- a/src/main/java/coralcove/platform/RouterCore.java
+++ b/src/main/java/coralcove/platform/RouterCore.java
@@ -1,9 +1,9 @@
 package coralcove.platform;
 
 import coralcove.CallRouter;
-import coralcove.Cause;
-import coralcove.Ending;
 import coralcove.Exchange;
+import coralcove.InviteOutcome;
+import coralcove.RejectionCause;
 import coralcove.Session;
 import coralcove.inhand.InHand;
 import coralcove.inhand.Wire;
@@ -155,7 +155,7 @@
         pendingSessions = new InHand(router, this);
         exchanges =
                 new Exchanges(
-                        settings.module().ownNumber(),
+                        settings.module().localNumber(),
                         settings.mayTest(),
                         settings.descriptors(),
                         actions,
@@ -170,7 +170,14 @@
                         counters,
                         (at, id, exchange, outcome) ->
                                 pendingSessions.ended(
-                                        at, id, outcome, Cause.NONE, exchange.id, 0, 0, true));
+                                        at,
+                                        id,
+                                        outcome,
+                                        RejectionCause.NONE,
+                                        exchange.id,
+                                        0,
+                                        0,
+                                        true));
     }
 
     /** Advances the time to the arrival of an input; never back. Returns the current time. */
@@ -435,8 +442,8 @@
             pendingSessions.ended(
                     now,
                     id,
-                    Ending.CANCELLED,
-                    Cause.NONE,
+                    InviteOutcome.CANCELLED,
+                    RejectionCause.NONE,
                     invite.exchange.id,
                     now - invite.sentAt,
                     0,
@@ -547,7 +554,7 @@
     private void handleLoadReport(RemoteExchange exchange, String loadReport) {
         float[] columns = Report.read(loadReport, settings.reportColumns());
         if (columns != null && columns[0] >= 0 && columns[1] >= 0) {
-            router.circuits(now, exchange.id, (int) columns[0], (int) columns[1]);
+            router.onCircuitUpdate(now, exchange.id, (int) columns[0], (int) columns[1]);
         }
     }
 
@@ -573,7 +580,7 @@
         if (pending != null
                 && pending.outstanding != null
                 && pending.outstanding.connection == connection) {
-            endInvite(pending, Ending.RESET, Cause.NONE, 0);
+            endInvite(pending, InviteOutcome.RESET, RejectionCause.NONE, 0);
             return;
         }
         if (pending == null) {
@@ -671,7 +678,8 @@
     }
 
     /** Ends the outstanding INVITE without a call; the routing policy decides what follows. */
-    private void endInvite(PendingSession pending, Ending outcome, Cause cause, long retryAfter) {
+    private void endInvite(
+            PendingSession pending, InviteOutcome outcome, RejectionCause cause, long retryAfter) {
         Invite invite = pending.outstanding;
         pending.outstanding = null;
         if (invite.connection != null) {
@@ -693,7 +701,7 @@
     private void resetInvites(ExchangeConnection connection) {
         for (PendingSession pending : List.copyOf(pendingById.values())) {
             if (pending.outstanding != null && pending.outstanding.connection == connection) {
-                endInvite(pending, Ending.RESET, Cause.NONE, 0);
+                endInvite(pending, InviteOutcome.RESET, RejectionCause.NONE, 0);
             }
         }
     }
@@ -704,7 +712,7 @@
             if (pending.outstanding != null
                     && pending.outstanding.connection == null
                     && pending.outstanding.exchange == exchange) {
-                endInvite(pending, Ending.UNREACHABLE, Cause.NONE, 0);
+                endInvite(pending, InviteOutcome.UNREACHABLE, RejectionCause.NONE, 0);
             }
         }
     }
@@ -714,7 +722,7 @@
             return;
         }
         if (invite.connection == null) {
-            endInvite(pending, Ending.UNREACHABLE, Cause.NONE, 0);
+            endInvite(pending, InviteOutcome.UNREACHABLE, RejectionCause.NONE, 0);
             return;
         }
         ExchangeConnection connection = invite.connection;
@@ -722,7 +730,7 @@
         // truncated message.
         connection.unusable |= connection.lastHeardAt <= invite.sentAt;
         sendCancel(pending, invite);
-        endInvite(pending, Ending.TIMED_OUT, Cause.NONE, 0);
+        endInvite(pending, InviteOutcome.TIMED_OUT, RejectionCause.NONE, 0);
     }
 
     private final class ExchangeEvents implements Exchanges.Listener {
@@ -763,7 +771,7 @@
             if (event.no() > lastEventNumber) {
                 lastEventNumber = event.no();
                 List<Exchange> changed = exchanges.applyEvent(now, event);
-                router.roster(now, event.whole(), changed);
+                router.onExchangeList(now, event.whole(), changed);
                 // An INVITE that waits for a connection to a draining exchange must not be sent
                 // when the connection comes up.
                 changed.stream()
@@ -785,12 +793,12 @@
     /** A query to the discovery service has failed. */
     public void bulletinLost(long arrivedAt) {
         listFailed = true;
-        router.rosterLost(advanceTo(arrivedAt));
+        router.onExchangeListLost(advanceTo(arrivedAt));
     }
 
     /** A broadcast of the peer router with this rank has arrived. */
     public void peer(long arrivedAt, int rank, byte[] body) {
-        router.peer(advanceTo(arrivedAt), rank, body);
+        router.onPeerMessage(advanceTo(arrivedAt), rank, body);
     }
 
     private void handleProbeResponse(long id, ExchangeConnection connection, SipMessage message) {
@@ -799,7 +807,7 @@
             String loadReport = message.header("Link-State");
             float[] columns =
                     loadReport == null ? null : Report.read(loadReport, settings.reportColumns());
-            router.report(
+            router.onProbeReply(
                     now,
                     exchange.id,
                     message.status() == 200,
@@ -869,7 +877,7 @@
                     now + settings.connectTimeout(),
                     time -> {
                         if (probedExchanges.remove(id) != null) {
-                            router.report(
+                            router.onProbeReply(
                                     time,
                                     exchangeId,
                                     false,
--- a/src/main/java/coralcove/platform/RouterCounters.java
+++ b/src/main/java/coralcove/platform/RouterCounters.java
@@ -1,6 +1,6 @@
 package coralcove.platform;
 
-import coralcove.Ending;
+import coralcove.InviteOutcome;
 
 /**
  * Counters of a router since its start. {@link #toString} prints them for the log, under the names
@@ -29,7 +29,7 @@
     private long slowestSetUpMicros;
 
     private long totalSetUpMicros;
-    private final long[] outcomes = new long[Ending.values().length];
+    private final long[] outcomes = new long[InviteOutcome.values().length];
 
     /** Counts a session whose call was established this long after its INVITE. */
     void countEstablished(long micros) {
@@ -39,7 +39,7 @@
     }
 
     /** Counts an INVITE that ended without a call. */
-    void countOutcome(Ending outcome) {
+    void countOutcome(InviteOutcome outcome) {
         outcomes[outcome.ordinal()]++;
     }
 
@@ -86,7 +86,7 @@
                 .append(established == 0 ? 0 : totalSetUpMicros / established / 1000)
                 .append('/')
                 .append(slowestSetUpMicros / 1000);
-        for (Ending outcome : Ending.values()) {
+        for (InviteOutcome outcome : InviteOutcome.values()) {
             if (outcomes[outcome.ordinal()] > 0) {
                 out.append(' ').append(outcome).append(' ').append(outcomes[outcome.ordinal()]);
             }
--- a/src/main/java/coralcove/platform/ServiceSettings.java
+++ b/src/main/java/coralcove/platform/ServiceSettings.java
@@ -49,7 +49,7 @@
         List<Integer> widths = new ArrayList<>();
         for (int i = 0; i < routing.services().size(); i++) {
             services.add(boot.need("classes." + i + ".name"));
-            widths.add(routing.services().get(i).width());
+            widths.add(routing.services().get(i).circuits());
         }
         List<String> columns = boot.list("report.columns");
         if (columns.size() < 2) {
--- a/src/main/java/coralcove/platform/leg/LegEndings.java
+++ b/src/main/java/coralcove/platform/leg/LegEndings.java
@@ -1,7 +1,7 @@
 package coralcove.platform.leg;
 
-import coralcove.Cause;
-import coralcove.Ending;
+import coralcove.InviteOutcome;
+import coralcove.RejectionCause;
 import coralcove.protocol.Outcomes.Outcome;
 import coralcove.sip.SipMessage;
 
@@ -25,33 +25,37 @@
 
     /** The outcome of an INVITE by its final response, other than 200. */
     public static Outcome of(SipMessage response) {
-        Cause cause = cause(response.header("Fail-Word", ""));
+        RejectionCause cause = cause(response.header("Fail-Word", ""));
         long retryAfter =
-                cause == Cause.PROCESSOR_FULL
+                cause == RejectionCause.PROCESSOR_FULL
                         ? Math.max(0, Math.min(MAX_RETRY_AFTER_MS, response.number("Proc-Wait", 0)))
                                 * 1000
                         : 0;
         return switch (response.status()) {
-            case 503 -> new Outcome(Ending.BUSY, cause, retryAfter);
-            case 480 -> new Outcome(Ending.NOT_SENT, cause, retryAfter);
-            case 504 -> new Outcome(Ending.RESET, Cause.NONE, 0);
-            default -> new Outcome(Ending.ERROR, cause == Cause.LINES_BUSY ? cause : Cause.NONE, 0);
+            case 503 -> new Outcome(InviteOutcome.BUSY, cause, retryAfter);
+            case 480 -> new Outcome(InviteOutcome.NOT_SENT, cause, retryAfter);
+            case 504 -> new Outcome(InviteOutcome.RESET, RejectionCause.NONE, 0);
+            default ->
+                    new Outcome(
+                            InviteOutcome.ERROR,
+                            cause == RejectionCause.LINES_BUSY ? cause : RejectionCause.NONE,
+                            0);
         };
     }
 
-    private static Cause cause(String failWord) {
+    private static RejectionCause cause(String failWord) {
         return switch (failWord) {
-            case "blocked" -> Cause.NO_CIRCUIT;
-            case "bounced" -> Cause.TURNED_BACK;
-            case "far_swamped" -> Cause.FULL_BEYOND;
-            case "swamped" -> Cause.PROCESSOR_FULL;
-            case "occupied" -> Cause.LINES_BUSY;
-            default -> Cause.NONE;
+            case "blocked" -> RejectionCause.NO_CIRCUIT;
+            case "bounced" -> RejectionCause.CRANKBACK;
+            case "far_swamped" -> RejectionCause.FAR_END_PROCESSOR_FULL;
+            case "swamped" -> RejectionCause.PROCESSOR_FULL;
+            case "occupied" -> RejectionCause.LINES_BUSY;
+            default -> RejectionCause.NONE;
         };
     }
 
     /** The outcome of an established call by the cause of its release. */
-    public static Ending released(int cause) {
-        return cause == NORMAL ? Ending.OVER : Ending.RESET;
+    public static InviteOutcome released(int cause) {
+        return cause == NORMAL ? InviteOutcome.RELEASED : InviteOutcome.RESET;
     }
 }
--- a/src/main/java/coralcove/platform/live/Serve.java
+++ b/src/main/java/coralcove/platform/live/Serve.java
@@ -1,6 +1,6 @@
 package coralcove.platform.live;
 
-import coralcove.Choice;
+import coralcove.ExponentialPenaltyRouter;
 import coralcove.config.BadConfig;
 import coralcove.platform.Actions;
 import coralcove.platform.Down;
@@ -62,7 +62,7 @@
                 new RouterCore(
                         clock(),
                         configuration.settings(),
-                        new Choice(
+                        new ExponentialPenaltyRouter(
                                 configuration.settings().module(),
                                 new SplittableRandom(configuration.seed())),
                         this);
--- a/src/main/java/coralcove/protocol/Outcomes.java
+++ b/src/main/java/coralcove/protocol/Outcomes.java
@@ -1,7 +1,7 @@
 package coralcove.protocol;
 
-import coralcove.Cause;
-import coralcove.Ending;
+import coralcove.InviteOutcome;
+import coralcove.RejectionCause;
 import coralcove.sip.SipMessage;
 import coralcove.sip.dialog.Agent.Lost;
 import java.util.regex.Matcher;
@@ -44,7 +44,7 @@
      *
      * @param namedWait retry-after delay in µs that a full processor asked for, or 0
      */
-    public record Outcome(Ending ending, Cause cause, long namedWait) {}
+    public record Outcome(InviteOutcome ending, RejectionCause cause, long namedWait) {}
 
     private Outcomes() {}
 
@@ -59,21 +59,26 @@
             return switch (lost) {
                 // The first hop is the local exchange: if it accepts no connection, the INVITE was
                 // not sent.
-                case UNREACHABLE -> withoutWait(Ending.NOT_SENT, Cause.PROCESSOR_FULL);
-                case RESET -> withoutWait(Ending.RESET, Cause.NONE);
-                case TIMED_OUT, NO -> withoutWait(Ending.TIMED_OUT, Cause.NONE);
+                case UNREACHABLE ->
+                        withoutWait(InviteOutcome.NOT_SENT, RejectionCause.PROCESSOR_FULL);
+                case RESET -> withoutWait(InviteOutcome.RESET, RejectionCause.NONE);
+                case TIMED_OUT, NO -> withoutWait(InviteOutcome.TIMED_OUT, RejectionCause.NONE);
             };
         }
         return switch (cause(response)) {
-            case LINES_BUSY -> withoutWait(Ending.ERROR, Cause.LINES_BUSY);
-            case UNREACHABLE -> withoutWait(Ending.UNREACHABLE, Cause.NONE);
-            case NO_CIRCUIT -> withoutWait(Ending.BUSY, Cause.NO_CIRCUIT);
-            case OWN_EXCHANGE -> withoutWait(Ending.NOT_SENT, Cause.PROCESSOR_FULL);
+            case LINES_BUSY -> withoutWait(InviteOutcome.ERROR, RejectionCause.LINES_BUSY);
+            case UNREACHABLE -> withoutWait(InviteOutcome.UNREACHABLE, RejectionCause.NONE);
+            case NO_CIRCUIT -> withoutWait(InviteOutcome.BUSY, RejectionCause.NO_CIRCUIT);
+            case OWN_EXCHANGE -> withoutWait(InviteOutcome.NOT_SENT, RejectionCause.PROCESSOR_FULL);
             case PROCESSOR_FULL ->
-                    new Outcome(Ending.BUSY, Cause.PROCESSOR_FULL, retryAfter(response));
-            case TURNED_BACK -> withoutWait(Ending.BUSY, Cause.TURNED_BACK);
-            case FULL_BEYOND -> withoutWait(Ending.BUSY, Cause.FULL_BEYOND);
-            case CUT -> withoutWait(Ending.RESET, Cause.NONE);
+                    new Outcome(
+                            InviteOutcome.BUSY,
+                            RejectionCause.PROCESSOR_FULL,
+                            retryAfter(response));
+            case TURNED_BACK -> withoutWait(InviteOutcome.BUSY, RejectionCause.CRANKBACK);
+            case FULL_BEYOND ->
+                    withoutWait(InviteOutcome.BUSY, RejectionCause.FAR_END_PROCESSOR_FULL);
+            case CUT -> withoutWait(InviteOutcome.RESET, RejectionCause.NONE);
             default -> byStatus(response.status());
         };
     }
@@ -81,16 +86,16 @@
     /** Returns the outcome for a response without a known cause. */
     private static Outcome byStatus(int status) {
         return switch (status) {
-            case 408, 504 -> withoutWait(Ending.TIMED_OUT, Cause.NONE);
-            case 486, 600 -> withoutWait(Ending.ERROR, Cause.LINES_BUSY);
-            case 487 -> withoutWait(Ending.CANCELLED, Cause.NONE);
-            case 480, 503 -> withoutWait(Ending.BUSY, Cause.NONE);
-            case 502 -> withoutWait(Ending.UNREACHABLE, Cause.NONE);
-            default -> withoutWait(Ending.ERROR, Cause.NONE);
+            case 408, 504 -> withoutWait(InviteOutcome.TIMED_OUT, RejectionCause.NONE);
+            case 486, 600 -> withoutWait(InviteOutcome.ERROR, RejectionCause.LINES_BUSY);
+            case 487 -> withoutWait(InviteOutcome.CANCELLED, RejectionCause.NONE);
+            case 480, 503 -> withoutWait(InviteOutcome.BUSY, RejectionCause.NONE);
+            case 502 -> withoutWait(InviteOutcome.UNREACHABLE, RejectionCause.NONE);
+            default -> withoutWait(InviteOutcome.ERROR, RejectionCause.NONE);
         };
     }
 
-    private static Outcome withoutWait(Ending ending, Cause cause) {
+    private static Outcome withoutWait(InviteOutcome ending, RejectionCause cause) {
         return new Outcome(ending, cause, 0);
     }
 
--- a/src/main/java/coralcove/rehearsal/RouterPlanner.java
+++ b/src/main/java/coralcove/rehearsal/RouterPlanner.java
@@ -1,6 +1,6 @@
 package coralcove.rehearsal;
 
-import coralcove.PlanKeeper;
+import coralcove.PlannedTargetSource;
 import coralcove.Settings;
 import coralcove.network.Network;
 import coralcove.planner.EdgeLink;
@@ -19,7 +19,7 @@
 abstract class RouterPlanner {
     final Settings settings;
     final FactsOut facts = new FactsOut(PlannerCore.MOST_GROUPS);
-    final PlanKeeper plannedTargets;
+    final PlannedTargetSource plannedTargets;
     final EdgeLink link;
     private final SplittableRandom random;
     private final boolean planAhead;
@@ -28,7 +28,7 @@
     RouterPlanner(Settings settings, long seed, boolean planAhead) {
         this.settings = settings;
         this.planAhead = planAhead;
-        plannedTargets = new PlanKeeper(settings, facts::add);
+        plannedTargets = new PlannedTargetSource(settings, facts::add);
         link = new EdgeLink(settings, plannedTargets, facts, seed);
         random = new SplittableRandom(seed);
     }
@@ -87,7 +87,7 @@
             void start() {
                 planner =
                         new PlannerPort(
-                                "planner-" + settings.ownNumber(),
+                                "planner-" + settings.localNumber(),
                                 "127.0.0.1",
                                 port,
                                 newCore(),
--- a/src/main/java/coralcove/rehearsal/ScenarioRun.java
+++ b/src/main/java/coralcove/rehearsal/ScenarioRun.java
@@ -1,8 +1,8 @@
 package coralcove.rehearsal;
 
-import coralcove.Choice;
-import coralcove.GroupPlan;
-import coralcove.PlanKeeper;
+import coralcove.ExponentialPenaltyRouter;
+import coralcove.GroupTargets;
+import coralcove.PlannedTargetSource;
 import coralcove.baseline.Policies;
 import coralcove.directory.DirectoryCore;
 import coralcove.dns.DnsStandIn;
@@ -81,7 +81,7 @@
     private final Map<Integer, List<Roster.Said>> storedReports = new ConcurrentHashMap<>();
     private final DialPlan dialPlan;
     private final Portability portability;
-    private final Histogram planAges = new Histogram(PlanKeeper.STALE_FROM, 3);
+    private final Histogram planAges = new Histogram(PlannedTargetSource.STALE_AGE_MICROS, 3);
     private DnsDiscovery dnsDiscovery;
     private long tableVersion = 1;
     private final long[] exchangeIds;
@@ -224,11 +224,12 @@
                                 (now, out) -> {
                                     synchronized (planAges) {
                                         for (int group = 0; group < scenario.exchanges(); group++) {
-                                            GroupPlan groupPlan =
-                                                    planner.plannedTargets.held(now, group);
+                                            GroupTargets groupPlan =
+                                                    planner.plannedTargets.currentTargets(
+                                                            now, group);
                                             if (groupPlan != null) {
                                                 planAges.recordValue(
-                                                        Math.max(0, now - groupPlan.at()));
+                                                        Math.max(0, now - groupPlan.measuredAt()));
                                             }
                                         }
                                     }
@@ -335,7 +336,7 @@
                         settings,
                         planner == null
                                 ? Policies.router(policy, settings.module(), seed * 1000 + number)
-                                : new Choice(
+                                : new ExponentialPenaltyRouter(
                                         settings.module(),
                                         new SplittableRandom(seed * 1000 + number),
                                         planner.plannedTargets));
--- a/src/main/java/coralcove/sources/Roster.java
+++ b/src/main/java/coralcove/sources/Roster.java
@@ -373,7 +373,7 @@
                 Exchange old = before.exchange();
                 after =
                         new Belief(
-                                new Exchange(id, old.number(), Phase.GONE, old.since()),
+                                new Exchange(id, old.number(), Phase.GONE, old.startedAt()),
                                 before.address(),
                                 id < 0 ? Why.DNS_DROPPED : Why.OUTLIVED);
             }
--- a/src/test/java/coralcove/ColdFleetTest.java
+++ b/src/test/java/coralcove/ColdFleetTest.java
@@ -53,7 +53,7 @@
         private final int routers;
         private final double load;
         private final SplittableRandom random;
-        private final Choice[] policies;
+        private final ExponentialPenaltyRouter[] policies;
         private final long[] restartTimes;
         private final PriorityQueue<Event> events =
                 new PriorityQueue<>(
@@ -73,7 +73,7 @@
             this.routers = routers;
             this.load = load;
             random = new SplittableRandom(seed);
-            policies = new Choice[routers];
+            policies = new ExponentialPenaltyRouter[routers];
             restartTimes = new long[routers];
             description = routers + " routers, load " + load + ", seed " + seed;
         }
@@ -117,7 +117,7 @@
         private void start(int router, long now) {
             restartTimes[router] = now;
             policies[router] =
-                    new Choice(
+                    new ExponentialPenaltyRouter(
                             new Settings(
                                     routers,
                                     router,
@@ -157,14 +157,14 @@
                         new Exchange(
                                 i, i, Exchange.Phase.READY, i == 1 && now >= coldAt ? coldAt : 0));
             }
-            policies[router].roster(now, true, all);
+            policies[router].onExchangeList(now, true, all);
             for (int i = 0; i < routers; i++) {
-                policies[router].circuits(now, i, 400, 400);
+                policies[router].onCircuitUpdate(now, i, 400, 400);
             }
         }
 
         private void updateExchange(long now, int router) {
-            policies[router].roster(
+            policies[router].onExchangeList(
                     now, false, List.of(new Exchange(1, 1, Exchange.Phase.READY, coldAt)));
         }
 
@@ -173,8 +173,8 @@
             int farEnd = random.nextInt(routers - 1);
             farEnd += farEnd >= router ? 1 : 0;
             long id = ++sessions;
-            Choice policy = policies[router];
-            Answer decision =
+            ExponentialPenaltyRouter policy = policies[router];
+            RoutingDecision decision =
                     policy.route(
                             now,
                             new Session(
@@ -190,7 +190,7 @@
                                     false,
                                     now,
                                     now + 9 * SECOND));
-            if (decision.kind() == Answer.Kind.SEND) {
+            if (decision.kind() == RoutingDecision.Kind.SEND) {
                 if (decision.exchange() == 1 && now >= coldAt) {
                     countSetUp(now);
                 }
@@ -201,11 +201,13 @@
                         now + (overloaded ? 60_000 : took),
                         then -> {
                             if (restartTimes[router] == restartedAt) {
-                                policy.after(
+                                policy.onInviteOutcome(
                                         then,
                                         id,
-                                        overloaded ? Ending.BUSY : Ending.STANDS,
-                                        overloaded ? Cause.PROCESSOR_FULL : Cause.NONE,
+                                        overloaded ? InviteOutcome.BUSY : InviteOutcome.ESTABLISHED,
+                                        overloaded
+                                                ? RejectionCause.PROCESSOR_FULL
+                                                : RejectionCause.NONE,
                                         decision.exchange(),
                                         overloaded ? 60_000 : took,
                                         overloaded ? 700_000 : 0,
--- a/src/test/java/coralcove/ExponentialPenaltyRouterTest.java
+++ b/src/test/java/coralcove/ExponentialPenaltyRouterTest.java
@@ -1,21 +1,21 @@
 package coralcove;
 
-import static coralcove.Cause.FULL_BEYOND;
-import static coralcove.Cause.LINES_BUSY;
-import static coralcove.Cause.NONE;
-import static coralcove.Cause.NO_CIRCUIT;
-import static coralcove.Cause.PROCESSOR_FULL;
-import static coralcove.Cause.TURNED_BACK;
-import static coralcove.Ending.BUSY;
-import static coralcove.Ending.CANCELLED;
-import static coralcove.Ending.ERROR;
-import static coralcove.Ending.NOT_SENT;
-import static coralcove.Ending.RESET;
-import static coralcove.Ending.STANDS;
-import static coralcove.Ending.TIMED_OUT;
 import static coralcove.Exchange.Phase.DRAINING;
 import static coralcove.Exchange.Phase.GONE;
 import static coralcove.Exchange.Phase.READY;
+import static coralcove.InviteOutcome.BUSY;
+import static coralcove.InviteOutcome.CANCELLED;
+import static coralcove.InviteOutcome.ERROR;
+import static coralcove.InviteOutcome.ESTABLISHED;
+import static coralcove.InviteOutcome.NOT_SENT;
+import static coralcove.InviteOutcome.RESET;
+import static coralcove.InviteOutcome.TIMED_OUT;
+import static coralcove.RejectionCause.CRANKBACK;
+import static coralcove.RejectionCause.FAR_END_PROCESSOR_FULL;
+import static coralcove.RejectionCause.LINES_BUSY;
+import static coralcove.RejectionCause.NONE;
+import static coralcove.RejectionCause.NO_CIRCUIT;
+import static coralcove.RejectionCause.PROCESSOR_FULL;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.lang.reflect.Field;
@@ -82,8 +82,8 @@
         harness.offerLoad(1, 60, 0, 2, 100).offerLoad(100, 20, 0, 3, 100);
         harness.circuits(1, 0, 50).circuits(2, 30, 50).circuits(3, 30, 50);
         harness.call(1000, 0, 1);
-        harness.outcome(1000, BUSY, TURNED_BACK, 40);
-        harness.outcome(1000, BUSY, FULL_BEYOND, 40);
+        harness.outcome(1000, BUSY, CRANKBACK, 40);
+        harness.outcome(1000, BUSY, FAR_END_PROCESSOR_FULL, 40);
         harness.note("3 turned back for 1 a moment ago").call(1001, 0, 1);
         harness.circuits(2, 4, 50)
                 .circuits(3, 4, 50)
@@ -96,11 +96,11 @@
     void prefersKnownTandemsAndHoldsUnknownOnesEverLonger() {
         RouterHarness harness = threeExchanges().circuits(1, 0, 0).circuits(3, 40, 50);
         harness.note("equal slopes: most circuits free").call(1, 0, 1);
-        harness.outcome(1, BUSY, TURNED_BACK, 40);
-        harness.outcome(1, BUSY, TURNED_BACK, 40);
+        harness.outcome(1, BUSY, CRANKBACK, 40);
+        harness.outcome(1, BUSY, CRANKBACK, 40);
         harness.advance(4000).call(2, 0, 1);
-        harness.outcome(2, BUSY, TURNED_BACK, 40);
-        harness.outcome(2, STANDS, NONE, 40);
+        harness.outcome(2, BUSY, CRANKBACK, 40);
+        harness.outcome(2, ESTABLISHED, NONE, 40);
         harness.advance(4000).note("2 rests for twice as long, 3 stood").call(3, 0, 1);
         harness.advance(4000).call(4, 0, 1);
         harness.note("a centre advises 2").callWithAdvice(5, 1, 2);
@@ -111,7 +111,7 @@
     void avoidsSlowOrOverloadedTandemForAWhile() {
         RouterHarness harness = threeExchanges().circuits(1, 0, 50);
         harness.call(1, 0, 1);
-        harness.outcome(1, STANDS, NONE, 700);
+        harness.outcome(1, ESTABLISHED, NONE, 700);
         harness.call(2, 0, 1);
         harness.outcome(2, BUSY, PROCESSOR_FULL, 5);
         harness.call(3, 0, 1);
@@ -209,7 +209,7 @@
         harness.call(4, 1, 1);
         harness.advance(500).note("a trial is due").call(5, 1, 1);
         harness.call(6, 1, 1);
-        harness.advance(80).outcome(5, STANDS, NONE, 80);
+        harness.advance(80).outcome(5, ESTABLISHED, NONE, 80);
         harness.call(7, 1, 1);
         harness.assertTrace("failures");
     }
@@ -223,7 +223,7 @@
                     .outcome(id, TIMED_OUT, NONE, id < 6 ? 3000 : 500, id < 6);
             if (id >= 6) {
                 harness.advance(300).routeAgain(id);
-                harness.advance(50).outcome(id, STANDS, NONE, 50);
+                harness.advance(50).outcome(id, ESTABLISHED, NONE, 50);
             } else {
                 harness.offerLoad(100 * id, 1, 0, 1 + id % 3, 500);
             }
@@ -260,7 +260,7 @@
         harness.offerLoad(1, 12, 0, 1, 0, 600);
         harness.call(20, 0, 1);
         harness.note("one in flight fills what is left").call(21, 0, 1);
-        harness.advance(90).outcome(20, STANDS, NONE, 90);
+        harness.advance(90).outcome(20, ESTABLISHED, NONE, 90);
         harness.offerLoad(100, 30, 0, 1, 20);
         harness.call(30, 0, 1);
         harness.call(31, 0, 1);
@@ -344,14 +344,14 @@
         harness.offerLoad(100, 20, 0, 3, 10).call(1, 0, 1);
         harness.note("2 tells that it has no way to 1").peerMessage(2, 0, 0xfd).call(2, 0, 1);
         harness.note("and 3 too").peerMessage(3, 0, 0xfd).call(3, 0, 1);
-        harness.outcome(1, STANDS, NONE, 50);
+        harness.outcome(1, ESTABLISHED, NONE, 50);
         harness.note("2 has a way again; odd messages say nothing")
                 .peerMessage(2, 0, 2)
                 .peerMessage(3)
                 .peerMessage()
                 .peerMessage(9, 9, 1)
                 .call(4, 0, 1);
-        harness.outcome(4, STANDS, NONE, 50);
+        harness.outcome(4, ESTABLISHED, NONE, 50);
         harness.advance(6000)
                 .note("old news holds nothing back, but the way it told of goes first")
                 .call(5, 0, 1);
@@ -366,7 +366,7 @@
         }
         harness.pendingActions().advance(1000).note("no longer pressed");
         for (int id = 1; id <= 7; id++) {
-            harness.outcome(id, STANDS, NONE, 100);
+            harness.outcome(id, ESTABLISHED, NONE, 100);
         }
         harness.pendingActions().assertTrace("pressed");
     }
@@ -430,7 +430,8 @@
             harness.dial(3, 7, false, false);
         }
         for (int id = 10; id < 210; id++) {
-            assertThat(harnesses[1].dial(id, 7, false, false).kind()).isEqualTo(Answer.Kind.REFUSE);
+            assertThat(harnesses[1].dial(id, 7, false, false).kind())
+                    .isEqualTo(RoutingDecision.Kind.REFUSE);
         }
         StringBuilder[] sent = {new StringBuilder(), new StringBuilder()};
         for (int i = 0; i < 2; i++) {
@@ -446,8 +447,8 @@
     void removesReplacedExchanges() throws Exception {
         // Each replaced exchange was retained with its windows, so a router's memory grew with the
         // number of replacements.
-        Choice router =
-                new Choice(
+        ExponentialPenaltyRouter router =
+                new ExponentialPenaltyRouter(
                         new Settings(
                                 2,
                                 0,
@@ -468,15 +469,15 @@
                                 10_000_000),
                         new SplittableRandom(1));
         for (long id = 1; id <= 500; id++) {
-            router.roster(id, false, List.of(new Exchange(id, 1, READY, id)));
-            router.roster(
+            router.onExchangeList(id, false, List.of(new Exchange(id, 1, READY, id)));
+            router.onExchangeList(
                     id,
                     id % 2 == 0,
                     id % 2 == 0
                             ? List.of(new Exchange(id, 1, READY, id))
                             : List.of(new Exchange(id, 1, GONE, id)));
         }
-        Field field = Choice.class.getDeclaredField("exchanges");
+        Field field = ExponentialPenaltyRouter.class.getDeclaredField("exchanges");
         field.setAccessible(true);
         assertThat((Map<?, ?>) field.get(router)).hasSizeLessThanOrEqualTo(2);
     }
--- a/src/test/java/coralcove/PlannedTargetSourceTest.java
+++ b/src/test/java/coralcove/PlannedTargetSourceTest.java
@@ -34,31 +34,32 @@
                     0.3,
                     10_000_000);
     private static final int CLASSES = 4;
-    private final List<GroupFacts> reportedLoads = new ArrayList<>();
-    private final PlanKeeper source = new PlanKeeper(SETTINGS, reportedLoads::add);
+    private final List<GroupLoad> reportedLoads = new ArrayList<>();
+    private final PlannedTargetSource source =
+            new PlannedTargetSource(SETTINGS, reportedLoads::add);
     private final Planner planner = new Planner(SETTINGS);
 
-    private static GroupFacts load(long at, int number, int size, double... calls) {
-        return new GroupFacts(at, number, size, calls);
+    private static GroupLoad load(long at, int number, int size, double... calls) {
+        return new GroupLoad(at, number, size, calls);
     }
 
-    private Plan plan(long version, GroupFacts... loads) {
-        List<GroupPlan> groups = new ArrayList<>();
-        for (GroupFacts load : loads) {
-            groups.add(planner.of(load.at(), load));
+    private Plan plan(long version, GroupLoad... loads) {
+        List<GroupTargets> groups = new ArrayList<>();
+        for (GroupLoad load : loads) {
+            groups.add(planner.targetsFor(load.measuredAt(), load));
         }
         return new Plan(7, version, groups);
     }
 
     @Test
     void planLosesWeightWithAge() {
-        GroupFacts load = load(0, 3, 20, 5, 0, 12, 4);
-        assertThat(source.of(0, load)).isNull();
-        assertThat(source.offer(0, plan(1, load))).isEqualTo(PlanKeeper.Refusal.NONE);
+        GroupLoad load = load(0, 3, 20, 5, 0, 12, 4);
+        assertThat(source.targetsFor(0, load)).isNull();
+        assertThat(source.offer(0, plan(1, load))).isEqualTo(PlannedTargetSource.Rejection.NONE);
         StringBuilder trace = new StringBuilder();
         for (long seconds : new long[] {0, 15, 16, 30, 45, 59, 60}) {
-            GroupPlan targets = source.of(seconds * 1_000_000, load);
-            trace.append(seconds).append(" s ").append(source.age(seconds * 1_000_000, 3));
+            GroupTargets targets = source.targetsFor(seconds * 1_000_000, load);
+            trace.append(seconds).append(" s ").append(source.freshness(seconds * 1_000_000, 3));
             for (int i = 0; targets != null && i < CLASSES; i++) {
                 trace.append(String.format(" %.2f/%.2f", targets.c0()[i], targets.c1()[i]));
             }
@@ -68,40 +69,41 @@
                                     : String.format(" beta %.4f", targets.beta()))
                     .append('\n');
         }
-        assertThat(trace.toString()).isEqualTo(Kept.trace("plan-ages"));
+        assertThat(trace.toString()).isEqualTo(TraceFiles.read("plan-ages"));
         assertThat(reportedLoads).hasSize(8);
     }
 
     @Test
     void rejectsInvalidPlanAsAWhole() {
-        GroupFacts validLoad = load(100_000_000, 3, 20, 5, 0, 12, 4);
+        GroupLoad validLoad = load(100_000_000, 3, 20, 5, 0, 12, 4);
         long now = 101_000_000;
-        assertThat(source.offer(now, plan(5, validLoad))).isEqualTo(PlanKeeper.Refusal.NONE);
         assertThat(source.offer(now, plan(5, validLoad)))
-                .isEqualTo(PlanKeeper.Refusal.OLDER_VERSION);
+                .isEqualTo(PlannedTargetSource.Rejection.NONE);
+        assertThat(source.offer(now, plan(5, validLoad)))
+                .isEqualTo(PlannedTargetSource.Rejection.OLDER_VERSION);
         assertThat(source.offer(now, new Plan(8, 6, List.of())))
-                .isEqualTo(PlanKeeper.Refusal.OTHER_ROUTER);
+                .isEqualTo(PlannedTargetSource.Rejection.OTHER_ROUTER);
         assertThat(source.offer(now, plan(6, validLoad, load(now - 60_000_000, 4, 20, 1, 0, 0, 0))))
-                .isEqualTo(PlanKeeper.Refusal.OLD_FACTS);
+                .isEqualTo(PlannedTargetSource.Rejection.OLD_FACTS);
         assertThat(source.offer(now, plan(6, load(now + 1_000_001, 4, 20, 1, 0, 0, 0))))
-                .isEqualTo(PlanKeeper.Refusal.FUTURE_FACTS);
-        GroupPlan malformed = planner.of(now, validLoad);
+                .isEqualTo(PlannedTargetSource.Rejection.FUTURE_FACTS);
+        GroupTargets malformed = planner.targetsFor(now, validLoad);
         malformed.c0()[0] = Double.NaN;
         assertThat(source.offer(now, new Plan(7, 6, List.of(malformed))))
-                .isEqualTo(PlanKeeper.Refusal.OUT_OF_RANGE);
+                .isEqualTo(PlannedTargetSource.Rejection.OUT_OF_RANGE);
         assertThat(source.version()).isEqualTo(5);
-        assertThat(source.age(now, 4)).isEqualTo(PlanKeeper.Age.STALE);
-        GroupPlan outOfRangeGroup =
-                new GroupPlan(
+        assertThat(source.freshness(now, 4)).isEqualTo(PlannedTargetSource.Freshness.STALE);
+        GroupTargets outOfRangeGroup =
+                new GroupTargets(
                         now,
                         100_000,
                         1,
                         malformed.c0(),
                         malformed.c1(),
-                        malformed.seen(),
-                        malformed.phantoms());
+                        malformed.hasLoad(),
+                        malformed.initialPhantoms());
         assertThat(source.offer(now, new Plan(7, 6, List.of(outOfRangeGroup))))
-                .isEqualTo(PlanKeeper.Refusal.OUT_OF_RANGE);
+                .isEqualTo(PlannedTargetSource.Rejection.OUT_OF_RANGE);
     }
 
     /** Each session checks the version, and gets the targets of its group if a plan is new. */
@@ -120,7 +122,7 @@
             // The first round loads the classes that the measurement itself needs.
             allocated = threads.getThreadAllocatedBytes(threadId);
             for (int i = 0; i < 100_000; i++) {
-                checksum += source.version() + source.held(11_000_000, i % 300).number();
+                checksum += source.version() + source.currentTargets(11_000_000, i % 300).number();
             }
             allocated = threads.getThreadAllocatedBytes(threadId) - allocated;
         }
@@ -132,10 +134,10 @@
     @Test
     void olderMeasurementsInNewerPlanDoNotReplaceNewerOnes() {
         source.offer(10_000_000, plan(1, load(9_000_000, 3, 20, 5, 0, 12, 4)));
-        double c0 = source.of(10_000_000, load(10_000_000, 3, 20, 0, 0, 0, 0)).c0()[2];
+        double c0 = source.targetsFor(10_000_000, load(10_000_000, 3, 20, 0, 0, 0, 0)).c0()[2];
         assertThat(source.offer(10_000_000, plan(2, load(1_000_000, 3, 20, 1, 0, 1, 0))))
-                .isEqualTo(PlanKeeper.Refusal.NONE);
-        assertThat(source.of(10_000_000, load(10_000_000, 3, 20, 0, 0, 0, 0)).c0()[2])
+                .isEqualTo(PlannedTargetSource.Rejection.NONE);
+        assertThat(source.targetsFor(10_000_000, load(10_000_000, 3, 20, 0, 0, 0, 0)).c0()[2])
                 .isEqualTo(c0);
     }
 
@@ -150,7 +152,7 @@
         for (int i = 0; i < CLASSES; i++) {
             calls[i] = random.nextInt(3) == 0 ? 0 : random.nextDouble() * 40;
         }
-        GroupPlan group = planner.of(0, load(0, 1, random.nextInt(60), calls));
+        GroupTargets group = planner.targetsFor(0, load(0, 1, random.nextInt(60), calls));
         boolean corrupted = random.nextInt(3) > 0;
         for (int i = 0; corrupted && i < 1 + random.nextInt(2); i++) {
             double[] invalidValues = {Double.NaN, -1, Double.POSITIVE_INFINITY, 0, 1e-300, 7};
@@ -159,36 +161,36 @@
             switch (random.nextInt(5)) {
                 case 0 -> group.c0()[index] = value;
                 case 1 -> group.c1()[index] = value;
-                case 2 -> group.phantoms()[index] = value;
-                case 3 -> group.seen()[index] = !group.seen()[index];
+                case 2 -> group.initialPhantoms()[index] = value;
+                case 3 -> group.hasLoad()[index] = !group.hasLoad()[index];
                 default ->
                         group =
-                                new GroupPlan(
+                                new GroupTargets(
                                         0,
                                         1,
                                         value,
                                         group.c0(),
                                         group.c1(),
-                                        group.seen(),
-                                        group.phantoms());
+                                        group.hasLoad(),
+                                        group.initialPhantoms());
             }
         }
-        PlanKeeper.Refusal rejection =
+        PlannedTargetSource.Rejection rejection =
                 source.offer(0, new Plan(7, source.version() + 1, List.of(group)));
-        assertThat(corrupted || rejection == PlanKeeper.Refusal.NONE).isTrue();
-        if (rejection != PlanKeeper.Refusal.NONE) {
+        assertThat(corrupted || rejection == PlannedTargetSource.Rejection.NONE).isTrue();
+        if (rejection != PlannedTargetSource.Rejection.NONE) {
             return;
         }
-        GroupPlan targets = source.of(0, load(0, 1, 1, calls));
+        GroupTargets targets = source.targetsFor(0, load(0, 1, 1, calls));
         for (long age = 0;
                 targets != null;
-                age += 5_000_000, targets = source.of(age, load(0, 1, 1, calls))) {
+                age += 5_000_000, targets = source.targetsFor(age, load(0, 1, 1, calls))) {
             double least = Double.POSITIVE_INFINITY;
             double sum = 0;
             for (int i = 0; i < CLASSES; i++) {
                 assertThat(targets.c0()[i]).isBetween(0.0, Double.MAX_VALUE);
                 assertThat(targets.c1()[i]).isBetween(0.0, Double.MAX_VALUE);
-                assertThat(targets.c0()[i] + targets.c1()[i] > 0).isEqualTo(targets.seen()[i]);
+                assertThat(targets.c0()[i] + targets.c1()[i] > 0).isEqualTo(targets.hasLoad()[i]);
                 sum += targets.c0()[i];
                 least =
                         targets.c0()[i] > 0
@@ -207,7 +209,7 @@
     }
 
     /** Returns how many of 60 simultaneous sessions are sent to the exchange. */
-    private static int sent(Choice router, long now, long first) {
+    private static int sent(ExponentialPenaltyRouter router, long now, long first) {
         int sent = 0;
         for (int i = 0; i < 60; i++) {
             Session session =
@@ -224,7 +226,7 @@
                             false,
                             now,
                             now + 9_000_000);
-            sent += router.route(now, session).kind() == Answer.Kind.SEND ? 1 : 0;
+            sent += router.route(now, session).kind() == RoutingDecision.Kind.SEND ? 1 : 0;
         }
         return sent;
     }
@@ -236,22 +238,22 @@
     @Test
     void planFromBeforeRestartDoesNotLiftLimits() {
         long now = 100_000_000;
-        PlanKeeper plannedTargets = new PlanKeeper(SETTINGS, f -> {});
+        PlannedTargetSource plannedTargets = new PlannedTargetSource(SETTINGS, f -> {});
         assertThat(
                         plannedTargets.offer(
                                 now, plan(1, load(now - 10_000_000, 1, 1000, 0, 0, 400, 0))))
-                .isEqualTo(PlanKeeper.Refusal.NONE);
+                .isEqualTo(PlannedTargetSource.Rejection.NONE);
         int[] cold = new int[2];
         int[] drained = new int[2];
         for (int i = 0; i < 2; i++) {
-            Choice router =
-                    new Choice(
+            ExponentialPenaltyRouter router =
+                    new ExponentialPenaltyRouter(
                             SETTINGS, new SplittableRandom(1), i == 0 ? planner : plannedTargets);
-            router.roster(
+            router.onExchangeList(
                     now, true, List.of(new Exchange(101, 1, Exchange.Phase.READY, now - 1000)));
-            router.circuits(now, 101, 1000, 1000);
+            router.onCircuitUpdate(now, 101, 1000, 1000);
             cold[i] = sent(router, now, 1);
-            router.roster(
+            router.onExchangeList(
                     now + 1000,
                     true,
                     List.of(new Exchange(101, 1, Exchange.Phase.DRAINING, now - 1000)));
@@ -268,18 +270,19 @@
     @Test
     void planThatArrivesDuringRetryKeepsRoute() {
         for (boolean planArrives : new boolean[] {false, true}) {
-            PlanKeeper plannedTargets = new PlanKeeper(SETTINGS, f -> {});
-            Choice router = new Choice(SETTINGS, new SplittableRandom(1), plannedTargets);
-            router.roster(
+            PlannedTargetSource plannedTargets = new PlannedTargetSource(SETTINGS, f -> {});
+            ExponentialPenaltyRouter router =
+                    new ExponentialPenaltyRouter(SETTINGS, new SplittableRandom(1), plannedTargets);
+            router.onExchangeList(
                     1,
                     true,
                     List.of(
                             new Exchange(101, 1, Exchange.Phase.READY, 0),
                             new Exchange(102, 2, Exchange.Phase.READY, 0)));
-            router.circuits(1, 101, 50, 50);
-            router.circuits(1, 102, 50, 50);
+            router.onCircuitUpdate(1, 101, 50, 50);
+            router.onCircuitUpdate(1, 102, 50, 50);
             Session session = new Session(1, 1, 0, 1, 1, -1, false, 55, false, false, 1, 9_000_000);
-            assertThat(router.route(1, session)).isEqualTo(Answer.send(101, 8_999_999));
+            assertThat(router.route(1, session)).isEqualTo(RoutingDecision.send(101, 8_999_999));
             if (planArrives) {
                 assertThat(
                                 plannedTargets.offer(
@@ -288,19 +291,19 @@
                                                 1,
                                                 load(1, 1, 50, 0, 0, 400, 0),
                                                 load(1, 2, 50, 0, 0, 10, 0))))
-                        .isEqualTo(PlanKeeper.Refusal.NONE);
+                        .isEqualTo(PlannedTargetSource.Rejection.NONE);
             }
             assertThat(
-                            router.after(
+                            router.onInviteOutcome(
                                     200_000,
                                     1,
-                                    Ending.NOT_SENT,
-                                    Cause.NO_CIRCUIT,
+                                    InviteOutcome.NOT_SENT,
+                                    RejectionCause.NO_CIRCUIT,
                                     101,
                                     199_999,
                                     0,
                                     false))
-                    .isEqualTo(Answer.send(102, 8_800_000));
+                    .isEqualTo(RoutingDecision.send(102, 8_800_000));
         }
     }
 }
--- a/src/test/java/coralcove/PrintedNamesTest.java
+++ b/src/test/java/coralcove/PrintedNamesTest.java
@@ -11,7 +11,7 @@
 class PrintedNamesTest {
     @Test
     void outcomesOfInvitesKeepTheirPrintedNames() {
-        assertThat(Ending.values())
+        assertThat(InviteOutcome.values())
                 .extracting(Object::toString)
                 .containsExactly(
                         "STANDS",
@@ -27,7 +27,7 @@
 
     @Test
     void causesKeepTheirPrintedNames() {
-        assertThat(Cause.values())
+        assertThat(RejectionCause.values())
                 .extracting(Object::toString)
                 .containsExactly(
                         "NONE",
@@ -40,7 +40,7 @@
 
     @Test
     void rejectionsOfPlansKeepTheirNames() {
-        assertThat(PlanKeeper.Refusal.values())
+        assertThat(PlannedTargetSource.Rejection.values())
                 .extracting(Enum::name)
                 .containsExactly(
                         "NONE",
--- a/src/test/java/coralcove/RouterHarness.java
+++ b/src/test/java/coralcove/RouterHarness.java
@@ -41,7 +41,7 @@
                         new Settings.Service(1_000_000, 1, 0.1, 1, 10_000_000, true, List.of(1, 2)),
                         new Settings.Service(1_000_000, 4, 0.1, 1, 5_000_000, true, List.of()));
         router =
-                new Choice(
+                new ExponentialPenaltyRouter(
                         new Settings(
                                 routers,
                                 pools ? -1 : 0,
@@ -63,13 +63,14 @@
 
     RouterHarness exchanges(Phase phase, long since, int... numbers) {
         for (int number : numbers) {
-            router.roster(now, false, List.of(new Exchange(100 + number, number, phase, since)));
+            router.onExchangeList(
+                    now, false, List.of(new Exchange(100 + number, number, phase, since)));
         }
         return this;
     }
 
     RouterHarness circuits(int number, int free, int size) {
-        router.circuits(now, 100 + number, free, size);
+        router.onCircuitUpdate(now, 100 + number, free, size);
         return this;
     }
 
@@ -82,7 +83,7 @@
         return now;
     }
 
-    Answer call(long id, int service, int farEnd) {
+    RoutingDecision call(long id, int service, int farEnd) {
         return call(
                 new Session(
                         id,
@@ -100,32 +101,32 @@
     }
 
     /** Routes a session to far end 1 with a called number. */
-    Answer dial(long id, long number, boolean redialled, boolean cut) {
+    RoutingDecision dial(long id, long number, boolean redialled, boolean cut) {
         return call(
                 new Session(
                         id, 0, 0, 1, 1, -1, false, number, redialled, cut, now, now + 3_000_000));
     }
 
     /** Routes a session for which a routing centre advised a tandem. */
-    Answer callWithAdvice(long id, int farEnd, int tandem) {
+    RoutingDecision callWithAdvice(long id, int farEnd, int tandem) {
         return call(
                 new Session(
                         id, 0, 0, farEnd, 1, tandem, false, 0, false, false, now, now + 3_000_000));
     }
 
     RouterHarness peerMessage(int... body) {
-        router.peer(now, 1, bytes(body));
+        router.onPeerMessage(now, 1, bytes(body));
         return this;
     }
 
     RouterHarness directoryLost() {
-        router.rosterLost(now);
+        router.onExchangeListLost(now);
         return note("the directory's news is lost");
     }
 
     /** Notes the messages to peers and the subscription that the router requests. */
     RouterHarness pendingActions() {
-        Waiting actions = router.waiting(now);
+        PendingActions actions = router.pendingActions(now);
         actions.broadcasts()
                 .forEach(body -> note("tells all others " + HexFormat.of().formatHex(body)));
         return actions.subscribe() ? note("subscribes") : this;
@@ -139,13 +140,13 @@
         return bytes;
     }
 
-    Answer callInTransit(long id, int service, int farEnd) {
+    RoutingDecision callInTransit(long id, int service, int farEnd) {
         return call(
                 new Session(
                         id, service, 0, farEnd, 1, 7, true, 0, false, false, now, now + 3_000_000));
     }
 
-    Answer call(Session session) {
+    RoutingDecision call(Session session) {
         sessions.put(session.id(), session);
         return recordDecision(
                 "session "
@@ -158,22 +159,23 @@
                 router.route(now, session));
     }
 
-    Answer routeAgain(long id) {
+    RoutingDecision routeAgain(long id) {
         return recordDecision("session " + id + " again", router.route(now, sessions.get(id)));
     }
 
-    Answer outcome(long id, Ending outcome, Cause cause, long took) {
+    RoutingDecision outcome(long id, InviteOutcome outcome, RejectionCause cause, long took) {
         return outcome(id, outcome, cause, took, false);
     }
 
-    Answer outcome(long id, Ending outcome, Cause cause, long took, boolean over) {
+    RoutingDecision outcome(
+            long id, InviteOutcome outcome, RejectionCause cause, long took, boolean over) {
         return recordDecision(
                 "session " + id + " " + outcome + " " + cause + (over ? " over" : ""),
-                router.after(now, id, outcome, cause, 0, took * MS, 0, over));
+                router.onInviteOutcome(now, id, outcome, cause, 0, took * MS, 0, over));
     }
 
     RouterHarness ended(long id) {
-        router.ended(now, id);
+        router.onSessionEnded(now, id);
         return this;
     }
 
@@ -192,9 +194,14 @@
         for (long id = from; id < from + count; id++) {
             advance(gapMillis);
             int lengthBefore = trace.length();
-            if (call(id, service, farEnd).kind() == Answer.Kind.SEND) {
+            if (call(id, service, farEnd).kind() == RoutingDecision.Kind.SEND) {
                 sent++;
-                advance(took).outcome(id, Ending.STANDS, Cause.NONE, took == 0 ? 50 : took);
+                advance(took)
+                        .outcome(
+                                id,
+                                InviteOutcome.ESTABLISHED,
+                                RejectionCause.NONE,
+                                took == 0 ? 50 : took);
             }
             trace.setLength(lengthBefore);
         }
@@ -214,7 +221,7 @@
         return this;
     }
 
-    private Answer recordDecision(String event, Answer decision) {
+    private RoutingDecision recordDecision(String event, RoutingDecision decision) {
         String text =
                 switch (decision.kind()) {
                     case SEND ->
--- a/src/test/java/coralcove/Kept.java
+++ b/src/test/java/coralcove/TraceFiles.java
@@ -1,10 +1,10 @@
 package coralcove;
 
 /** Reads traces from src/test/resources for the tests of other packages. */
-public final class Kept {
-    private Kept() {}
+public final class TraceFiles {
+    private TraceFiles() {}
 
-    public static String trace(String name) {
+    public static String read(String name) {
         return RouterHarness.readTrace(name);
     }
 }
--- a/src/test/java/coralcove/cli/NumbersCommandTest.java
+++ b/src/test/java/coralcove/cli/NumbersCommandTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import coralcove.Kept;
+import coralcove.TraceFiles;
 import java.io.ByteArrayOutputStream;
 import java.io.PrintStream;
 import java.nio.charset.StandardCharsets;
@@ -69,7 +69,7 @@
         String diff = output.substring(output.lastIndexOf("exit 0\n") + 7);
         Files.writeString(changes, diff);
         run(folder, "numbers", "stats", second.toString());
-        assertThat(output.toString()).isEqualTo(Kept.trace("numbers-command"));
+        assertThat(output.toString()).isEqualTo(TraceFiles.read("numbers-command"));
         run(folder, "numbers", "build", first.toString(), "--changes", changes.toString());
         assertThat(output.toString())
                 .contains("table 2: 3 changes,")
--- a/src/test/java/coralcove/config/TomlTest.java
+++ b/src/test/java/coralcove/config/TomlTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import coralcove.Kept;
+import coralcove.TraceFiles;
 import coralcove.edge.EdgeFile;
 import coralcove.exchange.ExchangeFile;
 import coralcove.rehearsal.DayFile;
@@ -78,7 +78,7 @@
                 "exchange.toml",
                 exchange.replace("limit_ms = 9000", "limit_ms = 900"),
                 toml -> ExchangeFile.of(toml).cold());
-        assertThat(results.toString()).isEqualTo(Kept.trace("bad-settings"));
+        assertThat(results.toString()).isEqualTo(TraceFiles.read("bad-settings"));
     }
 
     /**
--- a/src/test/java/coralcove/dns/LocatorTest.java
+++ b/src/test/java/coralcove/dns/LocatorTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import coralcove.Kept;
+import coralcove.TraceFiles;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.PriorityQueue;
@@ -78,7 +78,7 @@
     }
 
     private void assertTrace(String name) {
-        assertThat(trace.toString()).isEqualTo(Kept.trace(name));
+        assertThat(trace.toString()).isEqualTo(TraceFiles.read(name));
     }
 
     @Test
--- a/src/test/java/coralcove/dns/ResolverTest.java
+++ b/src/test/java/coralcove/dns/ResolverTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import coralcove.Kept;
+import coralcove.TraceFiles;
 import java.util.List;
 import java.util.Map;
 import java.util.PriorityQueue;
@@ -168,7 +168,7 @@
                     .append('\n');
             assertThat(network.resolver.outstandingCount()).isZero();
         }
-        assertThat(trace.toString()).isEqualTo(Kept.trace("resolver-faults"));
+        assertThat(trace.toString()).isEqualTo(TraceFiles.read("resolver-faults"));
     }
 
     /**
@@ -259,7 +259,7 @@
                 trace.append(regexp).append("  ").append(e.getMessage()).append('\n');
             }
         }
-        assertThat(trace.toString()).isEqualTo(Kept.trace("enum"));
+        assertThat(trace.toString()).isEqualTo(TraceFiles.read("enum"));
     }
 
     /** Decoding any bytes either succeeds or throws {@link BadDns}, nothing else. */
--- a/src/test/java/coralcove/edge/EdgeCoreHarness.java
+++ b/src/test/java/coralcove/edge/EdgeCoreHarness.java
@@ -2,15 +2,15 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import coralcove.Answer;
 import coralcove.CallRouter;
-import coralcove.Cause;
-import coralcove.Ending;
 import coralcove.Exchange;
-import coralcove.Kept;
+import coralcove.InviteOutcome;
+import coralcove.PendingActions;
+import coralcove.RejectionCause;
+import coralcove.RoutingDecision;
 import coralcove.Session;
 import coralcove.Settings;
-import coralcove.Waiting;
+import coralcove.TraceFiles;
 import coralcove.numbers.Digits;
 import coralcove.numbers.NumberTable;
 import coralcove.numbers.Porting;
@@ -36,7 +36,7 @@
     static final Hop FAR_ROUTER = new Hop(false, "far", 4);
 
     final EdgeCore core;
-    private final ArrayDeque<Answer> decisions = new ArrayDeque<>();
+    private final ArrayDeque<RoutingDecision> decisions = new ArrayDeque<>();
     private final StringBuilder trace = new StringBuilder();
     private final Map<String, SipMessage> invitesByCall = new HashMap<>();
     private final Map<String, SipMessage> subscribesByEvent = new HashMap<>();
@@ -91,7 +91,7 @@
     }
 
     /** Sets the next decisions of the routing policy, in order. */
-    EdgeCoreHarness policyDecides(Answer... next) {
+    EdgeCoreHarness policyDecides(RoutingDecision... next) {
         decisions.addAll(List.of(next));
         return this;
     }
@@ -292,7 +292,7 @@
 
     /** Checks the trace against the stored one. */
     void assertTrace(String name) {
-        assertThat(trace.toString()).isEqualTo(Kept.trace(name));
+        assertThat(trace.toString()).isEqualTo(TraceFiles.read(name));
     }
 
     @Override
@@ -348,14 +348,14 @@
         // The trace shows the messages instead.
     }
 
-    private Answer nextDecision(String call) {
-        Answer decision = decisions.isEmpty() ? Answer.NOTHING : decisions.poll();
+    private RoutingDecision nextDecision(String call) {
+        RoutingDecision decision = decisions.isEmpty() ? RoutingDecision.NOTHING : decisions.poll();
         note("module: " + call + " -> " + decision.kind());
         return decision;
     }
 
     @Override
-    public Answer route(long at, Session session) {
+    public RoutingDecision route(long at, Session session) {
         return nextDecision(
                 "route "
                         + session.id()
@@ -363,16 +363,16 @@
                         + " to "
                         + session.farEnd()
                         + ", "
-                        + (session.limit() - at) / 1000
+                        + (session.deadline() - at) / 1000
                         + " ms left");
     }
 
     @Override
-    public Answer after(
+    public RoutingDecision onInviteOutcome(
             long at,
             long session,
-            Ending outcome,
-            Cause cause,
+            InviteOutcome outcome,
+            RejectionCause cause,
             long exchange,
             long elapsed,
             long namedWait,
@@ -389,40 +389,40 @@
     }
 
     @Override
-    public Waiting waiting(long at) {
+    public PendingActions pendingActions(long at) {
         boolean subscribe = wantsSubscription;
         wantsSubscription = false;
-        return new Waiting(0, List.of(), List.of(), subscribe);
+        return new PendingActions(0, List.of(), List.of(), subscribe);
     }
 
     @Override
-    public void roster(long at, boolean complete, List<Exchange> exchanges) {
+    public void onExchangeList(long at, boolean complete, List<Exchange> exchanges) {
         note("module: roster" + (complete ? " whole " : " ") + exchanges.size());
     }
 
     @Override
-    public void rosterLost(long at) {
+    public void onExchangeListLost(long at) {
         note("module: roster lost");
     }
 
     @Override
-    public void circuits(long at, long exchange, int free, int size) {
+    public void onCircuitUpdate(long at, long exchange, int free, int size) {
         note("module: circuits " + exchange + " " + free + "/" + size);
     }
 
     @Override
-    public void report(
+    public void onProbeReply(
             long at, long exchange, boolean succeeded, long elapsed, float[] loadColumns) {
         note("module: report " + exchange);
     }
 
     @Override
-    public void peer(long at, int number, byte[] body) {
+    public void onPeerMessage(long at, int number, byte[] body) {
         note("module: peer " + number + " " + body.length);
     }
 
     @Override
-    public void ended(long at, long session) {
+    public void onSessionEnded(long at, long session) {
         note("module: ended " + session);
     }
 }
--- a/src/test/java/coralcove/edge/EdgeCoreTest.java
+++ b/src/test/java/coralcove/edge/EdgeCoreTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import coralcove.Answer;
+import coralcove.RoutingDecision;
 import coralcove.protocol.Outcomes;
 import coralcove.sip.SipMessage;
 import org.junit.jupiter.api.Test;
@@ -13,7 +13,7 @@
 
     @Test
     void establishesAndEndsASession() {
-        harness.policyDecides(Answer.send(101, 900_000))
+        harness.policyDecides(RoutingDecision.send(101, 900_000))
                 .call("a", 1, 3_000_000)
                 .advance(10)
                 .answerInvite(180)
@@ -29,10 +29,10 @@
     @Test
     void retriesAfterATimeOutWithinTheSameSession() {
         harness.policyDecides(
-                        Answer.send(101, 200_000),
-                        Answer.later(1_500_000),
-                        Answer.send(102, 500_000),
-                        Answer.refuse(400_000))
+                        RoutingDecision.send(101, 200_000),
+                        RoutingDecision.later(1_500_000),
+                        RoutingDecision.send(102, 500_000),
+                        RoutingDecision.refuse(400_000))
                 .call("a", 1, 3_000_000)
                 .advance(1)
                 .answerInvite(100)
@@ -50,7 +50,7 @@
 
     @Test
     void releasesEverythingWhenCancelAnd200Cross() {
-        harness.policyDecides(Answer.send(101, 900_000))
+        harness.policyDecides(RoutingDecision.send(101, 900_000))
                 .call("a", 1, 3_000_000)
                 .answerInvite(100)
                 .advance(5)
@@ -65,7 +65,8 @@
     void stopsRetransmittingAnAbandonedInvite() {
         // An INVITE without any response cannot be cancelled. Its retransmissions continued after
         // it had been abandoned, so that two INVITEs of one session were out at once.
-        harness.policyDecides(Answer.send(101, 300_000), Answer.send(102, 900_000))
+        harness.policyDecides(
+                        RoutingDecision.send(101, 300_000), RoutingDecision.send(102, 900_000))
                 .call("a", 1, 3_000_000)
                 .advance(800)
                 .assertTrace("edge-unheard");
@@ -73,7 +74,7 @@
 
     @Test
     void answersARepeatedInviteFromMemoryWithoutAskingThePolicy() {
-        harness.policyDecides(Answer.refuse(700_000));
+        harness.policyDecides(RoutingDecision.refuse(700_000));
         SipMessage invite = harness.invite("a", 1, 3_000_000);
         harness.receive(EdgeCoreHarness.EXCHANGE, invite)
                 .advance(10)
@@ -84,14 +85,14 @@
     @Test
     void countsCircuitsLocallyAndUsesTheHigherCountOfTheFarEnd() {
         harness.policyDecides(
-                Answer.send(101, 900_000),
-                Answer.NOTHING,
-                Answer.send(101, 900_000),
-                Answer.refuse(0),
-                Answer.send(101, 900_000),
-                Answer.refuse(0),
-                Answer.send(101, 900_000),
-                Answer.refuse(0));
+                RoutingDecision.send(101, 900_000),
+                RoutingDecision.NOTHING,
+                RoutingDecision.send(101, 900_000),
+                RoutingDecision.refuse(0),
+                RoutingDecision.send(101, 900_000),
+                RoutingDecision.refuse(0),
+                RoutingDecision.send(101, 900_000),
+                RoutingDecision.refuse(0));
         harness.call("a", 1, 3_000_000)
                 .answerInvite(200)
                 .note("one of two is taken; the far end counts both")
@@ -112,7 +113,7 @@
 
     @Test
     void routesATransitSessionAndCranksItBack() {
-        harness.policyDecides(Answer.send(102, 900_000), Answer.refuse(0))
+        harness.policyDecides(RoutingDecision.send(102, 900_000), RoutingDecision.refuse(0))
                 .call("a", 2, 3_000_000, "X-Origin", "1", "Max-Forwards", "9")
                 .answerInvite(503, "Reason", Outcomes.reason(Outcomes.PROCESSOR_FULL, "full"))
                 .assertTrace("edge-transit");
@@ -159,7 +160,8 @@
 
     @Test
     void rejectsNewSessionsOnceStoppedAndAnswersThoseAccepted() {
-        harness.policyDecides(Answer.send(101, 900_000), Answer.refuse(0)).call("a", 1, 3_000_000);
+        harness.policyDecides(RoutingDecision.send(101, 900_000), RoutingDecision.refuse(0))
+                .call("a", 1, 3_000_000);
         harness.core.stop();
         harness.call("b", 1, 3_000_000)
                 .note("idle " + harness.core.idle())
@@ -170,7 +172,7 @@
 
     @Test
     void answersOnceWhenResponseAndTimeOutCoincide() {
-        harness.policyDecides(Answer.send(101, 500_000), Answer.refuse(0))
+        harness.policyDecides(RoutingDecision.send(101, 500_000), RoutingDecision.refuse(0))
                 .call("a", 1, 3_000_000)
                 .answerInvite(100)
                 .advance(500)
@@ -182,7 +184,7 @@
 
     @Test
     void refusesRepeatedSession() {
-        harness.policyDecides(Answer.send(101, 900_000)).call("a", 1, 3_000_000);
+        harness.policyDecides(RoutingDecision.send(101, 900_000)).call("a", 1, 3_000_000);
         harness.receive(
                         EdgeCoreHarness.EXCHANGE,
                         harness.invite("other", 2, 2_000_000, "X-Origin", "1", "Session-ID", "a"))
@@ -191,7 +193,7 @@
 
     @Test
     void forwardsAReinviteToTheOtherLegAndItsResponseBack() {
-        harness.policyDecides(Answer.send(101, 900_000))
+        harness.policyDecides(RoutingDecision.send(101, 900_000))
                 .call("a", 1, 3_000_000)
                 .answerInvite(200)
                 .advance(5)
@@ -204,7 +206,7 @@
     @Test
     void rejectsSessionsBeyondTheLimit() {
         for (int i = 0; i < 5; i++) {
-            harness.policyDecides(Answer.send(101 + i % 2, 900_000))
+            harness.policyDecides(RoutingDecision.send(101 + i % 2, 900_000))
                     .call("c" + i, 1 + i % 2, 3_000_000);
         }
         assertThat(harness.core.agent().counters()).containsEntry("too-many-open", 1L);
@@ -238,6 +240,6 @@
                     .append(Outcomes.of(null, lost))
                     .append('\n');
         }
-        assertThat(table.toString()).isEqualTo(coralcove.Kept.trace("edge-outcomes"));
+        assertThat(table.toString()).isEqualTo(coralcove.TraceFiles.read("edge-outcomes"));
     }
 }
--- a/src/test/java/coralcove/edge/EdgeNumbersTest.java
+++ b/src/test/java/coralcove/edge/EdgeNumbersTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import coralcove.Answer;
+import coralcove.RoutingDecision;
 import coralcove.numbers.NumberTable;
 import coralcove.numbers.Porting;
 import coralcove.numbers.file.TableReader;
@@ -40,8 +40,8 @@
         }
     }
 
-    private static Answer send(long exchange) {
-        return Answer.send(exchange, 900_000);
+    private static RoutingDecision send(long exchange) {
+        return RoutingDecision.send(exchange, 900_000);
     }
 
     @Test
@@ -70,7 +70,11 @@
     @Test
     void aRetryUsesTheTableOfItsFirstInvite() {
         harness.enableNumbers(3, table(1), PORTING_SETTINGS)
-                .policyDecides(send(101), Answer.later(1_200_000), send(102), Answer.NOTHING)
+                .policyDecides(
+                        send(101),
+                        RoutingDecision.later(1_200_000),
+                        send(102),
+                        RoutingDecision.NOTHING)
                 .dial("a", "+8115", 3_000_000)
                 .replaceTable(table(2, "8115 to 2"))
                 .advance(5)
@@ -122,7 +126,7 @@
     @Test
     void restartsWaitingSessionsOfADiscardedTable() {
         harness.enableNumbers(2, table(1), PORTING_SETTINGS)
-                .policyDecides(send(101), Answer.later(1_200_000), send(102))
+                .policyDecides(send(101), RoutingDecision.later(1_200_000), send(102))
                 .dial("a", "+8195", 3_000_000)
                 .dial("b", "+8115", 3_000_000)
                 .replaceTable(table(2))
@@ -136,7 +140,7 @@
     @Test
     void leavesADrainingFarEndToThePolicy() {
         harness.enableNumbers(2, table(1), PORTING_SETTINGS)
-                .policyDecides(Answer.refuse(500_000))
+                .policyDecides(RoutingDecision.refuse(500_000))
                 .directoryNotifies(
                         "epoch e version 6 changes after 5\n102 2 draining 1 2 - " + "udp:far2:5\n")
                 .dial("a", "+8195", 3_000_000)
--- a/src/test/java/coralcove/experiment/ExperimentTest.java
+++ b/src/test/java/coralcove/experiment/ExperimentTest.java
@@ -4,7 +4,7 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import coralcove.Kept;
+import coralcove.TraceFiles;
 import coralcove.config.BadConfig;
 import coralcove.config.Toml;
 import java.io.ByteArrayInputStream;
@@ -125,7 +125,7 @@
             expected = exportBytes(store, folder);
             assertThat(store.outcomes()).hasSize(12).noneMatch(Outcome::failed);
             assertThat(new Report(plan, store.outcomes()).text())
-                    .isEqualTo(Kept.trace("experiment-tiny"));
+                    .isEqualTo(TraceFiles.read("experiment-tiny"));
         }
         Path interrupted = folder.resolve("three/results.mv");
         RecordingProgress progress = new RecordingProgress();
@@ -286,7 +286,7 @@
                 messages.append(e.getMessage().replace(folder.toString() + "/", "")).append('\n');
             }
         }
-        assertThat(messages.toString()).isEqualTo(Kept.trace("bad-plans"));
+        assertThat(messages.toString()).isEqualTo(TraceFiles.read("bad-plans"));
     }
 
     @Test
--- a/src/test/java/coralcove/numbers/NumberAnalysisTest.java
+++ b/src/test/java/coralcove/numbers/NumberAnalysisTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import coralcove.Kept;
+import coralcove.TraceFiles;
 import coralcove.numbers.file.TableReader;
 import java.io.BufferedReader;
 import java.io.StringReader;
@@ -108,7 +108,7 @@
         }
         Search otherService = new Search(table, 99, "+81112", 1, now + 1_000_000);
         record(otherService.next(now, portability));
-        assertThat(trace.toString()).isEqualTo(Kept.trace("numbers-kinds"));
+        assertThat(trace.toString()).isEqualTo(TraceFiles.read("numbers-kinds"));
     }
 
     /**
@@ -128,7 +128,7 @@
         assertThat(tables.count()).isEqualTo(2);
         tables.leave(first.version());
         assertThat(tables.count()).isEqualTo(1);
-        assertThat(trace.toString()).isEqualTo(Kept.trace("numbers-retry"));
+        assertThat(trace.toString()).isEqualTo(TraceFiles.read("numbers-retry"));
     }
 
     /**
@@ -151,7 +151,7 @@
         assertThatThrownBy(() -> tables.replace(parseTable(withoutPrefix.formatted(3))))
                 .hasMessage("version 3 is not after 3, which is in service");
         assertThat(tables.sessionCount()).isEqualTo(2);
-        assertThat(trace.toString()).isEqualTo(Kept.trace("numbers-let-go"));
+        assertThat(trace.toString()).isEqualTo(TraceFiles.read("numbers-let-go"));
     }
 
     @Test
@@ -171,7 +171,7 @@
         now += 10_000;
         queryEnded("81902", Porting.Outcome.NOT_MOVED, "");
         record(startAnalysis(table, "+81902").next(now, portability));
-        assertThat(trace.toString()).isEqualTo(Kept.trace("numbers-ported"));
+        assertThat(trace.toString()).isEqualTo(TraceFiles.read("numbers-ported"));
     }
 
     /** A number ported twice is followed; a loop and a long chain end at the first donor. */
@@ -198,7 +198,7 @@
                 step = record(analysis.resume(now, portability));
             }
         }
-        assertThat(trace.toString()).isEqualTo(Kept.trace("numbers-circle"));
+        assertThat(trace.toString()).isEqualTo(TraceFiles.read("numbers-circle"));
     }
 
     /**
@@ -235,7 +235,7 @@
         queryEnded("81909", Porting.Outcome.NOT_MOVED, "");
         record(trial.resume(now, portability));
         record(startAnalysis(table, "+81908").next(now, portability));
-        assertThat(trace.toString()).isEqualTo(Kept.trace("numbers-dead-server"));
+        assertThat(trace.toString()).isEqualTo(TraceFiles.read("numbers-dead-server"));
     }
 
     @Test
--- a/src/test/java/coralcove/numbers/OpeningHoursTest.java
+++ b/src/test/java/coralcove/numbers/OpeningHoursTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import coralcove.Kept;
+import coralcove.TraceFiles;
 import coralcove.numbers.file.OpeningHoursParser;
 import java.time.Instant;
 import java.time.LocalDate;
@@ -93,7 +93,7 @@
                 now = next;
             }
         }
-        assertThat(trace.toString()).isEqualTo(Kept.trace("hours"));
+        assertThat(trace.toString()).isEqualTo(TraceFiles.read("hours"));
     }
 
     /**
@@ -149,6 +149,6 @@
                                             .append(e.getMessage())
                                             .append('\n'));
         }
-        assertThat(trace.toString()).isEqualTo(Kept.trace("bad-hours"));
+        assertThat(trace.toString()).isEqualTo(TraceFiles.read("bad-hours"));
     }
 }
--- a/src/test/java/coralcove/numbers/file/TableReaderTest.java
+++ b/src/test/java/coralcove/numbers/file/TableReaderTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import coralcove.Kept;
+import coralcove.TraceFiles;
 import coralcove.numbers.Digits;
 import coralcove.numbers.NumberTable;
 import java.io.BufferedReader;
@@ -49,7 +49,7 @@
                     .append(table.destination(table.trie().find(number)))
                     .append('\n');
         }
-        assertThat(trace.toString()).isEqualTo(Kept.trace("numbers-table"));
+        assertThat(trace.toString()).isEqualTo(TraceFiles.read("numbers-table"));
     }
 
     @Test
@@ -132,6 +132,6 @@
                                             n -> true))
                     .satisfies(e -> trace.append(e.getMessage()).append('\n'));
         }
-        assertThat(trace.toString()).isEqualTo(Kept.trace("bad-numbers"));
+        assertThat(trace.toString()).isEqualTo(TraceFiles.read("bad-numbers"));
     }
 }
--- a/src/test/java/coralcove/overload/OverloadControlTest.java
+++ b/src/test/java/coralcove/overload/OverloadControlTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import coralcove.Kept;
+import coralcove.TraceFiles;
 import coralcove.overload.Gate.Kind;
 import coralcove.overload.Gate.Verdict;
 import java.util.ArrayDeque;
@@ -85,7 +85,7 @@
                     .append(largeControl.comeBack() / 1000)
                     .append(" ms\n");
         }
-        assertThat(trace.toString()).isEqualTo(Kept.trace("gate-overload"));
+        assertThat(trace.toString()).isEqualTo(TraceFiles.read("gate-overload"));
     }
 
     @Test
--- a/src/test/java/coralcove/planner/LoadForecastTest.java
+++ b/src/test/java/coralcove/planner/LoadForecastTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import coralcove.GroupFacts;
+import coralcove.GroupLoad;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
@@ -43,10 +43,10 @@
                         (callsPerHalf[group][0] + callsPerHalf[group][1])
                                 * HOLD_TIME
                                 / 10_000_000.0;
-                GroupFacts measured =
-                        new GroupFacts(step * 5_000_000L + group, group, 30, new double[] {calls});
-                GroupFacts planned = forecast.forecast(measured);
-                last = calls == 0 ? last : planned.calls()[0] / calls;
+                GroupLoad measured =
+                        new GroupLoad(step * 5_000_000L + group, group, 30, new double[] {calls});
+                GroupLoad planned = forecast.forecast(measured);
+                last = calls == 0 ? last : planned.erlangs()[0] / calls;
             }
             factors[step] = last;
         }
@@ -80,18 +80,18 @@
     @Test
     void excessGroupsAndOldLoadsChangeNothing() {
         LoadForecast forecast = new LoadForecast(new long[] {HOLD_TIME}, 1);
-        GroupFacts first = new GroupFacts(0, 1, 30, new double[] {5});
-        assertThat(forecast.forecast(first).calls()).containsExactly(5);
-        GroupFacts second = new GroupFacts(0, 2, 30, new double[] {5});
+        GroupLoad first = new GroupLoad(0, 1, 30, new double[] {5});
+        assertThat(forecast.forecast(first).erlangs()).containsExactly(5);
+        GroupLoad second = new GroupLoad(0, 2, 30, new double[] {5});
         assertThat(forecast.forecast(second)).isSameAs(second);
-        forecast.forecast(new GroupFacts(11_000_000, 1, 30, new double[] {500}));
+        forecast.forecast(new GroupLoad(11_000_000, 1, 30, new double[] {500}));
         assertThat(forecast.changeFactor(0)).isEqualTo(1.6);
         // The same load again, as after a reconnect, is counted once.
-        forecast.forecast(new GroupFacts(11_000_000, 1, 30, new double[] {500}));
-        forecast.forecast(new GroupFacts(5_000_000, 1, 30, new double[] {0}));
+        forecast.forecast(new GroupLoad(11_000_000, 1, 30, new double[] {500}));
+        forecast.forecast(new GroupLoad(5_000_000, 1, 30, new double[] {0}));
         assertThat(forecast.changeFactor(0)).isEqualTo(1.6);
         // After a gap there is no recent load to compare with.
-        forecast.forecast(new GroupFacts(60_000_000, 1, 30, new double[] {5}));
+        forecast.forecast(new GroupLoad(60_000_000, 1, 30, new double[] {5}));
         assertThat(forecast.changeFactor(0)).isEqualTo(1);
     }
 }
--- a/src/test/java/coralcove/planner/PlannerLinkTest.java
+++ b/src/test/java/coralcove/planner/PlannerLinkTest.java
@@ -3,13 +3,13 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import coralcove.GroupFacts;
-import coralcove.GroupPlan;
-import coralcove.Kept;
+import coralcove.GroupLoad;
+import coralcove.GroupTargets;
 import coralcove.Plan;
-import coralcove.PlanKeeper;
+import coralcove.PlannedTargetSource;
 import coralcove.Planner;
 import coralcove.Settings;
+import coralcove.TraceFiles;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.LinkedHashMap;
@@ -64,7 +64,7 @@
         final SplittableRandom random = new SplittableRandom(5);
         final Map<Long, PlannerProcess> openConnections = new LinkedHashMap<>();
         FactsOut queue = new FactsOut(1000);
-        PlanKeeper plannedTargets = new PlanKeeper(settings(7), queue::add);
+        PlannedTargetSource plannedTargets = new PlannedTargetSource(settings(7), queue::add);
         EdgeLink edge = new EdgeLink(settings(7), plannedTargets, queue, 1);
         boolean edgeUp = true;
         long latency = 500;
@@ -219,7 +219,7 @@
         /** Replaces the edge by one without plans; it accepts connections once edgeUp is set. */
         void resetEdge(Consumer<Plan> planAccepted) {
             queue = new FactsOut(1000);
-            plannedTargets = new PlanKeeper(settings(7), queue::add);
+            plannedTargets = new PlannedTargetSource(settings(7), queue::add);
             edge = new EdgeLink(settings(7), plannedTargets, queue, 2, planAccepted);
         }
 
@@ -254,9 +254,9 @@
                         updateAt,
                         () -> {
                             if (edgeUp) {
-                                plannedTargets.of(
+                                plannedTargets.targetsFor(
                                         now,
-                                        new GroupFacts(
+                                        new GroupLoad(
                                                 now,
                                                 (int) (updateAt / (5_000_000 / GROUPS) % GROUPS),
                                                 30,
@@ -278,9 +278,9 @@
         }
 
         void recordFreshness(String label) {
-            int[] counts = new int[PlanKeeper.Age.values().length];
+            int[] counts = new int[PlannedTargetSource.Freshness.values().length];
             for (int i = 0; i < GROUPS; i++) {
-                counts[plannedTargets.age(now, i).ordinal()]++;
+                counts[plannedTargets.freshness(now, i).ordinal()]++;
             }
             record(
                     label
@@ -308,7 +308,7 @@
         simulation.advance(30).recordFreshness("killed 64 s ago");
         simulation.new PlannerProcess("planner", 7, 12);
         simulation.advance(7).recordFreshness("7 s after a new start");
-        assertThat(simulation.transcript.toString()).isEqualTo(Kept.trace("link-killed"));
+        assertThat(simulation.transcript.toString()).isEqualTo(TraceFiles.read("link-killed"));
     }
 
     /**
@@ -328,7 +328,7 @@
         simulation.transcript.setLength(0);
         simulation.recordFreshness("after 40 restarts");
         simulation.record(simulation.edge.allCounters().toString());
-        assertThat(simulation.transcript.toString()).isEqualTo(Kept.trace("link-restarts"));
+        assertThat(simulation.transcript.toString()).isEqualTo(TraceFiles.read("link-restarts"));
     }
 
     @Test
@@ -342,7 +342,8 @@
         simulation.edgeUp = true;
         simulation.recordFreshness("a new edge knows nothing");
         simulation.advance(10).recordFreshness("10 s later");
-        assertThat(simulation.transcript.toString()).isEqualTo(Kept.trace("link-edge-restarts"));
+        assertThat(simulation.transcript.toString())
+                .isEqualTo(TraceFiles.read("link-edge-restarts"));
     }
 
     /**
@@ -363,7 +364,7 @@
         assertThat(simulation.edge.allCounters().toString())
                 .doesNotContain("old_facts")
                 .doesNotContain("future_facts");
-        assertThat(simulation.transcript.toString()).isEqualTo(Kept.trace("link-clock"));
+        assertThat(simulation.transcript.toString()).isEqualTo(TraceFiles.read("link-clock"));
     }
 
     /**
@@ -398,23 +399,24 @@
         simulation.recordFreshness("12 s later, a new edge");
         simulation.advance(10).recordFreshness("10 s on");
         assertThat(simulation.edge.allCounters().toString()).doesNotContain("older_version");
-        assertThat(simulation.transcript.toString()).isEqualTo(Kept.trace("link-edge-resumes"));
+        assertThat(simulation.transcript.toString())
+                .isEqualTo(TraceFiles.read("link-edge-resumes"));
         // Plans of another router, plans older than a minute, and plans from the future after the
         // clock was set back are not restored.
-        PlanKeeper otherRouter = new PlanKeeper(settings(8), load -> {});
+        PlannedTargetSource otherRouter = new PlannedTargetSource(settings(8), load -> {});
         assertThat(PlanShelf.resume(simulation.now, settings(8), otherRouter, stored)).isZero();
         assertThat(
                         PlanShelf.resume(
                                 simulation.now + 60_000_000,
                                 settings(7),
-                                new PlanKeeper(settings(7), load -> {}),
+                                new PlannedTargetSource(settings(7), load -> {}),
                                 stored))
                 .isZero();
         assertThat(
                         PlanShelf.resume(
                                 1_000_000,
                                 settings(7),
-                                new PlanKeeper(settings(7), load -> {}),
+                                new PlannedTargetSource(settings(7), load -> {}),
                                 stored))
                 .isZero();
     }
@@ -433,7 +435,7 @@
         simulation.advance(9).recordFreshness("stalled for 9 s");
         simulation.advance(8).recordFreshness("well again for 7 s");
         assertThat(simulation.edge.allCounters().get("facts-dropped")).isZero();
-        assertThat(simulation.transcript.toString()).isEqualTo(Kept.trace("link-stalls"));
+        assertThat(simulation.transcript.toString()).isEqualTo(TraceFiles.read("link-stalls"));
     }
 
     /** A second planner and one for another router are rejected; the first continues. */
@@ -450,7 +452,7 @@
         first.kill();
         simulation.advance(12).recordFreshness("the second takes over");
         assertThat(second.core.handshakeComplete()).isTrue();
-        assertThat(simulation.transcript.toString()).isEqualTo(Kept.trace("link-two"));
+        assertThat(simulation.transcript.toString()).isEqualTo(TraceFiles.read("link-two"));
     }
 
     /**
@@ -480,9 +482,9 @@
             simulation.now = 100_000_000;
             simulation.scheduleLoadUpdates(simulation.now + 1_000_000);
             LinkSimulation.PlannerProcess process = simulation.new PlannerProcess("planner", 7, 11);
-            List<GroupFacts> stored = new ArrayList<>();
+            List<GroupLoad> stored = new ArrayList<>();
             for (int i = 0; i < GROUPS; i++) {
-                stored.add(new GroupFacts(simulation.now - age, i, 30, new double[] {20, 3}));
+                stored.add(new GroupLoad(simulation.now - age, i, 30, new double[] {20, 3}));
             }
             process.core.restore(stored);
             simulation.transcript.setLength(0);
@@ -501,16 +503,16 @@
     void framesAreDecodedAsEncodedAndCorruptOnesAreRejected() throws Exception {
         SplittableRandom random = new SplittableRandom(4);
         Planner planner = new Planner(settings(7));
-        List<GroupFacts> loads = new ArrayList<>();
-        List<GroupPlan> plans = new ArrayList<>();
+        List<GroupLoad> loads = new ArrayList<>();
+        List<GroupTargets> plans = new ArrayList<>();
         for (int i = 0; i < 50; i++) {
             loads.add(
-                    new GroupFacts(
+                    new GroupLoad(
                             i,
                             i,
                             20 + i,
                             new double[] {random.nextDouble() * 30, random.nextDouble()}));
-            plans.add(planner.of(i, loads.get(i)));
+            plans.add(planner.targetsFor(i, loads.get(i)));
         }
         List<Frame> frames =
                 List.of(
@@ -558,13 +560,13 @@
     void highlyLoadedGroupsAreFirstAndTheOthersInOrderOfArrival() {
         PlanningSchedule schedule = new PlanningSchedule(new int[] {1}, 100);
         for (int i = 0; i < 40; i++) {
-            schedule.add(new GroupFacts(1000 + i, i, 10, new double[] {i % 2 == 0 ? 20 + i : 1}));
+            schedule.add(new GroupLoad(1000 + i, i, 10, new double[] {i % 2 == 0 ? 20 + i : 1}));
         }
-        assertThat(schedule.add(new GroupFacts(5, 3, 10, new double[] {1}))).isFalse();
-        assertThat(schedule.add(new GroupFacts(5, 300, 10, new double[] {1, 2}))).isFalse();
+        assertThat(schedule.add(new GroupLoad(5, 3, 10, new double[] {1}))).isFalse();
+        assertThat(schedule.add(new GroupLoad(5, 300, 10, new double[] {1, 2}))).isFalse();
         StringBuilder order = new StringBuilder();
         while (!schedule.isEmpty()) {
-            for (GroupFacts load : schedule.takeNext(2000, 8)) {
+            for (GroupLoad load : schedule.takeNext(2000, 8)) {
                 order.append(load.number()).append(' ');
             }
             order.append("| ");
--- a/src/test/java/coralcove/planner/store/GroupStoreTest.java
+++ b/src/test/java/coralcove/planner/store/GroupStoreTest.java
@@ -2,8 +2,8 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import coralcove.GroupFacts;
-import coralcove.GroupPlan;
+import coralcove.GroupLoad;
+import coralcove.GroupTargets;
 import coralcove.Plan;
 import coralcove.store.EntryStore;
 import java.io.RandomAccessFile;
@@ -23,16 +23,16 @@
 class GroupStoreTest {
     private final List<String> warnings = new ArrayList<>();
 
-    private static List<GroupFacts> loads(int from, int to, long at) {
-        List<GroupFacts> loads = new ArrayList<>();
+    private static List<GroupLoad> loads(int from, int to, long at) {
+        List<GroupLoad> loads = new ArrayList<>();
         for (int i = from; i < to; i++) {
-            loads.add(new GroupFacts(at, i, 30, new double[] {i, 2.5}));
+            loads.add(new GroupLoad(at, i, 30, new double[] {i, 2.5}));
         }
         return loads;
     }
 
-    private List<GroupFacts> reopenAndRead(Path path) {
-        try (EntryStore<Integer, GroupFacts> store = GroupStore.facts(path, warnings::add)) {
+    private List<GroupLoad> reopenAndRead(Path path) {
+        try (EntryStore<Integer, GroupLoad> store = GroupStore.facts(path, warnings::add)) {
             return store.read();
         }
     }
@@ -40,14 +40,14 @@
     @Test
     void readsBackTheNewestLoadOfEachGroup(@TempDir Path folder) {
         Path path = folder.resolve("facts");
-        try (EntryStore<Integer, GroupFacts> store = GroupStore.facts(path, warnings::add)) {
+        try (EntryStore<Integer, GroupLoad> store = GroupStore.facts(path, warnings::add)) {
             store.write(loads(0, 50, 1));
             store.write(loads(10, 20, 2));
         }
-        List<GroupFacts> read = reopenAndRead(path);
+        List<GroupLoad> read = reopenAndRead(path);
         assertThat(read).hasSize(50);
-        assertThat(read.get(15).at()).isEqualTo(2);
-        assertThat(read.get(15).calls()).containsExactly(15, 2.5);
+        assertThat(read.get(15).measuredAt()).isEqualTo(2);
+        assertThat(read.get(15).erlangs()).containsExactly(15, 2.5);
         assertThat(warnings).isEmpty();
     }
 
@@ -56,13 +56,13 @@
     void killLeavesTheLastCompleteCommit(@TempDir Path folder) throws Exception {
         Path path = folder.resolve("facts");
         Path killed = folder.resolve("killed");
-        try (EntryStore<Integer, GroupFacts> store = GroupStore.facts(path, warnings::add)) {
+        try (EntryStore<Integer, GroupLoad> store = GroupStore.facts(path, warnings::add)) {
             store.write(loads(0, 50, 1));
             store.write(loads(0, 50, 2));
             Files.copy(path, killed);
             store.write(loads(0, 50, 3));
         }
-        assertThat(reopenAndRead(killed)).hasSize(50).allMatch(load -> load.at() == 2);
+        assertThat(reopenAndRead(killed)).hasSize(50).allMatch(load -> load.measuredAt() == 2);
         assertThat(warnings).isEmpty();
     }
 
@@ -73,7 +73,7 @@
     @Test
     void truncatedOrCorruptStoreReturnsOnlyValidEntries(@TempDir Path folder) throws Exception {
         Path path = folder.resolve("facts");
-        try (EntryStore<Integer, GroupFacts> store = GroupStore.facts(path, warnings::add)) {
+        try (EntryStore<Integer, GroupLoad> store = GroupStore.facts(path, warnings::add)) {
             for (int i = 1; i <= 30; i++) {
                 store.write(loads(0, 40, i));
             }
@@ -97,16 +97,16 @@
                 }
             }
             warnings.clear();
-            List<GroupFacts> read = reopenAndRead(corrupt);
-            for (GroupFacts load : read) {
-                assertThat(load.calls()).containsExactly(load.number(), 2.5);
-                assertThat(load.at()).isBetween(1L, 30L);
+            List<GroupLoad> read = reopenAndRead(corrupt);
+            for (GroupLoad load : read) {
+                assertThat(load.erlangs()).containsExactly(load.number(), 2.5);
+                assertThat(load.measuredAt()).isBetween(1L, 30L);
             }
             complete += read.size() == 40 ? 1 : 0;
             withWarnings += warnings.isEmpty() ? 0 : 1;
             assertThat(read.size() == 40 || !warnings.isEmpty() || read.isEmpty()).isTrue();
             // The store works afterwards, whatever was found.
-            try (EntryStore<Integer, GroupFacts> store = GroupStore.facts(corrupt, warnings::add)) {
+            try (EntryStore<Integer, GroupLoad> store = GroupStore.facts(corrupt, warnings::add)) {
                 store.write(loads(0, 5, 99));
                 assertThat(store.read()).hasSizeGreaterThanOrEqualTo(5);
             }
@@ -118,7 +118,7 @@
     @Test
     void entriesOfAnotherVersionAreSkippedAndCounted(@TempDir Path folder) {
         Path path = folder.resolve("facts");
-        try (EntryStore<Integer, GroupFacts> store = GroupStore.facts(path, warnings::add)) {
+        try (EntryStore<Integer, GroupLoad> store = GroupStore.facts(path, warnings::add)) {
             store.write(loads(0, 5, 1));
         }
         try (MVStore raw = new MVStore.Builder().fileName(path.toString()).open()) {
@@ -127,7 +127,7 @@
             byte[] entryOfGroup3 = raw.<Integer, byte[]>openMap("facts").get(3);
             raw.<Integer, byte[]>openMap("facts").put(77, entryOfGroup3);
         }
-        assertThat(reopenAndRead(path)).extracting(GroupFacts::number).containsExactly(0, 1, 3, 4);
+        assertThat(reopenAndRead(path)).extracting(GroupLoad::number).containsExactly(0, 1, 3, 4);
         assertThat(warnings).containsExactly("2 entries left: another form or a wrong checksum");
     }
 
@@ -135,7 +135,7 @@
     void storeThatCannotBeCreatedIsNotUsed(@TempDir Path folder) throws Exception {
         Path file = folder.resolve("file");
         Files.writeString(file, "x");
-        try (EntryStore<Integer, GroupFacts> store =
+        try (EntryStore<Integer, GroupLoad> store =
                 GroupStore.facts(file.resolve("facts"), warnings::add)) {
             store.write(loads(0, 5, 1));
             assertThat(store.works()).isFalse();
@@ -156,7 +156,7 @@
                             7,
                             100 + i,
                             List.of(
-                                    new GroupPlan(
+                                    new GroupTargets(
                                             i,
                                             i,
                                             0.1,
