--- a/src/test/java/coralcove/platform/RouterCoreHarness.java
+++ b/src/test/java/coralcove/platform/RouterCoreHarness.java
@@ -2,8 +2,8 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import coralcove.Choice;
-import coralcove.Kept;
+import coralcove.ExponentialPenaltyRouter;
+import coralcove.TraceFiles;
 import coralcove.boot.Boot;
 import coralcove.config.BadConfig;
 import coralcove.platform.bulletin.Bulletin;
@@ -104,7 +104,8 @@
                     new RouterCore(
                             START,
                             settings,
-                            new Choice(settings.module(), new SplittableRandom(1)),
+                            new ExponentialPenaltyRouter(
+                                    settings.module(), new SplittableRandom(1)),
                             this);
         } catch (BadConfig e) {
             throw new IllegalStateException(e);
@@ -286,7 +287,7 @@
     }
 
     void assertTraceMatches(String name) {
-        assertThat(trace.toString()).isEqualTo(Kept.trace(name));
+        assertThat(trace.toString()).isEqualTo(TraceFiles.read(name));
     }
 
     // ---- actions of the core
--- a/src/test/java/coralcove/platform/RouterCountersTest.java
+++ b/src/test/java/coralcove/platform/RouterCountersTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import coralcove.Ending;
+import coralcove.InviteOutcome;
 import org.junit.jupiter.api.Test;
 
 class RouterCountersTest {
@@ -28,7 +28,7 @@
         counters.releasesAcknowledged = 16;
         counters.countEstablished(2_000);
         counters.countEstablished(6_000);
-        for (Ending outcome : Ending.values()) {
+        for (InviteOutcome outcome : InviteOutcome.values()) {
             counters.countOutcome(outcome);
         }
         String totals =
--- a/src/test/java/coralcove/sip/dialog/SimulatedNetwork.java
+++ b/src/test/java/coralcove/sip/dialog/SimulatedNetwork.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import coralcove.Kept;
+import coralcove.TraceFiles;
 import coralcove.sip.BadMessage;
 import coralcove.sip.Hop;
 import coralcove.sip.Out;
@@ -252,6 +252,6 @@
 
     /** Compares the trace with the stored trace of this name. */
     void assertTraceEquals(String name) {
-        assertThat(trace.toString()).isEqualTo(Kept.trace(name));
+        assertThat(trace.toString()).isEqualTo(TraceFiles.read(name));
     }
 }
--- a/src/test/java/coralcove/sip/event/SubscriptionTest.java
+++ b/src/test/java/coralcove/sip/event/SubscriptionTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import coralcove.Kept;
+import coralcove.TraceFiles;
 import coralcove.sip.Hop;
 import coralcove.sip.Out;
 import coralcove.sip.SipMessage;
@@ -89,7 +89,7 @@
     }
 
     private void assertTraceEquals(String name) {
-        assertThat(trace.toString()).isEqualTo(Kept.trace(name));
+        assertThat(trace.toString()).isEqualTo(TraceFiles.read(name));
     }
 
     @Test
--- a/src/test/java/coralcove/sources/RosterTest.java
+++ b/src/test/java/coralcove/sources/RosterTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import coralcove.Exchange;
-import coralcove.Kept;
+import coralcove.TraceFiles;
 import coralcove.protocol.ListingText;
 import java.util.ArrayList;
 import java.util.List;
@@ -50,9 +50,9 @@
                     .append(' ')
                     .append(exchange.phase())
                     .append(
-                            exchange.since() == 0
+                            exchange.startedAt() == 0
                                     ? ""
-                                    : " since " + exchange.since() / 1000 + " ms")
+                                    : " since " + exchange.startedAt() / 1000 + " ms")
                     .append(
                             entry == null
                                     ? " forgotten"
@@ -79,7 +79,7 @@
     }
 
     private void assertTrace(String name) {
-        assertThat(trace.toString()).isEqualTo(Kept.trace(name));
+        assertThat(trace.toString()).isEqualTo(TraceFiles.read(name));
     }
 
     @Test
