--- a/src/main/java/coralcove/platform/Actions.java
+++ b/src/main/java/coralcove/platform/Actions.java
@@ -9,32 +9,32 @@
  */
 public interface Actions {
     /** Sends a message on a caller's connection. */
-    void toCaller(long caller, CallerMessage message);
+    void sendToCaller(long caller, CallerMessage message);
 
     /** Closes a caller's connection once everything written before has been sent. */
     void closeCaller(long caller);
 
     /**
-     * Opens a connection to an exchange; the result is passed to {@link RouterCore#legUp} or {@link
-     * RouterCore#legDown}.
+     * Opens a connection to an exchange; the result is passed to {@link
+     * RouterCore#exchangeConnectionUp} or {@link RouterCore#exchangeConnectionDown}.
      */
-    void connect(long connection, String address);
+    void connectToExchange(long connection, String address);
 
     /** Sends a message on a connection to an exchange. */
-    void toLeg(long connection, SipMessage message);
+    void sendToExchange(long connection, SipMessage message);
 
     /** Closes a connection to an exchange; no event of it is reported any more. */
-    void closeLeg(long connection);
+    void closeExchangeConnection(long connection);
 
     /** Broadcasts a message to the peer routers. */
-    void toPeers(byte[] body);
+    void sendToPeers(byte[] body);
 
     /** Logs an event; {@code session} is the call id or empty. */
     void log(String event, String session, String detail);
 
     /** Stops accepting callers' connections; open ones continue. */
-    void deaf();
+    void stopAccepting();
 
     /** Ends the program once everything written before has been sent. */
-    void end();
+    void exit();
 }
--- a/src/main/java/coralcove/platform/CallerConnections.java
+++ b/src/main/java/coralcove/platform/CallerConnections.java
@@ -79,7 +79,7 @@
         }
     }
 
-    private Descriptors descriptorBudget;
+    private DescriptorBudget descriptorBudget;
     private final Map<Long, CallerConnection> connections = new LinkedHashMap<>();
 
     /** Ids of connections that have sent a valid message, the most recent last. */
@@ -94,12 +94,12 @@
     /** Time of marking by connection id. */
     private final Map<Long, Long> markedForClosing = new LinkedHashMap<>();
 
-    CallerConnections(Descriptors descriptorBudget) {
+    CallerConnections(DescriptorBudget descriptorBudget) {
         this.descriptorBudget = descriptorBudget;
     }
 
     /** The number of exchanges, whose connections need descriptors too, has changed. */
-    void setDescriptorBudget(Descriptors budget) {
+    void setDescriptorBudget(DescriptorBudget budget) {
         descriptorBudget = budget;
     }
 
--- a/src/main/java/coralcove/platform/Down.java
+++ b/src/main/java/coralcove/platform/ConnectionLoss.java
@@ -1,7 +1,7 @@
 package coralcove.platform;
 
 /** Why a connection to an exchange did not come up, or was lost. */
-public enum Down {
+public enum ConnectionLoss {
     /** The connection attempt was refused: nothing listens at the address. */
     REFUSED,
     /** The connection attempt timed out. */
--- a/src/main/java/coralcove/platform/Descriptors.java
+++ b/src/main/java/coralcove/platform/DescriptorBudget.java
@@ -9,7 +9,7 @@
  * @param total the process's limit of open descriptors
  * @param exchanges the number of known exchanges
  */
-public record Descriptors(int total, int exchanges) {
+public record DescriptorBudget(int total, int exchanges) {
     /**
      * Descriptors for the runtime's files, selectors, the listener, discovery and peers; some 30
      * are in use.
@@ -58,14 +58,14 @@
     }
 
     /** Number of callers' connections at which the acceptor accepts no further one. */
-    public int callers() {
+    public int maxCallerConnections() {
         double left = total - RESERVED - connectionsPerExchange() * REPLACEMENT_FACTOR * exchanges;
         return (int) Math.max(MIN_CALLER_SHARE * total, Math.min(MAX_CALLER_SHARE * total, left));
     }
 
     /** Number of callers' connections above which the oldest without a valid message is closed. */
     int maxCallersInCore() {
-        return (int) (CLOSE_SILENT_SHARE * callers());
+        return (int) (CLOSE_SILENT_SHARE * maxCallerConnections());
     }
 
     /**
@@ -73,6 +73,6 @@
      * a third of all descriptors.
      */
     int maxValidSenders() {
-        return (int) Math.max(total / 3.0, CLOSE_VALID_SENDER_SHARE * callers());
+        return (int) Math.max(total / 3.0, CLOSE_VALID_SENDER_SHARE * maxCallerConnections());
     }
 }
--- a/src/main/java/coralcove/platform/EstablishedCalls.java
+++ b/src/main/java/coralcove/platform/EstablishedCalls.java
@@ -142,7 +142,7 @@
         }
         ExchangeConnection connection = exchanges.pickAny(call.exchange);
         if (connection != null) {
-            actions.toLeg(connection.id, SignalingMessages.bye(id, cause));
+            actions.sendToExchange(connection.id, SignalingMessages.bye(id, cause));
         } else {
             ArrayDeque<Long> waiting =
                     queuedReleases.computeIfAbsent(call.exchange, exchange -> new ArrayDeque<>());
@@ -161,7 +161,7 @@
         if (waiting != null) {
             waiting.forEach(
                     id ->
-                            actions.toLeg(
+                            actions.sendToExchange(
                                     connection.id,
                                     SignalingMessages.bye(id, SipOutcomes.CAUSE_NORMAL_CLEARING)));
         }
@@ -198,7 +198,7 @@
                 if (connection != null) {
                     // The exchange may only hang: a call whose caller was notified of its end must
                     // not continue there.
-                    actions.toLeg(
+                    actions.sendToExchange(
                             connection.id,
                             SignalingMessages.bye(
                                     each.getKey(), SipOutcomes.CAUSE_TEMPORARY_FAILURE));
--- a/src/main/java/coralcove/platform/Exchanges.java
+++ b/src/main/java/coralcove/platform/Exchanges.java
@@ -186,7 +186,7 @@
     }
 
     private int connectionsPerExchange() {
-        return new Descriptors(descriptorLimit, byName.size()).connectionsPerExchange();
+        return new DescriptorBudget(descriptorLimit, byName.size()).connectionsPerExchange();
     }
 
     RemoteExchange byId(long id) {
@@ -339,7 +339,7 @@
     private void close(long now, ExchangeConnection connection, String reason) {
         if (connections.remove(connection.id) != null) {
             connection.exchange.connections.remove(connection);
-            actions.closeLeg(connection.id);
+            actions.closeExchangeConnection(connection.id);
             listener.connectionClosed(now, connection, reason);
         }
     }
@@ -384,7 +384,7 @@
         exchange.connections.add(connection);
         exchange.lastConnectAt = now;
         connections.put(connection.id, connection);
-        actions.connect(connection.id, exchange.address);
+        actions.connectToExchange(connection.id, exchange.address);
     }
 
     /** A connection has come up. */
@@ -418,22 +418,25 @@
     }
 
     /** A connection did not come up, or was lost. The core ends the INVITEs sent on it. */
-    void connectionDown(long now, ExchangeConnection connection, Down loss) {
+    void connectionDown(long now, ExchangeConnection connection, ConnectionLoss loss) {
         connections.remove(connection.id);
         RemoteExchange exchange = connection.exchange;
         exchange.connections.remove(connection);
-        exchange.consecutiveRefusals += loss == Down.REFUSED ? 1 : 0;
+        exchange.consecutiveRefusals += loss == ConnectionLoss.REFUSED ? 1 : 0;
         boolean wasStable =
-                loss == Down.BROKEN && now - connection.openedAt > MAX_RECONNECT_DELAY_MICROS;
+                loss == ConnectionLoss.BROKEN
+                        && now - connection.openedAt > MAX_RECONNECT_DELAY_MICROS;
         exchange.reconnectAt = wasStable ? now : now + exchange.reconnectDelay;
         exchange.reconnectDelay =
                 wasStable
                         ? MIN_RECONNECT_DELAY_MICROS
                         : Math.min(MAX_RECONNECT_DELAY_MICROS, 2 * exchange.reconnectDelay);
         if (!exchange.hasConnectionUp()
-                && (loss == Down.REFUSED && exchange.consecutiveRefusals >= REFUSALS_UNTIL_DEAD
+                && (loss == ConnectionLoss.REFUSED
+                                && exchange.consecutiveRefusals >= REFUSALS_UNTIL_DEAD
                         || exchange.phase == Phase.GONE)) {
-            listener.exchangeLost(now, exchange, loss == Down.REFUSED ? "refused" : "gone");
+            listener.exchangeLost(
+                    now, exchange, loss == ConnectionLoss.REFUSED ? "refused" : "gone");
         }
     }
 
@@ -530,7 +533,7 @@
                     exchange.connections.stream().filter(connection -> connection.up).toList();
             if (!up.isEmpty()) {
                 exchange.lastTestAt = now;
-                actions.toLeg(
+                actions.sendToExchange(
                         up.get(exchange.testCount++ % up.size()).id,
                         SignalingMessages.ping(++lastTestId));
             }
--- a/src/main/java/coralcove/platform/ReleaseNotifier.java
+++ b/src/main/java/coralcove/platform/ReleaseNotifier.java
@@ -60,7 +60,7 @@
             if (to.unacknowledged.size() > MAX_UNACKNOWLEDGED) {
                 to.unacknowledged.remove(to.unacknowledged.keySet().iterator().next());
             }
-            actions.toCaller(to.id, release);
+            actions.sendToCaller(to.id, release);
             tried.add(to.id);
             if (tried.size() <= MAX_RETRIES) {
                 timers.schedule(now + RETRY_AFTER_MICROS, time -> retry(time, to, release, tried));
--- a/src/main/java/coralcove/platform/RouterCore.java
+++ b/src/main/java/coralcove/platform/RouterCore.java
@@ -155,12 +155,12 @@
         pendingSessions = new PendingSessions(router, this);
         exchanges =
                 new Exchanges(
-                        settings.module().localNumber(),
-                        settings.mayTest(),
-                        settings.descriptors(),
+                        settings.routing().localNumber(),
+                        settings.mayProbe(),
+                        settings.descriptorLimit(),
                         actions,
                         new ExchangeEvents());
-        callers = new CallerConnections(new Descriptors(settings.descriptors(), 0));
+        callers = new CallerConnections(new DescriptorBudget(settings.descriptorLimit(), 0));
         releaseNotifier = new ReleaseNotifier(callers, actions, timers);
         establishedCalls =
                 new EstablishedCalls(
@@ -225,7 +225,7 @@
      * A connection was accepted near the connection limit. Closes up to two of the least useful
      * ones for it, so that callers do not wait in the kernel's accept queue.
      */
-    public void crowded(long arrivedAt) {
+    public void connectionLimitReached(long arrivedAt) {
         advanceTo(arrivedAt);
         for (CallerConnection caller : callers.leastUseful(now)) {
             counters.callersClosedForRoom++;
@@ -265,7 +265,7 @@
             case CallerMessage.READINESS_CHECK -> {
                 callers.markValidSender(caller);
                 boolean passed = ready() && !drain.begun();
-                actions.toCaller(
+                actions.sendToCaller(
                         caller.id,
                         CallerMessage.withCause(
                                 CallerMessage.READINESS_RESULT, message.callId(), passed ? 1 : 0));
@@ -358,7 +358,7 @@
      * all inputs read so far have been processed: a caller's release or close is then taken into
      * account before anything is sent for its session.
      */
-    public void decide(long time) {
+    public void routeNext(long time) {
         advanceTo(time);
         boolean decided = false;
         while (!decided && !undecidedSetUps.isEmpty()) {
@@ -380,7 +380,7 @@
     }
 
     /** Whether a set-up waits for a routing decision, or an INVITE to be sent. */
-    public boolean undecided() {
+    public boolean hasUndecided() {
         return !undecidedSetUps.isEmpty() || !unsentInvites.isEmpty();
     }
 
@@ -458,25 +458,25 @@
     /** Cancels an INVITE and remembers it, as a 200 may cross the CANCEL. */
     private void sendCancel(PendingSession pending, Invite invite) {
         cancelledInvites.put(pending.setUp.callId(), invite.exchange);
-        actions.toLeg(
+        actions.sendToExchange(
                 invite.connection.id,
                 SignalingMessages.cancel(
                         pending.setUp.callId(), invite.sequence, pending.setUp.calledNumber()));
     }
 
     private void sendRelease(CallerConnection caller, long id, int cause) {
-        actions.toCaller(caller.id, CallerMessage.withCause(CallerMessage.RELEASE, id, cause));
+        actions.sendToCaller(caller.id, CallerMessage.withCause(CallerMessage.RELEASE, id, cause));
     }
 
     // ---- exchanges
 
     /** A connection to an exchange has come up; sends the INVITEs that wait for it. */
-    public void legUp(long arrivedAt, long id) {
+    public void exchangeConnectionUp(long arrivedAt, long id) {
         advanceTo(arrivedAt);
         ExchangeConnection connection = exchanges.connection(id);
         if (connection == null) {
             // It came up while it was being closed.
-            actions.closeLeg(id);
+            actions.closeExchangeConnection(id);
             return;
         }
         exchanges.connectionUp(now, connection);
@@ -491,7 +491,7 @@
     }
 
     /** A connection to an exchange did not come up, or was lost; resets the INVITEs sent on it. */
-    public void legDown(long arrivedAt, long id, Down loss) {
+    public void exchangeConnectionDown(long arrivedAt, long id, ConnectionLoss loss) {
         advanceTo(arrivedAt);
         ExchangeConnection connection = exchanges.connection(id);
         if (connection == null) {
@@ -499,13 +499,13 @@
         }
         exchanges.connectionDown(now, connection, loss);
         resetInvites(connection);
-        if (loss != Down.BROKEN && !connection.exchange.hasConnectionUp()) {
+        if (loss != ConnectionLoss.BROKEN && !connection.exchange.hasConnectionUp()) {
             failUnsentInvites(connection.exchange);
         }
     }
 
     /** Bytes have been read from a connection to an exchange. */
-    public void legRead(long arrivedAt, long id, byte[] bytes) {
+    public void exchangeRead(long arrivedAt, long id, byte[] bytes) {
         advanceTo(arrivedAt);
         ExchangeConnection connection = exchanges.connection(id);
         if (connection == null) {
@@ -568,15 +568,17 @@
         switch (message.method()) {
             case "NOTIFY", "ACK" -> {}
             case "BYE" -> {
-                actions.toLeg(connection.id, SignalingMessages.response(message, 200, "OK"));
+                actions.sendToExchange(
+                        connection.id, SignalingMessages.response(message, 200, "OK"));
                 if (id != null) {
                     handleBye(connection, id, Outcomes.cause(message));
                 }
             }
             case "OPTIONS" ->
-                    actions.toLeg(connection.id, SignalingMessages.response(message, 200, "OK"));
+                    actions.sendToExchange(
+                            connection.id, SignalingMessages.response(message, 200, "OK"));
             default ->
-                    actions.toLeg(
+                    actions.sendToExchange(
                             connection.id,
                             SignalingMessages.response(message, 501, "Not Implemented"));
         }
@@ -622,7 +624,7 @@
             discardMalformed(connection, "malformed session description");
             return;
         }
-        actions.toLeg(
+        actions.sendToExchange(
                 connection.id,
                 SignalingMessages.ack(
                         id, pending.outstanding.sequence, pending.setUp.calledNumber()));
@@ -636,7 +638,7 @@
         connection.outstandingInvites--;
         establishedCalls.add(now, id, connection.exchange, pending.caller.id);
         counters.countEstablished(arrivedAt - pending.outstanding.sentAt);
-        actions.toCaller(
+        actions.sendToCaller(
                 pending.caller.id,
                 CallerMessage.of(CallerMessage.ANSWER, id)
                         .add(CallerMessage.DESCRIPTION, message.body()));
@@ -656,13 +658,13 @@
         counters.unexpectedResponses++;
         if (message.status() < 300 && pending == null && !establishedCalls.has(id)) {
             if (cancelledInvites.get(id) == connection.exchange) {
-                actions.toLeg(
+                actions.sendToExchange(
                         connection.id,
                         SignalingMessages.ack(
                                 id,
                                 (int) Math.max(1, message.sequence()),
                                 SignalingMessages.formatCallId(id)));
-                actions.toLeg(
+                actions.sendToExchange(
                         connection.id,
                         SignalingMessages.bye(id, SipOutcomes.CAUSE_NORMAL_CLEARING));
             }
@@ -678,7 +680,7 @@
         invite.connection = connection;
         connection.outstandingInvites++;
         counters.invites++;
-        actions.toLeg(
+        actions.sendToExchange(
                 connection.id,
                 SignalingMessages.invite(
                         pending.setUp.callId(),
@@ -777,7 +779,7 @@
     // ---- exchange list, peers, probes
 
     /** Applies updates of the exchange list; events that were seen before are skipped. */
-    public void bulletin(long arrivedAt, DiscoveryUpdate bulletin) {
+    public void exchangeListUpdated(long arrivedAt, DiscoveryUpdate bulletin) {
         advanceTo(arrivedAt);
         for (DiscoveryUpdate.Event event : bulletin.events()) {
             if (event.number() > lastEventNumber) {
@@ -792,24 +794,25 @@
                         .forEach(this::failUnsentInvites);
             }
         }
-        callers.setDescriptorBudget(new Descriptors(settings.descriptors(), exchanges.size()));
+        callers.setDescriptorBudget(
+                new DescriptorBudget(settings.descriptorLimit(), exchanges.size()));
         exchanges.tick(now);
     }
 
     /** The discovery service has answered: the exchange list is up to date. */
-    public void bulletinAnswered(long arrivedAt, DiscoveryUpdate bulletin) {
+    public void discoveryAnswered(long arrivedAt, DiscoveryUpdate bulletin) {
         listAnswered = true;
-        bulletin(arrivedAt, bulletin);
+        exchangeListUpdated(arrivedAt, bulletin);
     }
 
     /** A query to the discovery service has failed. */
-    public void bulletinLost(long arrivedAt) {
+    public void discoveryFailed(long arrivedAt) {
         listFailed = true;
         router.onExchangeListLost(advanceTo(arrivedAt));
     }
 
     /** A broadcast of the peer router with this rank has arrived. */
-    public void peer(long arrivedAt, int rank, byte[] body) {
+    public void peerBroadcast(long arrivedAt, int rank, byte[] body) {
         router.onPeerMessage(advanceTo(arrivedAt), rank, body);
     }
 
@@ -871,7 +874,7 @@
         PendingSession pending = pendingById.remove(id);
         establishedCalls.markFinished(now, id);
         pending.caller.pendingSessions.remove(id);
-        actions.toCaller(pending.caller.id, message);
+        actions.sendToCaller(pending.caller.id, message);
     }
 
     @Override
@@ -886,7 +889,7 @@
         if (connection != null) {
             long id = --lastProbeId;
             probedExchanges.put(id, exchange);
-            actions.toLeg(connection.id, SignalingMessages.probe(id));
+            actions.sendToExchange(connection.id, SignalingMessages.probe(id));
             schedule(
                     now + settings.connectTimeout(),
                     time -> {
@@ -919,7 +922,7 @@
     // ---- time
 
     /** The time at which {@link #tick} is to be called next. */
-    public long due() {
+    public long nextTickAt() {
         return Math.min(nextCheckAt, timers.nextDeadline());
     }
 
@@ -945,7 +948,7 @@
      * <p>Only here can a connection be closed without losing a set-up that was read from it and
      * still waited in the queue. A set-up that crosses the close is retried by its caller.
      */
-    public void caughtUp(long time) {
+    public void allInputsProcessed(long time) {
         advanceTo(time);
         for (CallerConnection caller : callers.closable(now)) {
             counters.silentCallersClosed += caller.sentValidMessage ? 0 : 1;
@@ -957,20 +960,20 @@
                 pendingById.isEmpty(),
                 lastCallerInputAt,
                 drain.begun() && releaseNotifier.hasUnacknowledged())) {
-            case STOP_ACCEPTING -> actions.deaf();
+            case STOP_ACCEPTING -> actions.stopAccepting();
             case EXIT -> {
                 exchanges.closeAll(now);
                 callers.all().forEach(caller -> actions.closeCaller(caller.id));
-                actions.end();
+                actions.exit();
             }
             case NONE -> {}
         }
     }
 
     /** Ends a round of inputs: carries out the pending probes, broadcasts and wake-ups. */
-    public void rest() {
+    public void endRound() {
         pendingSessions.runPendingActions(now);
-        peerMessages.forEach(actions::toPeers);
+        peerMessages.forEach(actions::sendToPeers);
         peerMessages.clear();
     }
 
@@ -1008,7 +1011,7 @@
     }
 
     /** Counters since the start and current numbers, as one line for the log. */
-    public String counts() {
+    public String counterLine() {
         return counters
                 + " in-hand "
                 + pendingById.size()
--- a/src/main/java/coralcove/platform/ServiceSettings.java
+++ b/src/main/java/coralcove/platform/ServiceSettings.java
@@ -10,25 +10,25 @@
  * The settings of the core: those of the routing policy, and what is needed besides. Times are in
  * µs.
  *
- * @param module settings of the routing policy
+ * @param routing settings of the routing policy
  * @param serviceNames names of the services as callers send them, in the policy's order
  * @param serviceWidths circuits that a call of each service takes
  * @param reportColumns names of the columns of exchanges' load reports, free circuits and size
  *     first
  * @param connectTimeout time after which a connection attempt has failed
  * @param maxPendingSessions sessions without a final answer above which set-ups are refused
- * @param mayTest whether exchanges may be sent OPTIONS requests
- * @param descriptors the process's limit of open descriptors
+ * @param mayProbe whether exchanges may be sent OPTIONS requests
+ * @param descriptorLimit the process's limit of open descriptors
  */
 public record ServiceSettings(
-        Settings module,
+        Settings routing,
         List<String> serviceNames,
         List<Integer> serviceWidths,
         List<String> reportColumns,
         long connectTimeout,
         int maxPendingSessions,
-        boolean mayTest,
-        int descriptors) {
+        boolean mayProbe,
+        int descriptorLimit) {
     /** Connect time-out if the settings have none. */
     private static final long DEFAULT_CONNECT_TIMEOUT_MICROS = 500_000;
 
--- a/src/main/java/coralcove/platform/live/Configuration.java
+++ b/src/main/java/coralcove/platform/live/Configuration.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import coralcove.boot.SettingsReader;
 import coralcove.config.BadConfig;
-import coralcove.platform.Descriptors;
+import coralcove.platform.DescriptorBudget;
 import coralcove.platform.ServiceSettings;
 import coralcove.platform.bulletin.DiscoveryUpdate;
 import java.io.IOException;
@@ -49,12 +49,12 @@
     private static final int MIN_DESCRIPTORS = 64;
 
     /** Returns the shares of the file descriptors, given the exchanges known at the start. */
-    Descriptors descriptorShares() {
+    DescriptorBudget descriptorShares() {
         Set<String> exchanges = new HashSet<>();
         knownExchanges
                 .events()
                 .forEach(event -> event.entries().forEach(entry -> exchanges.add(entry.id())));
-        return new Descriptors(settings.descriptors(), exchanges.size());
+        return new DescriptorBudget(settings.descriptorLimit(), exchanges.size());
     }
 
     /**
--- a/src/main/java/coralcove/platform/live/Serve.java
+++ b/src/main/java/coralcove/platform/live/Serve.java
@@ -3,7 +3,7 @@
 import coralcove.ExponentialPenaltyRouter;
 import coralcove.config.BadConfig;
 import coralcove.platform.Actions;
-import coralcove.platform.Down;
+import coralcove.platform.ConnectionLoss;
 import coralcove.platform.RouterCore;
 import coralcove.platform.bulletin.DiscoveryPoll;
 import coralcove.platform.bulletin.DiscoveryUpdate;
@@ -63,13 +63,13 @@
                         clock(),
                         configuration.settings(),
                         new ExponentialPenaltyRouter(
-                                configuration.settings().module(),
+                                configuration.settings().routing(),
                                 new SplittableRandom(configuration.seed())),
                         this);
         connections =
                 new TcpConnections(
                         Math.max(1, configuration.settings().connectTimeout() / 1000),
-                        configuration.descriptorShares().callers(),
+                        configuration.descriptorShares().maxCallerConnections(),
                         Serve::clock,
                         this);
         peerChannel =
@@ -82,7 +82,8 @@
                                 (peerIndex, bytes) -> {
                                     long time = clock();
                                     events.addPriority(
-                                            bytes.length, () -> core.peer(time, peerIndex, bytes));
+                                            bytes.length,
+                                            () -> core.peerBroadcast(time, peerIndex, bytes));
                                 });
         discoveryPoll =
                 new DiscoveryPoll(
@@ -92,12 +93,12 @@
                             @Override
                             public void updated(DiscoveryUpdate bulletin) {
                                 events.addPriority(
-                                        0, () -> core.bulletinAnswered(clock(), bulletin));
+                                        0, () -> core.discoveryAnswered(clock(), bulletin));
                             }
 
                             @Override
                             public void failed(String reason) {
-                                events.addPriority(0, () -> core.bulletinLost(clock()));
+                                events.addPriority(0, () -> core.discoveryFailed(clock()));
                             }
                         });
     }
@@ -146,7 +147,7 @@
     /** Serves callers until a drain has completed. */
     public void serve() throws IOException, InterruptedException {
         log.start();
-        core.bulletin(clock(), configuration.knownExchanges());
+        core.exchangeListUpdated(clock(), configuration.knownExchanges());
         Thread pollThread = new Thread(discoveryPoll, "bulletin");
         pollThread.setDaemon(true);
         pollThread.start();
@@ -159,7 +160,7 @@
         if (peerChannel != null) {
             peerChannel.close();
         }
-        log("ended", "", core.counts());
+        log("ended", "", core.counterLine());
     }
 
     private void runEventLoop() throws InterruptedException {
@@ -169,11 +170,13 @@
             // written, because its caller may have left in the meantime.
             EventQueue.Event event =
                     events.next(
-                            core.undecided()
+                            core.hasUndecided()
                                     ? 0
                                     : Math.max(
                                             0,
-                                            Math.min(COUNTERS_INTERVAL_US, core.due() - clock())));
+                                            Math.min(
+                                                    COUNTERS_INTERVAL_US,
+                                                    core.nextTickAt() - clock())));
             long sliceStart = clock();
             while (event != null && clock() - sliceStart < EVENT_SLICE_US) {
                 runGuarded(event.action());
@@ -182,22 +185,27 @@
             boolean moreEvents = event != null;
             if (moreEvents) {
                 runGuarded(event.action());
-            } else if (!core.undecided()) {
-                runGuarded(() -> core.caughtUp(clock()));
+            } else if (!core.hasUndecided()) {
+                runGuarded(() -> core.allInputsProcessed(clock()));
             }
             long now = clock();
-            if (core.due() <= now) {
-                maxTimerLagUs = Math.max(maxTimerLagUs, core.due() == 0 ? 0 : now - core.due());
+            if (core.nextTickAt() <= now) {
+                maxTimerLagUs =
+                        Math.max(
+                                maxTimerLagUs,
+                                core.nextTickAt() == 0 ? 0 : now - core.nextTickAt());
                 runGuarded(() -> core.tick(clock()));
             }
             long decisionStart = clock();
             do {
-                runGuarded(() -> core.decide(clock()));
-            } while (moreEvents && core.undecided() && clock() - decisionStart < DECISION_SLICE_US);
-            runGuarded(core::rest);
+                runGuarded(() -> core.routeNext(clock()));
+            } while (moreEvents
+                    && core.hasUndecided()
+                    && clock() - decisionStart < DECISION_SLICE_US);
+            runGuarded(core::endRound);
             if (now >= nextCountersAt) {
                 nextCountersAt = now + COUNTERS_INTERVAL_US;
-                log("counts", "", core.counts() + " lag-ms " + maxTimerLagUs / 1000);
+                log("counts", "", core.counterLine() + " lag-ms " + maxTimerLagUs / 1000);
                 maxTimerLagUs = 0;
             }
         }
@@ -227,7 +235,8 @@
         try {
             Configuration reloaded = readConfiguration();
             discoveryPoll.setAddress(reloaded.discoveryService());
-            events.addPriority(0, () -> core.bulletin(clock(), reloaded.knownExchanges()));
+            events.addPriority(
+                    0, () -> core.exchangeListUpdated(clock(), reloaded.knownExchanges()));
             log("reloaded", "", "bulletin " + reloaded.discoveryService());
             if (!reloaded.settings().equals(configuration.settings())
                     || !reloaded.listen().equals(configuration.listen())) {
@@ -280,30 +289,30 @@
     public void callerLimitNear() {
         // Queued behind everything that was read before, so that a set-up among it is not lost with
         // its connection.
-        events.addFromCaller(0, () -> core.crowded(clock()));
+        events.addFromCaller(0, () -> core.connectionLimitReached(clock()));
     }
 
     @Override
     public void exchangeConnected(long connectionId) {
         long time = clock();
-        events.addPriority(0, () -> core.legUp(time, connectionId));
+        events.addPriority(0, () -> core.exchangeConnectionUp(time, connectionId));
     }
 
     @Override
     public void exchangeRead(long connectionId, long time, byte[] bytes) {
-        events.addPriority(bytes.length, () -> core.legRead(time, connectionId, bytes));
+        events.addPriority(bytes.length, () -> core.exchangeRead(time, connectionId, bytes));
     }
 
     @Override
-    public void exchangeDisconnected(long connectionId, Down cause) {
+    public void exchangeDisconnected(long connectionId, ConnectionLoss cause) {
         long time = clock();
-        events.addPriority(0, () -> core.legDown(time, connectionId, cause));
+        events.addPriority(0, () -> core.exchangeConnectionDown(time, connectionId, cause));
     }
 
     // ---- actions of the core
 
     @Override
-    public void toCaller(long callerId, CallerMessage message) {
+    public void sendToCaller(long callerId, CallerMessage message) {
         connections.sendToCaller(callerId, message.encode());
     }
 
@@ -313,7 +322,7 @@
     }
 
     @Override
-    public void connect(long connectionId, String address) {
+    public void connectToExchange(long connectionId, String address) {
         int colon = address.lastIndexOf(':');
         connections.connectToExchange(
                 connectionId,
@@ -323,17 +332,17 @@
     }
 
     @Override
-    public void toLeg(long connectionId, SipMessage message) {
+    public void sendToExchange(long connectionId, SipMessage message) {
         connections.sendToExchange(connectionId, message.bytes());
     }
 
     @Override
-    public void closeLeg(long connectionId) {
+    public void closeExchangeConnection(long connectionId) {
         connections.closeExchange(connectionId);
     }
 
     @Override
-    public void toPeers(byte[] body) {
+    public void sendToPeers(byte[] body) {
         if (peerChannel != null) {
             peerChannel.send(body);
         }
@@ -345,12 +354,12 @@
     }
 
     @Override
-    public void deaf() {
+    public void stopAccepting() {
         connections.stopAccepting();
     }
 
     @Override
-    public void end() {
+    public void exit() {
         ended = true;
     }
 }
--- a/src/main/java/coralcove/platform/live/TcpConnections.java
+++ b/src/main/java/coralcove/platform/live/TcpConnections.java
@@ -1,7 +1,7 @@
 package coralcove.platform.live;
 
 import coralcove.mina.Mina;
-import coralcove.platform.Down;
+import coralcove.platform.ConnectionLoss;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.Map;
@@ -60,7 +60,7 @@
         void exchangeRead(long connectionId, long receivedAt, byte[] bytes);
 
         /** A connection to an exchange was lost or could not be opened. */
-        void exchangeDisconnected(long connectionId, Down cause);
+        void exchangeDisconnected(long connectionId, ConnectionLoss cause);
     }
 
     private final Listener listener;
@@ -132,7 +132,8 @@
                                 System.nanoTime() - startedNanos
                                         >= connector.getConnectTimeoutMillis() * 1_000_000L;
                         listener.exchangeDisconnected(
-                                connectionId, timedOut ? Down.SILENT : Down.REFUSED);
+                                connectionId,
+                                timedOut ? ConnectionLoss.SILENT : ConnectionLoss.REFUSED);
                     }
                 });
     }
@@ -266,7 +267,7 @@
         public void sessionClosed(IoSession session) {
             Long id = (Long) session.getAttribute(CONNECTION_ID);
             if (exchangeSessions.remove(id) != null) {
-                listener.exchangeDisconnected(id, Down.BROKEN);
+                listener.exchangeDisconnected(id, ConnectionLoss.BROKEN);
             }
         }
 
--- a/src/test/java/coralcove/platform/DescriptorBudgetTest.java
+++ b/src/test/java/coralcove/platform/DescriptorBudgetTest.java
@@ -11,18 +11,19 @@
         // and two connections to each of 60 exchanges, some being replaced, need 550.
         for (int total = 200; total <= 2_000; total += 4) {
             for (int exchanges = 1; exchanges <= 300; exchanges++) {
-                Descriptors budget = new Descriptors(total, exchanges);
+                DescriptorBudget budget = new DescriptorBudget(total, exchanges);
                 double exchangeConnections = budget.connectionsPerExchange() * 1.6 * exchanges;
                 if (40 + 0.36 * total + 1.6 * exchanges <= total) {
-                    assertThat(40 + budget.callers() + exchangeConnections)
+                    assertThat(40 + budget.maxCallerConnections() + exchangeConnections)
                             .as(total + " for " + exchanges)
                             .isLessThanOrEqualTo(total);
                 }
                 assertThat(budget.maxValidSenders()).isGreaterThanOrEqualTo(total / 3);
-                assertThat(budget.maxCallersInCore()).isLessThanOrEqualTo(budget.callers());
+                assertThat(budget.maxCallersInCore())
+                        .isLessThanOrEqualTo(budget.maxCallerConnections());
             }
         }
-        assertThat(new Descriptors(512, 60).connectionsPerExchange()).isEqualTo(2);
-        assertThat(new Descriptors(256, 94).connectionsPerExchange()).isEqualTo(1);
+        assertThat(new DescriptorBudget(512, 60).connectionsPerExchange()).isEqualTo(2);
+        assertThat(new DescriptorBudget(256, 94).connectionsPerExchange()).isEqualTo(1);
     }
 }
--- a/src/test/java/coralcove/platform/RouterCoreHarness.java
+++ b/src/test/java/coralcove/platform/RouterCoreHarness.java
@@ -105,7 +105,7 @@
                             START,
                             settings,
                             new ExponentialPenaltyRouter(
-                                    settings.module(), new SplittableRandom(1)),
+                                    settings.routing(), new SplittableRandom(1)),
                             this);
         } catch (BadConfig e) {
             throw new IllegalStateException(e);
@@ -139,14 +139,14 @@
     void connectAll() {
         while (!openingConnections.isEmpty()) {
             long connection = openingConnections.remove(0);
-            core.legUp(now, connection);
+            core.exchangeConnectionUp(now, connection);
             reportState(connection, "x0:40;x1:40");
         }
     }
 
     /** The discovery service answers with one event. */
     void listExchanges(long eventNumber, boolean full, DiscoveryUpdate.Entry... entries) {
-        core.bulletinAnswered(
+        core.discoveryAnswered(
                 now,
                 new DiscoveryUpdate(
                         eventNumber,
@@ -156,11 +156,11 @@
     /** Advances the time to this ms, and runs all timers up to it. */
     void advanceTo(long ms) {
         long until = START + ms * 1000;
-        while (core.due() <= until) {
-            now = Math.max(now, core.due());
+        while (core.nextTickAt() <= until) {
+            now = Math.max(now, core.nextTickAt());
             core.tick(now);
             processAll();
-            core.caughtUp(now);
+            core.allInputsProcessed(now);
         }
         now = until;
     }
@@ -186,33 +186,33 @@
 
     void exchangeSends(long id, SipMessage message) {
         note("leg " + id + " -> " + describe(message));
-        core.legRead(now, id, message.bytes());
+        core.exchangeRead(now, id, message.bytes());
         processAll();
     }
 
     void exchangeSendsRaw(long id, String text) {
         note("leg " + id + " -> " + text.length() + " bytes that are no message");
-        core.legRead(now, id, text.getBytes(StandardCharsets.ISO_8859_1));
+        core.exchangeRead(now, id, text.getBytes(StandardCharsets.ISO_8859_1));
         processAll();
     }
 
-    void connectionDown(long id, Down loss) {
+    void connectionDown(long id, ConnectionLoss loss) {
         note("leg " + id + " is " + loss);
         openingConnections.remove(id);
-        core.legDown(now, id, loss);
+        core.exchangeConnectionDown(now, id, loss);
         processAll();
     }
 
     /** Routes and sends until nothing is undecided, as the event loop does between inputs. */
     void processAll() {
         do {
-            core.decide(now);
-        } while (core.undecided());
-        core.rest();
+            core.routeNext(now);
+        } while (core.hasUndecided());
+        core.endRound();
     }
 
     void reportState(long connection, String state) {
-        core.legRead(
+        core.exchangeRead(
                 now,
                 connection,
                 SipMessage.request("NOTIFY", "sip:group@net")
@@ -294,7 +294,7 @@
     // ---- actions of the core
 
     @Override
-    public void toCaller(long caller, CallerMessage message) {
+    public void sendToCaller(long caller, CallerMessage message) {
         sentMessages.add("caller " + caller + " " + describe(message));
         note("  -> caller " + caller + " " + describe(message));
     }
@@ -306,27 +306,27 @@
     }
 
     @Override
-    public void connect(long connection, String address) {
+    public void connectToExchange(long connection, String address) {
         openingConnections.add(connection);
         addresses.put(connection, address);
         note("  opens leg " + connection + " to " + address);
     }
 
     @Override
-    public void toLeg(long connection, SipMessage message) {
+    public void sendToExchange(long connection, SipMessage message) {
         sentMessages.add("leg " + connection + " " + describe(message));
         note("  -> leg " + connection + " " + describe(message));
     }
 
     @Override
-    public void closeLeg(long connection) {
+    public void closeExchangeConnection(long connection) {
         openingConnections.remove(connection);
         closedConnections.add(connection);
         note("  closes leg " + connection);
     }
 
     @Override
-    public void toPeers(byte[] body) {
+    public void sendToPeers(byte[] body) {
         assertThat(body.length).isLessThanOrEqualTo(256);
     }
 
@@ -336,12 +336,12 @@
     }
 
     @Override
-    public void deaf() {
+    public void stopAccepting() {
         note("  takes no further connection");
     }
 
     @Override
-    public void end() {
+    public void exit() {
         ended = true;
         note("  ends");
     }
--- a/src/test/java/coralcove/platform/RouterCoreRandomizedTest.java
+++ b/src/test/java/coralcove/platform/RouterCoreRandomizedTest.java
@@ -121,7 +121,7 @@
             } else if (kind == 15 && !connectionsUp.isEmpty()) {
                 long connection = connectionsUp.remove(random.nextInt(connectionsUp.size()));
                 markInvitesFailed(connection);
-                harness.connectionDown(connection, Down.BROKEN);
+                harness.connectionDown(connection, ConnectionLoss.BROKEN);
             } else if (kind == 16 && !connectionsUp.isEmpty()) {
                 long connection = connectionsUp.get(random.nextInt(connectionsUp.size()));
                 markInvitesFailed(connection);
@@ -218,13 +218,13 @@
                 int number = harness.addresses.get(connection).equals("10.1.0.1:5080") ? 1 : 2;
                 exchangeOf.put(connection, number);
                 switch (random.nextInt(8)) {
-                    case 0 -> harness.connectionDown(connection, Down.REFUSED);
-                    case 1 -> harness.connectionDown(connection, Down.SILENT);
+                    case 0 -> harness.connectionDown(connection, ConnectionLoss.REFUSED);
+                    case 1 -> harness.connectionDown(connection, ConnectionLoss.SILENT);
                     case 2 -> {}
                     default -> {
                         harness.openingConnections.remove(connection);
                         connectionsUp.add(connection);
-                        harness.core.legUp(harness.now(), connection);
+                        harness.core.exchangeConnectionUp(harness.now(), connection);
                         harness.reportState(connection, "x0:40;x1:40");
                     }
                 }
--- a/src/test/java/coralcove/platform/RouterCoreTest.java
+++ b/src/test/java/coralcove/platform/RouterCoreTest.java
@@ -80,7 +80,7 @@
         harness.connectAll();
         harness.reportState(1, "x0:0;x1:40");
         setUp(1, 0xc1, 1);
-        harness.connectionDown(connectionOf(0xc1), Down.BROKEN);
+        harness.connectionDown(connectionOf(0xc1), ConnectionLoss.BROKEN);
         harness.advanceTo(299);
         assertThat(count(" INVITE")).isEqualTo(1);
         harness.advanceTo(2000);
@@ -299,8 +299,8 @@
             harness.callerSends(id, CallerMessage.withCause(CallerMessage.READINESS_CHECK, 7, 0));
         }
         harness.advanceTo(200);
-        harness.core.crowded(harness.now());
-        harness.core.crowded(harness.now());
+        harness.core.connectionLimitReached(harness.now());
+        harness.core.connectionLimitReached(harness.now());
         assertThat(harness.closedCallers).containsExactly(5L, 6L, 7L);
     }
 
@@ -322,17 +322,17 @@
         for (long id = 5; id <= 7; id++) {
             smallHarness.core.callerOpened(smallHarness.now(), id);
         }
-        smallHarness.core.crowded(smallHarness.now());
+        smallHarness.core.connectionLimitReached(smallHarness.now());
         assertThat(smallHarness.closedCallers).isEmpty();
         smallHarness.advanceTo(200);
         smallHarness.core.callerRead(
                 smallHarness.now(),
                 1,
                 CallerMessage.withCause(CallerMessage.READINESS_CHECK, 8, 0).encode());
-        smallHarness.core.crowded(smallHarness.now());
+        smallHarness.core.connectionLimitReached(smallHarness.now());
         assertThat(smallHarness.closedCallers).containsExactly(5L, 6L);
         // Callers' connections are kept while they do not exceed their share.
-        smallHarness.core.crowded(smallHarness.now());
+        smallHarness.core.connectionLimitReached(smallHarness.now());
         assertThat(smallHarness.closedCallers).containsExactly(5L, 6L, 7L);
     }
 
@@ -345,7 +345,7 @@
         harness.core.tick(late);
         harness.core.callerRead(late, 9, harness.setUp(0x41, 1, 1500).encode());
         harness.processAll();
-        harness.core.caughtUp(late + 60_000);
+        harness.core.allInputsProcessed(late + 60_000);
         assertThat(harness.closedCallers).isEmpty();
         assertThat(count(" INVITE")).isEqualTo(1);
     }
@@ -354,12 +354,12 @@
     void releasesCallsOfExchangeThatRefusesConnectionsAndHasNone() {
         establish(1, 0x51, 1);
         for (long connection : new long[] {1, 3}) {
-            harness.connectionDown(connection, Down.BROKEN);
+            harness.connectionDown(connection, ConnectionLoss.BROKEN);
         }
         for (int ms = 50; ms < 1500; ms += 50) {
             harness.advanceTo(ms);
             while (!harness.openingConnections.isEmpty()) {
-                harness.connectionDown(harness.openingConnections.get(0), Down.REFUSED);
+                harness.connectionDown(harness.openingConnections.get(0), ConnectionLoss.REFUSED);
             }
         }
         assertThat(count("caller 1 release 51 cause 41")).isEqualTo(1);
@@ -371,7 +371,7 @@
         for (int ms = from; ms < until; ms += 50) {
             harness.advanceTo(ms);
             while (!harness.openingConnections.isEmpty()) {
-                harness.connectionDown(harness.openingConnections.get(0), Down.REFUSED);
+                harness.connectionDown(harness.openingConnections.get(0), ConnectionLoss.REFUSED);
             }
             for (; answersTests && checked < harness.sentMessages.size(); checked++) {
                 String[] words = harness.sentMessages.get(checked).split("[ ,]+");
@@ -428,7 +428,7 @@
         establish(1, 0x57, 1);
         long since = harness.now() / 1000 + 1;
         harness.advanceTo(500);
-        harness.core.bulletin(
+        harness.core.exchangeListUpdated(
                 harness.now(),
                 new DiscoveryUpdate(
                         2,
@@ -455,8 +455,8 @@
     void keepsConnectionThatCameUpAfterRestartOfExchange() {
         // A connection that was requested before the restart but came up after it belongs to the
         // new process; closing it would reset its INVITEs.
-        harness.connectionDown(1, Down.BROKEN);
-        harness.connectionDown(3, Down.BROKEN);
+        harness.connectionDown(1, ConnectionLoss.BROKEN);
+        harness.connectionDown(3, ConnectionLoss.BROKEN);
         harness.advanceTo(250);
         List<Long> tried = List.copyOf(harness.openingConnections);
         assertThat(tried).isNotEmpty();
@@ -464,7 +464,7 @@
         long since = harness.now() / 1000;
         harness.advanceTo(400);
         harness.connectAll();
-        harness.core.bulletin(
+        harness.core.exchangeListUpdated(
                 harness.now(),
                 new DiscoveryUpdate(
                         2,
@@ -495,7 +495,7 @@
             noTestsHarness.advanceTo(ms);
             while (!noTestsHarness.openingConnections.isEmpty()) {
                 noTestsHarness.connectionDown(
-                        noTestsHarness.openingConnections.get(0), Down.REFUSED);
+                        noTestsHarness.openingConnections.get(0), ConnectionLoss.REFUSED);
             }
         }
         assertThat(noTestsHarness.sentMessages)
@@ -509,7 +509,7 @@
         for (int ms = 50; ms <= 7500; ms += 50) {
             harness.advanceTo(ms);
             for (long connection : harness.openingConnections.toArray(new Long[0])) {
-                harness.connectionDown(connection, Down.SILENT);
+                harness.connectionDown(connection, ConnectionLoss.SILENT);
             }
         }
         assertThat(count("caller 1 release 53 cause 41")).isEqualTo(1);
@@ -527,7 +527,8 @@
         for (int ms = 20_050; ms <= 28_000; ms += 50) {
             harness.advanceTo(ms);
             while (!harness.openingConnections.isEmpty()) {
-                harness.core.legUp(harness.now(), harness.openingConnections.remove(0));
+                harness.core.exchangeConnectionUp(
+                        harness.now(), harness.openingConnections.remove(0));
             }
         }
         assertThat(count("caller 1 release 54 cause 41")).isEqualTo(1);
@@ -576,7 +577,7 @@
                 // The first exchange accepts connections and stays silent; the second sends
                 // reports.
                 startingHarness.openingConnections.remove(connection);
-                startingHarness.core.legUp(startingHarness.now(), connection);
+                startingHarness.core.exchangeConnectionUp(startingHarness.now(), connection);
                 if (startingHarness.addresses.get(connection).equals("10.1.0.2:5080")) {
                     startingHarness.reportState(connection, "x0:40;x1:40");
                 }
@@ -606,7 +607,7 @@
         startingHarness.connectAll();
         startingHarness.advanceTo(6_000);
         assertThat(startingHarness.sentMessages).noneMatch(each -> each.contains("release 69"));
-        assertThat(startingHarness.core.counts()).contains("standing 1");
+        assertThat(startingHarness.core.counterLine()).contains("standing 1");
     }
 
     @Test
@@ -614,8 +615,8 @@
         // Guards against dropping the release: the call then went on at its exchange and kept its
         // circuits.
         establish(1, 0x64, 1);
-        harness.connectionDown(1, Down.BROKEN);
-        harness.connectionDown(3, Down.BROKEN);
+        harness.connectionDown(1, ConnectionLoss.BROKEN);
+        harness.connectionDown(3, ConnectionLoss.BROKEN);
         harness.callerSends(1, CallerMessage.withCause(CallerMessage.RELEASE, 0x64, 16));
         assertThat(count("BYE")).isZero();
         harness.advanceTo(200);
@@ -630,7 +631,7 @@
         for (boolean listed : new boolean[] {true, false}) {
             RouterCoreHarness startingHarness = new RouterCoreHarness();
             startingHarness.core.callerOpened(startingHarness.now(), 1);
-            startingHarness.core.bulletin(
+            startingHarness.core.exchangeListUpdated(
                     startingHarness.now(),
                     new DiscoveryUpdate(
                             1,
@@ -773,7 +774,7 @@
     @Test
     void sendsNoWaitingInviteToDrainingExchange() {
         for (long connection : new long[] {1, 3}) {
-            harness.connectionDown(connection, Down.BROKEN);
+            harness.connectionDown(connection, ConnectionLoss.BROKEN);
         }
         setUp(1, 0x81, 1);
         assertThat(count("INVITE")).isZero();
@@ -831,7 +832,7 @@
         // written.
         RouterCoreHarness startingHarness = new RouterCoreHarness();
         startingHarness.core.callerOpened(startingHarness.now(), 1);
-        startingHarness.core.bulletin(
+        startingHarness.core.exchangeListUpdated(
                 startingHarness.now(),
                 new DiscoveryUpdate(
                         1,
@@ -847,7 +848,7 @@
         startingHarness.connectAll();
         startingHarness.callerSends(
                 1, CallerMessage.withCause(CallerMessage.READINESS_CHECK, 1, 0));
-        startingHarness.core.bulletinAnswered(
+        startingHarness.core.discoveryAnswered(
                 startingHarness.now(), new DiscoveryUpdate(1, List.of()));
         startingHarness.callerSends(
                 1, CallerMessage.withCause(CallerMessage.READINESS_CHECK, 2, 0));
@@ -857,7 +858,7 @@
         // A failed discovery service does not keep the router from serving.
         RouterCoreHarness undiscovered = new RouterCoreHarness();
         undiscovered.core.callerOpened(undiscovered.now(), 1);
-        undiscovered.core.bulletin(
+        undiscovered.core.exchangeListUpdated(
                 undiscovered.now(),
                 new DiscoveryUpdate(
                         1,
@@ -871,7 +872,7 @@
                                                         1,
                                                         DiscoveryUpdate.State.IN_SERVICE))))));
         undiscovered.connectAll();
-        undiscovered.core.bulletinLost(undiscovered.now());
+        undiscovered.core.discoveryFailed(undiscovered.now());
         undiscovered.callerSends(1, CallerMessage.withCause(CallerMessage.READINESS_CHECK, 1, 0));
         undiscovered.advanceTo(1_600);
         undiscovered.callerSends(1, CallerMessage.withCause(CallerMessage.READINESS_CHECK, 2, 0));
@@ -894,7 +895,7 @@
         harness.core.callerRead(harness.now(), 1, bytes);
         harness.advanceTo(3000);
         assertThat(count("caller 1 release")).isEqualTo(500);
-        assertThat(harness.core.counts()).contains("in-hand 0 standing 0");
+        assertThat(harness.core.counterLine()).contains("in-hand 0 standing 0");
     }
 
     @Test
@@ -915,7 +916,7 @@
         harness.processAll();
         assertThat(count(" INVITE")).isEqualTo(1);
         assertThat(count("caller 1")).isZero();
-        assertThat(harness.core.counts()).contains("given-up 99 ").contains("in-hand 1 ");
+        assertThat(harness.core.counterLine()).contains("given-up 99 ").contains("in-hand 1 ");
     }
 
     @Test
@@ -947,11 +948,11 @@
         long invitesBefore = count(" INVITE");
         // Both refusals and the release are read before the next INVITE is sent: the policy would
         // try a tandem for both sessions, but one caller has left.
-        harness.core.legRead(
+        harness.core.exchangeRead(
                 harness.now(),
                 connectionOf(0xd1),
                 RouterCoreHarness.status(480, "x", 0xd1).add("Fail-Word", "blocked").bytes());
-        harness.core.legRead(
+        harness.core.exchangeRead(
                 harness.now(),
                 connectionOf(0xd2),
                 RouterCoreHarness.status(480, "x", 0xd2).add("Fail-Word", "blocked").bytes());
--- a/src/test/java/coralcove/platform/live/ConfigurationAndEventQueueTest.java
+++ b/src/test/java/coralcove/platform/live/ConfigurationAndEventQueueTest.java
@@ -104,7 +104,7 @@
                     .hasMessage(file + ": limits.sockets: " + expected.getValue());
         }
         Files.writeString(file, configuration("'limits':{'sockets':256}", settings));
-        assertThat(Configuration.read(file).settings().mayTest()).isFalse();
+        assertThat(Configuration.read(file).settings().mayProbe()).isFalse();
     }
 
     private static String configuration(String limits, String settings) {
--- a/src/test/java/coralcove/platform/live/TcpConnectionsTest.java
+++ b/src/test/java/coralcove/platform/live/TcpConnectionsTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import coralcove.platform.Down;
+import coralcove.platform.ConnectionLoss;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
@@ -52,7 +52,7 @@
         }
 
         @Override
-        public void exchangeDisconnected(long connectionId, Down cause) {
+        public void exchangeDisconnected(long connectionId, ConnectionLoss cause) {
             otherEvents.add("down " + connectionId + " " + cause);
         }
     }
