--- a/src/main/java/coralcove/cli/Commands.java
+++ b/src/main/java/coralcove/cli/Commands.java
@@ -7,8 +7,8 @@
 import coralcove.Settings;
 import coralcove.baseline.RoutingPolicies;
 import coralcove.config.BadConfig;
-import coralcove.config.Starts;
-import coralcove.config.Toml;
+import coralcove.config.StartTags;
+import coralcove.config.TomlSettings;
 import coralcove.directory.DirectoryCore;
 import coralcove.directory.DirectoryFile;
 import coralcove.dns.transport.DnsClient;
@@ -36,8 +36,8 @@
 import coralcove.planner.store.GroupStore;
 import coralcove.planner.transport.EdgePort;
 import coralcove.planner.transport.PlannerPort;
-import coralcove.portability.Locators;
-import coralcove.portability.Portability;
+import coralcove.portability.PortabilityService;
+import coralcove.portability.RouterLocators;
 import coralcove.rehearsal.BenchDay;
 import coralcove.rehearsal.CaptureLine;
 import coralcove.rehearsal.Day;
@@ -151,23 +151,29 @@
                                 + " (default) or OFF")
         private String level;
 
-        abstract void serve(Toml toml) throws BadConfig, InterruptedException;
+        abstract void serve(TomlSettings toml) throws BadConfig, InterruptedException;
 
         @Override
         public Integer call() throws Exception {
             System.setProperty("coralcove.log", level);
-            serve(Toml.read(config));
+            serve(TomlSettings.read(config));
             return 0;
         }
     }
 
-    private static void run(Toml toml, String table, String name, Hop self, Core core)
+    private static void run(TomlSettings toml, String table, String name, Hop self, Core core)
             throws BadConfig {
         run(toml, table, name, self, core, null, null);
     }
 
     private static void run(
-            Toml toml, String table, String name, Hop self, Core core, EdgeFile file, EdgeLink link)
+            TomlSettings toml,
+            String table,
+            String name,
+            Hop self,
+            Core core,
+            EdgeFile file,
+            EdgeLink link)
             throws BadConfig {
         NumbersFile numbers = file == null ? null : file.numbers();
         AtomicBoolean stop = new AtomicBoolean();
@@ -189,19 +195,19 @@
                                 numbers.mostTables(),
                                 watch.first(),
                                 numbers.porting(),
-                                Portability.over(
+                                PortabilityService.clientUsing(
                                         client, numbers.suffix(), network, name, () -> edge)));
             } catch (IOException | TableReader.Bad e) {
-                throw toml.table("numbers").bad("table", e.getMessage());
+                throw toml.table("numbers").invalid("table", e.getMessage());
             }
         }
         try {
             network.add(name, self, core, false);
         } catch (UncheckedIOException e) {
-            throw toml.table(table).bad("listen", e.getCause().getMessage());
+            throw toml.table(table).invalid("listen", e.getCause().getMessage());
         }
         if (file != null && file.dns() != null && core instanceof EdgeCore edge) {
-            Locators.join(
+            RouterLocators.connect(
                     network,
                     name,
                     edge,
@@ -219,7 +225,7 @@
                                 action -> network.on(name, (now, out) -> action.accept(now)));
                 network.on(name, (now, out) -> edge.planner(now, link, port));
             } catch (IOException e) {
-                throw toml.table("planner").bad("listen", e.getMessage());
+                throw toml.table("planner").invalid("listen", e.getMessage());
             }
         }
         Runtime.getRuntime()
@@ -285,7 +291,7 @@
             })
     static final class EdgeCommand extends NodeCommand {
         @Override
-        void serve(Toml toml) throws BadConfig {
+        void serve(TomlSettings toml) throws BadConfig {
             EdgeFile file = EdgeFile.of(toml);
             Settings module = file.settings().module();
             FactsOut facts = new FactsOut(PlannerCore.MOST_GROUPS);
@@ -377,10 +383,11 @@
             })
     static final class PlannerCommand extends NodeCommand {
         @Override
-        void serve(Toml toml) throws BadConfig, InterruptedException {
+        void serve(TomlSettings toml) throws BadConfig, InterruptedException {
             EdgeFile file = EdgeFile.of(toml);
             if (file.planner() == null) {
-                throw toml.table("planner").bad("listen", "is missing: this router has no planner");
+                throw toml.table("planner")
+                        .invalid("listen", "is missing: this router has no planner");
             }
             long start = System.currentTimeMillis();
             PlannerCore core =
@@ -420,7 +427,7 @@
             footer = {"", "Example:", "  coralcove exchange deploy/examples/exchange-0.toml"})
     static final class ExchangeCommand extends NodeCommand {
         @Override
-        void serve(Toml toml) throws BadConfig {
+        void serve(TomlSettings toml) throws BadConfig {
             ExchangeFile file = ExchangeFile.of(toml);
             long now = LiveNetwork.clock();
             ExchangeSettings settings =
@@ -443,14 +450,14 @@
             footer = {"", "Example:", "  coralcove directory deploy/examples/directory.toml"})
     static final class DirectoryCommand extends NodeCommand {
         @Override
-        void serve(Toml toml) throws BadConfig {
+        void serve(TomlSettings toml) throws BadConfig {
             DirectoryFile file = DirectoryFile.of(toml);
             Commands.run(
                     toml,
                     "directory",
                     "directory",
                     file.listen(),
-                    new DirectoryCore(file.listen(), file.late(), Starts.tag()));
+                    new DirectoryCore(file.listen(), file.late(), StartTags.newTag()));
         }
     }
 
@@ -770,7 +777,7 @@
 
         @Override
         public Integer call() throws Exception {
-            Toml toml = Toml.read(config);
+            TomlSettings toml = TomlSettings.read(config);
             String kind;
             if (toml.has("day")) {
                 kind = "a day of " + DayFile.of(toml, 0).exchanges() + " exchanges";
--- a/src/main/java/coralcove/cli/ExperimentCommand.java
+++ b/src/main/java/coralcove/cli/ExperimentCommand.java
@@ -284,7 +284,9 @@
         public Integer call() throws Exception {
             Plan plan = plan();
             if (plan.goal() == null) {
-                throw plan.toml().table("goal").bad("share", "is missing: a search needs a goal");
+                throw plan.toml()
+                        .table("goal")
+                        .invalid("share", "is missing: a search needs a goal");
             }
             String version = Program.version();
             try (ResultStore store = new ResultStore(out.resolve("search.mv"))) {
--- a/src/main/java/coralcove/cli/Main.java
+++ b/src/main/java/coralcove/cli/Main.java
@@ -3,8 +3,8 @@
 import coralcove.config.BadConfig;
 import coralcove.drill.MalformedFrameException;
 import coralcove.drill.SimulatorAdapter;
-import coralcove.platform.live.Serve;
-import coralcove.platform.trial.Trial;
+import coralcove.platform.live.SessionRouterServer;
+import coralcove.platform.trial.LoopbackTrial;
 import java.io.IOException;
 import java.nio.file.Path;
 
@@ -32,20 +32,21 @@
                         throw new BadConfig(
                                 CONFIG_VARIABLE + " does not name a configuration file");
                     }
-                    Serve.run(Path.of(file));
+                    SessionRouterServer.run(Path.of(file));
                     System.exit(0);
                 }
                 case "trial" -> {
-                    Trial.Result result = Trial.run(TRIAL_SESSIONS);
+                    LoopbackTrial.Result result = LoopbackTrial.run(TRIAL_SESSIONS);
                     System.out.println(
-                            result.asked()
+                            result.attempted()
                                     + " sessions, "
-                                    + result.stood()
+                                    + result.established()
                                     + " stood, "
                                     + result.released()
                                     + " were released");
                     System.exit(
-                            result.stood() == TRIAL_SESSIONS && result.released() == TRIAL_SESSIONS
+                            result.established() == TRIAL_SESSIONS
+                                            && result.released() == TRIAL_SESSIONS
                                     ? 0
                                     : 1);
                 }
--- a/src/main/java/coralcove/cli/PairCommand.java
+++ b/src/main/java/coralcove/cli/PairCommand.java
@@ -1,6 +1,6 @@
 package coralcove.cli;
 
-import coralcove.config.Toml;
+import coralcove.config.TomlSettings;
 import coralcove.edge.EdgeFile;
 import coralcove.planner.Restarts;
 import java.io.File;
@@ -55,10 +55,10 @@
 
     @Override
     public Integer call() throws Exception {
-        Toml toml = Toml.read(config);
+        TomlSettings toml = TomlSettings.read(config);
         EdgeFile file = EdgeFile.of(toml);
         if (file.planner() == null) {
-            throw toml.table("planner").bad("listen", "is missing: this router has no planner");
+            throw toml.table("planner").invalid("listen", "is missing: this router has no planner");
         }
         Process edge = start("edge");
         Restarts backoff = new Restarts(new SplittableRandom());
--- a/src/main/java/coralcove/cli/SourcesCommand.java
+++ b/src/main/java/coralcove/cli/SourcesCommand.java
@@ -1,13 +1,13 @@
 package coralcove.cli;
 
 import coralcove.config.BadConfig;
-import coralcove.config.Toml;
+import coralcove.config.TomlSettings;
 import coralcove.dns.transport.DnsClient;
 import coralcove.edge.EdgeFile;
 import coralcove.edge.EdgeSettings;
 import coralcove.edge.SourcesCore;
 import coralcove.network.LiveNetwork;
-import coralcove.portability.Locators;
+import coralcove.portability.RouterLocators;
 import coralcove.sip.Hop;
 import coralcove.sources.Belief;
 import coralcove.sources.Life;
@@ -61,7 +61,7 @@
     @Override
     public Integer call() throws Exception {
         System.setProperty("coralcove.log", "WARN");
-        Toml toml = Toml.read(config);
+        TomlSettings toml = TomlSettings.read(config);
         if (!toml.has("edge")) {
             throw new BadConfig(config + ":1: [edge] is not in the file");
         }
@@ -82,7 +82,7 @@
         try (LiveNetwork network = new LiveNetwork(null)) {
             network.add("sources", settings.self(), core, false);
             if (file.dns() != null) {
-                Locators.join(
+                RouterLocators.connect(
                         network,
                         "sources",
                         core,
--- a/src/main/java/coralcove/config/Hops.java
+++ b/src/main/java/coralcove/config/AddressSettings.java
@@ -6,17 +6,17 @@
 import java.util.List;
 
 /** Reads addresses in settings files, such as "udp:127.0.0.1:5060" or "tcp:127.0.0.1:5060". */
-public final class Hops {
+public final class AddressSettings {
     /** Largest number of addresses in one list. */
     private static final int MAX_ADDRESSES = 8;
 
-    private Hops() {}
+    private AddressSettings() {}
 
     /**
      * Parses an address without checks, in the format of {@link Hop#toString}. The last colon
      * precedes the port, as an IPv6 host contains colons too.
      */
-    public static Hop of(String text) {
+    public static Hop parse(String text) {
         int colon = text.lastIndexOf(':');
         return new Hop(
                 text.startsWith("tcp:"),
@@ -29,7 +29,7 @@
      *
      * @throws BadConfig if an address is invalid or repeated, or there are none or too many
      */
-    public static List<Hop> readAll(Toml.Table table, String key) throws BadConfig {
+    public static List<Hop> readAll(TomlSettings.Table table, String key) throws BadConfig {
         if (table.node(key) == null || !table.node(key).isArray()) {
             return List.of(read(table, key));
         }
@@ -37,12 +37,12 @@
         for (JsonNode element : table.node(key)) {
             Hop hop = read(table, key, element.asText());
             if (hops.contains(hop)) {
-                throw table.bad(key, "has \"" + hop + "\" twice");
+                throw table.invalid(key, "has \"" + hop + "\" twice");
             }
             hops.add(hop);
         }
         if (hops.isEmpty() || hops.size() > MAX_ADDRESSES) {
-            throw table.bad(
+            throw table.invalid(
                     key,
                     "has " + hops.size() + " addresses; 1 to " + MAX_ADDRESSES + " are possible");
         }
@@ -50,18 +50,18 @@
     }
 
     /** Reads a key that holds one address. */
-    public static Hop read(Toml.Table table, String key) throws BadConfig {
+    public static Hop read(TomlSettings.Table table, String key) throws BadConfig {
         return read(table, key, table.text(key));
     }
 
-    private static Hop read(Toml.Table table, String key, String text) throws BadConfig {
+    private static Hop read(TomlSettings.Table table, String key, String text) throws BadConfig {
         int colon = text.lastIndexOf(':');
         boolean tcp = text.startsWith("tcp:");
         if (!tcp && !text.startsWith("udp:") || colon < 5) {
-            throw table.bad(key, "\"" + text + "\" is not udp:HOST:PORT or tcp:HOST:PORT");
+            throw table.invalid(key, "\"" + text + "\" is not udp:HOST:PORT or tcp:HOST:PORT");
         }
         if (!tcp && text.startsWith("[", 4)) {
-            throw table.bad(
+            throw table.invalid(
                     key, "\"" + text + "\" is IPv6 over UDP, which is not served; tcp:[...] is");
         }
         try {
@@ -72,7 +72,7 @@
         } catch (NumberFormatException e) {
             // Reported below.
         }
-        throw table.bad(
+        throw table.invalid(
                 key, "\"" + text.substring(colon + 1) + "\" is no port between 1 and 65535");
     }
 }
--- a/src/main/java/coralcove/config/ServiceTable.java
+++ b/src/main/java/coralcove/config/ServiceTable.java
@@ -31,13 +31,13 @@
      * @param shares whether each table must contain its share
      * @throws BadConfig if there is no service or a value is invalid
      */
-    public static List<ServiceTable> read(Toml toml, boolean shares) throws BadConfig {
+    public static List<ServiceTable> read(TomlSettings toml, boolean shares) throws BadConfig {
         List<ServiceTable> services = new ArrayList<>();
-        for (Toml.Table table : toml.list("service")) {
-            long target = table.millis("target_ms", 1, 60_000);
-            long limit = table.millis("limit_ms", 1, 600_000);
+        for (TomlSettings.Table table : toml.list("service")) {
+            long target = table.microsFromMillis("target_ms", 1, 60_000);
+            long limit = table.microsFromMillis("limit_ms", 1, 600_000);
             if (limit < target) {
-                throw table.bad("limit_ms", "is shorter than target_ms");
+                throw table.invalid("limit_ms", "is shorter than target_ms");
             }
             services.add(
                     new ServiceTable(
@@ -46,12 +46,12 @@
                             limit,
                             table.number("value", 0, 1e6),
                             table.number("late_value", 0, 1, 0),
-                            table.whole("width", 1, 64, 1),
-                            table.seconds("hold_s", 0.001, 3600),
+                            table.integer("width", 1, 64, 1),
+                            table.microsFromSeconds("hold_s", 0.001, 3600),
                             shares ? table.number("share", 0, 1e6) : 0));
         }
         if (services.isEmpty()) {
-            throw toml.table("service").bad("name", "at least one [[service]] is needed");
+            throw toml.table("service").invalid("name", "at least one [[service]] is needed");
         }
         return services;
     }
--- a/src/main/java/coralcove/config/Toml.java
+++ b/src/main/java/coralcove/config/TomlSettings.java
@@ -18,7 +18,7 @@
  * A TOML settings file with checked access. Each value is requested with its bounds; an invalid one
  * is reported with file, line, key and reason, and so is a key that no caller requested.
  */
-public final class Toml {
+public final class TomlSettings {
     /** A table of the file. All bounds are inclusive. */
     public final class Table {
         private final String path;
@@ -33,7 +33,7 @@
         }
 
         /** Returns an exception for a key of this table, with its line. */
-        public BadConfig bad(String key, String reason) {
+        public BadConfig invalid(String key, String reason) {
             return new BadConfig(
                     file + ":" + lineOf(path, key) + ": " + path + "." + key + ": " + reason);
         }
@@ -48,7 +48,7 @@
             requestedKeys.add(key);
             JsonNode value = node.get(key);
             if (value == null) {
-                throw bad(key, "is missing");
+                throw invalid(key, "is missing");
             }
             return value;
         }
@@ -61,11 +61,11 @@
         public double number(String key, double min, double max) throws BadConfig {
             JsonNode value = require(key);
             if (!value.isNumber()) {
-                throw bad(key, "is no number: " + value);
+                throw invalid(key, "is no number: " + value);
             }
             double number = value.doubleValue();
             if (!(number >= min && number <= max)) {
-                throw bad(key, number + " is not between " + min + " and " + max);
+                throw invalid(key, number + " is not between " + min + " and " + max);
             }
             return number;
         }
@@ -81,37 +81,37 @@
          *
          * @throws BadConfig if it is missing, not an integer or out of bounds
          */
-        public int whole(String key, int min, int max) throws BadConfig {
+        public int integer(String key, int min, int max) throws BadConfig {
             double number = number(key, min, max);
             if (number != Math.rint(number)) {
-                throw bad(key, number + " is no whole number");
+                throw invalid(key, number + " is no whole number");
             }
             return (int) number;
         }
 
         /** Returns an integer, or the default if the key is missing. */
-        public int whole(String key, int min, int max, int defaultValue) throws BadConfig {
-            return has(key) ? whole(key, min, max) : defaultValue;
+        public int integer(String key, int min, int max, int defaultValue) throws BadConfig {
+            return has(key) ? integer(key, min, max) : defaultValue;
         }
 
         /** Returns a required time in µs; the file and the bounds are in ms. */
-        public long millis(String key, double min, double max) throws BadConfig {
+        public long microsFromMillis(String key, double min, double max) throws BadConfig {
             return Math.round(1000 * number(key, min, max));
         }
 
         /** Returns a time in µs; the file, the bounds and the default are in ms. */
-        public long millis(String key, double min, double max, double defaultValue)
+        public long microsFromMillis(String key, double min, double max, double defaultValue)
                 throws BadConfig {
             return Math.round(1000 * number(key, min, max, defaultValue));
         }
 
         /** Returns a required time in µs; the file and the bounds are in seconds. */
-        public long seconds(String key, double min, double max) throws BadConfig {
+        public long microsFromSeconds(String key, double min, double max) throws BadConfig {
             return Math.round(1e6 * number(key, min, max));
         }
 
         /** Returns a time in µs; the file, the bounds and the default are in seconds. */
-        public long seconds(String key, double min, double max, double defaultValue)
+        public long microsFromSeconds(String key, double min, double max, double defaultValue)
                 throws BadConfig {
             return Math.round(1e6 * number(key, min, max, defaultValue));
         }
@@ -120,7 +120,7 @@
         public String text(String key) throws BadConfig {
             JsonNode value = require(key);
             if (!value.isTextual()) {
-                throw bad(key, "is no text: " + value);
+                throw invalid(key, "is no text: " + value);
             }
             return value.textValue();
         }
@@ -135,7 +135,7 @@
                 throws BadConfig {
             String value = text(key, defaultValue);
             if (!allowed.contains(value)) {
-                throw bad(key, "\"" + value + "\" is none of " + String.join(", ", allowed));
+                throw invalid(key, "\"" + value + "\" is none of " + String.join(", ", allowed));
             }
             return value;
         }
@@ -147,7 +147,7 @@
             }
             JsonNode value = require(key);
             if (!value.isBoolean()) {
-                throw bad(key, "is neither true nor false: " + value);
+                throw invalid(key, "is neither true nor false: " + value);
             }
             return value.booleanValue();
         }
@@ -158,7 +158,7 @@
             if (has(key)) {
                 JsonNode value = require(key);
                 if (!value.isArray()) {
-                    throw bad(key, "is no list: " + value);
+                    throw invalid(key, "is no list: " + value);
                 }
                 value.forEach(entries::add);
             }
@@ -173,7 +173,7 @@
                 if (!elements.get(i).isNumber()
                         || elements.get(i).doubleValue() < min
                         || elements.get(i).doubleValue() > max) {
-                    throw bad(
+                    throw invalid(
                             key, elements.get(i) + " is no number between " + min + " and " + max);
                 }
                 numbers[i] = elements.get(i).doubleValue();
@@ -194,7 +194,7 @@
         }
 
         /** Returns an array of integers, each within the bounds; empty if the key is missing. */
-        public int[] wholes(String key, int min, int max) throws BadConfig {
+        public int[] integers(String key, int min, int max) throws BadConfig {
             List<JsonNode> elements = list(key);
             int[] integers = new int[elements.size()];
             for (int i = 0; i < integers.length; i++) {
@@ -202,7 +202,8 @@
                 if (!element.isIntegralNumber()
                         || element.longValue() < min
                         || element.longValue() > max) {
-                    throw bad(key, element + " is no whole number between " + min + " and " + max);
+                    throw invalid(
+                            key, element + " is no whole number between " + min + " and " + max);
                 }
                 integers[i] = element.intValue();
             }
@@ -219,26 +220,26 @@
     /** Requested keys by the path of the table, as several readers may request the same table. */
     private final Map<String, Set<String>> requestedKeysByTable = new HashMap<>();
 
-    private Toml(String file, String text, JsonNode root) {
+    private TomlSettings(String file, String text, JsonNode root) {
         this.file = file;
         this.root = root;
         indexLines(text);
     }
 
     /** Reads a file. */
-    public static Toml read(Path path) throws BadConfig {
+    public static TomlSettings read(Path path) throws BadConfig {
         try {
-            return of(path.toString(), Files.readString(path));
+            return from(path.toString(), Files.readString(path));
         } catch (IOException e) {
             throw new BadConfig(path + ": cannot be read: " + e.getClass().getSimpleName());
         }
     }
 
     /** Parses the text of a file; {@code file} is its name in error messages. */
-    public static Toml of(String file, String text) throws BadConfig {
+    public static TomlSettings from(String file, String text) throws BadConfig {
         try {
             JsonNode root = new TomlMapper().readTree(text.getBytes(StandardCharsets.UTF_8));
-            return new Toml(file, text, root);
+            return new TomlSettings(file, text, root);
         } catch (JacksonException e) {
             int line = e.getLocation() == null ? 1 : e.getLocation().getLineNr();
             throw new BadConfig(file + ":" + line + ": " + e.getOriginalMessage());
@@ -248,8 +249,8 @@
     }
 
     /** Wraps values that a program generated; errors in them are reported with line 1. */
-    public static Toml of(String file, JsonNode root) {
-        return new Toml(file, "", root);
+    public static TomlSettings from(String file, JsonNode root) {
+        return new TomlSettings(file, "", root);
     }
 
     /** Returns all values; must not be modified. */
@@ -339,7 +340,7 @@
      *
      * @throws BadConfig for one that has not been, as it is misspelt or unknown
      */
-    public void nothingElse() throws BadConfig {
+    public void rejectUnknownKeys() throws BadConfig {
         for (Map.Entry<String, JsonNode> entry : root.properties()) {
             if (!requestedTables.contains(entry.getKey())) {
                 throw new BadConfig(
@@ -354,7 +355,7 @@
         for (Table table : tables) {
             for (Map.Entry<String, JsonNode> entry : table.node.properties()) {
                 if (!table.requestedKeys.contains(entry.getKey())) {
-                    throw table.bad(entry.getKey(), "is not known");
+                    throw table.invalid(entry.getKey(), "is not known");
                 }
             }
         }
--- a/src/main/java/coralcove/directory/DirectoryCore.java
+++ b/src/main/java/coralcove/directory/DirectoryCore.java
@@ -1,6 +1,6 @@
 package coralcove.directory;
 
-import coralcove.protocol.ListingText;
+import coralcove.protocol.ExchangeListFormat;
 import coralcove.sip.Hop;
 import coralcove.sip.Out;
 import coralcove.sip.SipMessage;
@@ -58,7 +58,7 @@
 
         /** The exchange's line in a list, as subscribers know it. */
         String format(long now) {
-            return ListingText.text(
+            return ExchangeListFormat.formatLine(
                     id,
                     number,
                     notifiedPhase,
@@ -105,7 +105,7 @@
     private Notifier.State state(long now) {
         StringBuilder body =
                 new StringBuilder(
-                        ListingText.head(
+                        ExchangeListFormat.formatHeader(
                                 epoch,
                                 version,
                                 learning ? Listing.Kind.LEARNING : Listing.Kind.WHOLE,
@@ -140,7 +140,7 @@
     private void register(long now, ServerTx tx, Out out) {
         Listing.Line line;
         try {
-            line = ListingText.line(tx.request().header("X-Exchange", "").strip());
+            line = ExchangeListFormat.parseLine(tx.request().header("X-Exchange", "").strip());
         } catch (IllegalArgumentException e) {
             agent.respond(now, tx, agent.reply(tx, 400, "Bad Request"), out);
             return;
@@ -227,7 +227,8 @@
         notifier.changed(
                 now,
                 versionTag(),
-                ListingText.head(epoch, version, Listing.Kind.CHANGES, previousVersion)
+                ExchangeListFormat.formatHeader(
+                                epoch, version, Listing.Kind.CHANGES, previousVersion)
                         + line
                         + "\n",
                 out);
--- a/src/main/java/coralcove/dns/transport/DnsClient.java
+++ b/src/main/java/coralcove/dns/transport/DnsClient.java
@@ -2,7 +2,7 @@
 
 import coralcove.dns.Questions;
 import coralcove.dns.Resolver;
-import coralcove.mina.Mina;
+import coralcove.mina.MinaSupport;
 import java.net.InetSocketAddress;
 import java.util.HashMap;
 import java.util.Map;
@@ -180,7 +180,7 @@
     private final class DatagramHandler extends IoHandlerAdapter {
         @Override
         public void messageReceived(IoSession session, Object message) {
-            byte[] bytes = Mina.bytes(message);
+            byte[] bytes = MinaSupport.toBytes(message);
             execute(
                     () -> {
                         SocketId socket = (SocketId) session.getAttribute(SOCKET_ATTRIBUTE);
@@ -199,7 +199,7 @@
     private final class StreamHandler extends IoHandlerAdapter {
         @Override
         public void messageReceived(IoSession session, Object message) {
-            byte[] frame = StreamFraming.addBytes(session, Mina.bytes(message));
+            byte[] frame = StreamFraming.addBytes(session, MinaSupport.toBytes(message));
             if (frame != null) {
                 execute(
                         () ->
--- a/src/main/java/coralcove/dns/transport/DnsServer.java
+++ b/src/main/java/coralcove/dns/transport/DnsServer.java
@@ -1,7 +1,7 @@
 package coralcove.dns.transport;
 
 import coralcove.dns.DnsStandIn;
-import coralcove.mina.Mina;
+import coralcove.mina.MinaSupport;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.concurrent.Executors;
@@ -44,7 +44,7 @@
             datagrams.bind(address);
         } catch (IOException | RuntimeException e) {
             close();
-            throw Mina.cannotListen(host, port, e);
+            throw MinaSupport.bindFailure(host, port, e);
         }
     }
 
@@ -69,7 +69,7 @@
 
         @Override
         public void messageReceived(IoSession session, Object message) {
-            byte[] bytes = Mina.bytes(message);
+            byte[] bytes = MinaSupport.toBytes(message);
             byte[] query = stream ? StreamFraming.addBytes(session, bytes) : bytes;
             if (query != null && !thread.isShutdown()) {
                 thread.execute(
--- a/src/main/java/coralcove/edge/EdgeCore.java
+++ b/src/main/java/coralcove/edge/EdgeCore.java
@@ -14,8 +14,8 @@
 import coralcove.numbers.Search;
 import coralcove.planner.EdgeLink;
 import coralcove.protocol.CallHeaders;
-import coralcove.protocol.Outcomes;
-import coralcove.protocol.Refusal;
+import coralcove.protocol.FailureResponse;
+import coralcove.protocol.InviteOutcomes;
 import coralcove.sip.Hop;
 import coralcove.sip.Out;
 import coralcove.sip.SipMessage;
@@ -207,7 +207,7 @@
 
     @Override
     public void turnAway(long now, Hop from, SipMessage message, long retryAfter, Out out) {
-        agent.turnAway(now, from, message, Outcomes.retryAfter(retryAfter), out);
+        agent.turnAway(now, from, message, InviteOutcomes.retryAfter(retryAfter), out);
         performPendingActions(now, out);
     }
 
@@ -250,7 +250,7 @@
     public void invited(long now, Call call, Hop from, Out out) {
         CallHeaders headers;
         try {
-            headers = CallHeaders.of(call.invite(), settings.module().services().size());
+            headers = CallHeaders.parse(call.invite(), settings.module().services().size());
         } catch (IllegalArgumentException e) {
             agent.count("bad-invite");
             agent.reject(
@@ -296,7 +296,7 @@
                     "Service Unavailable",
                     out,
                     "Retry-After",
-                    Outcomes.retryAfter(settings.module().maxRetryAfter()));
+                    InviteOutcomes.retryAfter(settings.module().maxRetryAfter()));
             return;
         }
         boolean inTransit = headers.origin() >= 0;
@@ -304,7 +304,7 @@
             rejectForNoCircuit(now, call, headers, out);
             return;
         }
-        long deadline = now + Math.max(0, headers.left() - settings.answerMargin());
+        long deadline = now + Math.max(0, headers.timeLeft() - settings.answerMargin());
         ActiveSession activeSession =
                 new ActiveSession(nextSessionId++, call, headers, now, deadline);
         call.owner(activeSession);
@@ -416,7 +416,7 @@
                     "far-end",
                     id,
                     table + " number " + route.number() + " far end " + route.farEnd());
-            activeSession.headers = activeSession.headers.to(route.farEnd());
+            activeSession.headers = activeSession.headers.withFarEnd(route.farEnd());
             if (isReachable(route.farEnd())) {
                 startSession(now, activeSession, out);
             } else {
@@ -547,7 +547,7 @@
                 "No Circuit",
                 out,
                 "Reason",
-                Outcomes.reason(Outcomes.NO_CIRCUIT, "no circuit"),
+                InviteOutcomes.reasonHeader(InviteOutcomes.NO_CIRCUIT_AVAILABLE, "no circuit"),
                 "X-Circuits",
                 Integer.toString(trunkGroups.busy(headers.origin())));
     }
@@ -574,8 +574,8 @@
         invite.set(
                 "Max-Forwards",
                 Long.toString(activeSession.inboundCall.invite().number("Max-Forwards", 70) - 1));
-        CallHeaders.pass(activeSession.inboundCall.invite(), invite);
-        return CallHeaders.write(
+        CallHeaders.copyEndToEndFields(activeSession.inboundCall.invite(), invite);
+        return CallHeaders.addTo(
                 invite,
                 activeSession.headers,
                 activeSession.headers.origin(),
@@ -705,8 +705,10 @@
                     out,
                     "Reason",
                     fullBeyond
-                            ? Outcomes.reason(Outcomes.FULL_BEYOND, "full beyond")
-                            : Outcomes.reason(Outcomes.TURNED_BACK, "turned back"));
+                            ? InviteOutcomes.reasonHeader(
+                                    InviteOutcomes.RESOURCE_UNAVAILABLE, "full beyond")
+                            : InviteOutcomes.reasonHeader(
+                                    InviteOutcomes.REQUESTED_CIRCUIT_NOT_AVAILABLE, "turned back"));
         } else if (retryAfter > 0) {
             rejectSession(
                     now,
@@ -715,7 +717,7 @@
                     TEMPORARILY_UNAVAILABLE,
                     out,
                     "Retry-After",
-                    Outcomes.retryAfter(retryAfter));
+                    InviteOutcomes.retryAfter(retryAfter));
         } else {
             rejectSession(now, activeSession, 480, TEMPORARILY_UNAVAILABLE, out);
         }
@@ -809,13 +811,14 @@
         }
         if (activeSession.session == null) {
             // The response of a local line is passed back to the caller unchanged.
-            Refusal refusal = Refusal.of(response, lost, "Reason", "Retry-After");
+            FailureResponse refusal =
+                    FailureResponse.forwarding(response, lost, "Reason", "Retry-After");
             rejectSession(
                     now, activeSession, refusal.status(), refusal.reason(), out, refusal.fields());
             return;
         }
-        Outcomes.Outcome outcome = Outcomes.of(response, lost);
-        finishInvite(now, leg, outcome.ending(), outcome.cause(), outcome.namedWait(), out);
+        InviteOutcomes.Outcome outcome = InviteOutcomes.fromResponse(response, lost);
+        finishInvite(now, leg, outcome.outcome(), outcome.cause(), outcome.retryAfter(), out);
     }
 
     @Override
@@ -847,10 +850,17 @@
                         ? leg.activeSession
                         : (ActiveSession) call.owner();
         OutboundLeg leg = activeSession.outboundLeg;
-        boolean wasCut = bye == null || Outcomes.cause(bye) == Outcomes.CUT;
+        boolean wasCut =
+                bye == null || InviteOutcomes.causeOf(bye) == InviteOutcomes.NETWORK_OUT_OF_ORDER;
         Call otherCall = call == activeSession.inboundCall ? leg.call : activeSession.inboundCall;
         out.log("over", activeSession.inboundCall.sessionId(), wasCut ? "cut" : "");
-        agent.bye(now, otherCall, wasCut ? Outcomes.reason(Outcomes.CUT, "cut") : null, out);
+        agent.bye(
+                now,
+                otherCall,
+                wasCut
+                        ? InviteOutcomes.reasonHeader(InviteOutcomes.NETWORK_OUT_OF_ORDER, "cut")
+                        : null,
+                out);
         releaseCircuits(now, leg);
         endSession(now, activeSession);
         if (activeSession.session != null) {
--- a/src/main/java/coralcove/edge/EdgeFile.java
+++ b/src/main/java/coralcove/edge/EdgeFile.java
@@ -2,11 +2,11 @@
 
 import coralcove.Settings;
 import coralcove.baseline.RoutingPolicies;
+import coralcove.config.AddressSettings;
 import coralcove.config.BadConfig;
-import coralcove.config.Hops;
 import coralcove.config.ServiceTable;
-import coralcove.config.Starts;
-import coralcove.config.Toml;
+import coralcove.config.StartTags;
+import coralcove.config.TomlSettings;
 import coralcove.sip.Hop;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -40,10 +40,10 @@
     /**
      * Reads and checks a settings file; throws {@link BadConfig} with the line and key at fault.
      */
-    public static EdgeFile of(Toml toml) throws BadConfig {
-        Toml.Table edge = toml.table("edge");
-        int number = edge.whole("number", 0, 65_535);
-        long seed = edge.whole("seed", 1, Integer.MAX_VALUE, 1);
+    public static EdgeFile of(TomlSettings toml) throws BadConfig {
+        TomlSettings.Table edge = toml.table("edge");
+        int number = edge.integer("number", 0, 65_535);
+        long seed = edge.integer("seed", 1, Integer.MAX_VALUE, 1);
         String policy = edge.oneOf("policy", RoutingPolicies.NAMES, "choice");
         String rosterStore = edge.text("roster", "");
         List<Settings.Service> services = new ArrayList<>();
@@ -60,21 +60,21 @@
                             true,
                             List.of()));
         }
-        Toml.Table limits = toml.table("limits");
-        long maxRetryAfter = limits.millis("come_back_ms", 0, 60_000, 2000);
-        long answerMargin = limits.millis("answer_margin_ms", 0, 5000, 20);
+        TomlSettings.Table limits = toml.table("limits");
+        long maxRetryAfter = limits.microsFromMillis("come_back_ms", 0, 60_000, 2000);
+        long answerMargin = limits.microsFromMillis("answer_margin_ms", 0, 5000, 20);
         if (answerMargin >= shortestLimit) {
-            throw limits.bad("answer_margin_ms", "leaves no time of the shortest limit_ms");
+            throw limits.invalid("answer_margin_ms", "leaves no time of the shortest limit_ms");
         }
-        int maxInvites = limits.whole("invites", 1, 20, 4);
+        int maxInvites = limits.integer("invites", 1, 20, 4);
         boolean redialsMarked = limits.flag("redials_marked", true);
         boolean peerMessages = limits.flag("peers", true);
-        int routerCount = limits.whole("routers", 1, 65_535);
-        int maxOpen = limits.whole("max_open", 1, 1_000_000, 20_000);
-        Toml.Table rules = toml.table("rules");
-        long releaseWait = rules.millis("release_ms", 0, 60_000);
+        int routerCount = limits.integer("routers", 1, 65_535);
+        int maxOpen = limits.integer("max_open", 1, 1_000_000, 20_000);
+        TomlSettings.Table rules = toml.table("rules");
+        long releaseWait = rules.microsFromMillis("release_ms", 0, 60_000);
         if (releaseWait >= shortestLimit) {
-            throw rules.bad(
+            throw rules.invalid(
                     "release_ms",
                     "is longer than the shortest limit_ms: no second INVITE could be sent");
         }
@@ -92,23 +92,23 @@
                         true,
                         releaseWait,
                         rules.number("fall_multiple", 1, 100),
-                        rules.millis("fall_ms", 1, 60_000),
+                        rules.microsFromMillis("fall_ms", 1, 60_000),
                         rules.number("cold_from", 0.01, 1),
-                        rules.seconds("warm_s", 0.01, 600));
+                        rules.microsFromSeconds("warm_s", 0.01, 600));
         EdgeSettings settings =
                 new EdgeSettings(
                         number,
-                        Hops.read(edge, "listen"),
-                        Hops.read(edge, "exchange"),
-                        Hops.readAll(edge, "directory"),
+                        AddressSettings.read(edge, "listen"),
+                        AddressSettings.read(edge, "exchange"),
+                        AddressSettings.readAll(edge, "directory"),
                         policySettings,
                         answerMargin,
                         maxOpen,
                         seed,
-                        Starts.tag());
+                        StartTags.newTag());
         if (settings.self().port() == settings.exchange().port()
                 && settings.self().host().equals(settings.exchange().host())) {
-            throw edge.bad("exchange", "is the router's own address");
+            throw edge.invalid("exchange", "is the router's own address");
         }
         NumbersFile numbers = toml.has("numbers") ? NumbersFile.of(toml.table("numbers")) : null;
         LocatorSettings dns =
@@ -124,23 +124,23 @@
         String planStore = "";
         boolean planAhead = false;
         if (toml.has("planner")) {
-            Toml.Table table = toml.table("planner");
-            planner = Hops.read(table, "listen");
+            TomlSettings.Table table = toml.table("planner");
+            planner = AddressSettings.read(table, "listen");
             plannerStore = table.text("store", "");
             planStore = table.text("plans", "");
             planAhead = table.flag("ahead", false);
             if (!planStore.isEmpty() && planStore.equals(plannerStore)) {
-                throw table.bad("plans", "is also the planner's store");
+                throw table.invalid("plans", "is also the planner's store");
             }
             if (!planner.tcp() || !policy.equals("choice")) {
-                throw table.bad(
+                throw table.invalid(
                         "listen",
                         planner.tcp()
                                 ? "a planner is supported only with policy choice"
                                 : "is not a tcp: address");
             }
         }
-        toml.nothingElse();
+        toml.rejectUnknownKeys();
         return new EdgeFile(
                 settings,
                 policy,
--- a/src/main/java/coralcove/edge/LocatorSettings.java
+++ b/src/main/java/coralcove/edge/LocatorSettings.java
@@ -1,7 +1,7 @@
 package coralcove.edge;
 
 import coralcove.config.BadConfig;
-import coralcove.config.Toml;
+import coralcove.config.TomlSettings;
 import coralcove.dns.Resolver;
 import java.util.ArrayList;
 import java.util.List;
@@ -48,18 +48,18 @@
      * {@code routerCount} numbers from 0 are looked up; the local number never is.
      */
     static LocatorSettings of(
-            Toml.Table table, int localNumber, int routerCount, RandomGenerator random)
+            TomlSettings.Table table, int localNumber, int routerCount, RandomGenerator random)
             throws BadConfig {
         String pattern = table.text("name");
         if (pattern.indexOf("%d") < 0
                 || pattern.indexOf("%d") != pattern.lastIndexOf("%d")
                 || !pattern.replace("%d", "0")
                         .matches("([A-Za-z0-9_-]{1,63}\\.)*[A-Za-z0-9-]{1,63}")) {
-            throw table.bad(
+            throw table.invalid(
                     "name", "\"" + pattern + "\" is not a domain name with one %d for the number");
         }
         List<Integer> numbers = new ArrayList<>();
-        for (int number : table.wholes("numbers", 0, 65_535)) {
+        for (int number : table.integers("numbers", 0, 65_535)) {
             numbers.add(number);
         }
         for (int i = 0; numbers.isEmpty() && !table.has("numbers") && i < routerCount; i++) {
--- a/src/main/java/coralcove/edge/NumbersFile.java
+++ b/src/main/java/coralcove/edge/NumbersFile.java
@@ -1,7 +1,7 @@
 package coralcove.edge;
 
 import coralcove.config.BadConfig;
-import coralcove.config.Toml;
+import coralcove.config.TomlSettings;
 import coralcove.dns.Resolver;
 import coralcove.numbers.Porting;
 import java.nio.file.Path;
@@ -28,26 +28,26 @@
     /** Source ports per server: with the id they make 20 bits that a forger must guess. */
     private static final int SOCKETS_PER_SERVER = 16;
 
-    static NumbersFile of(Toml.Table table) throws BadConfig {
+    static NumbersFile of(TomlSettings.Table table) throws BadConfig {
         Porting.Settings porting = porting(table);
         String changes = table.text("changes", "");
         List<Resolver.Server> servers = servers(table);
         return new NumbersFile(
                 Path.of(table.text("table")),
                 changes.isEmpty() ? null : Path.of(changes),
-                table.whole("most_tables", 1, 100, 4),
+                table.integer("most_tables", 1, 100, 4),
                 porting,
                 table.text("suffix", "e164.arpa"),
                 new Resolver.Settings(
                         servers,
-                        table.millis("try_ms", 1, 10_000, 120),
-                        table.whole("tries", 1, 10, 2),
+                        table.microsFromMillis("try_ms", 1, 10_000, 120),
+                        table.integer("tries", 1, 10, 2),
                         SOCKETS_PER_SERVER,
                         porting.asked()));
     }
 
     /** Reads the key {@code servers}: HOST:PORT, or several of them separated by commas. */
-    static List<Resolver.Server> servers(Toml.Table table) throws BadConfig {
+    static List<Resolver.Server> servers(TomlSettings.Table table) throws BadConfig {
         List<Resolver.Server> servers = new ArrayList<>();
         for (String item : table.text("servers").split(",")) {
             String text = item.strip();
@@ -55,7 +55,7 @@
             if (colon < 1
                     || !text.substring(colon + 1).matches("[1-9]\\d{0,4}")
                     || Integer.parseInt(text.substring(colon + 1)) > 65_535) {
-                throw table.bad("servers", "'" + text + "' is not HOST:PORT");
+                throw table.invalid("servers", "'" + text + "' is not HOST:PORT");
             }
             servers.add(
                     new Resolver.Server(
@@ -65,13 +65,13 @@
     }
 
     /** Reads the portability settings, which a router and a simulated day have in common. */
-    public static Porting.Settings porting(Toml.Table table) throws BadConfig {
+    public static Porting.Settings porting(TomlSettings.Table table) throws BadConfig {
         return new Porting.Settings(
-                table.millis("budget_ms", 1, 60_000, 300),
+                table.microsFromMillis("budget_ms", 1, 60_000, 300),
                 table.number("budget_share", 0.01, 1, 0.2),
-                table.seconds("stale_s", 0, 604_800, 3600),
-                table.whole("remembered", 1, 10_000_000, 200_000),
-                table.whole("remembered_unknown", 1, 10_000_000, 50_000),
-                table.whole("questions", 1, 50_000, 1000));
+                table.microsFromSeconds("stale_s", 0, 604_800, 3600),
+                table.integer("remembered", 1, 10_000_000, 200_000),
+                table.integer("remembered_unknown", 1, 10_000_000, 50_000),
+                table.integer("questions", 1, 50_000, 1000));
     }
 }
--- a/src/main/java/coralcove/edge/RosterManager.java
+++ b/src/main/java/coralcove/edge/RosterManager.java
@@ -1,10 +1,10 @@
 package coralcove.edge;
 
 import coralcove.Exchange;
-import coralcove.config.Hops;
+import coralcove.config.AddressSettings;
 import coralcove.dns.Locator;
 import coralcove.dns.Questions;
-import coralcove.protocol.ListingText;
+import coralcove.protocol.ExchangeListFormat;
 import coralcove.sip.Hop;
 import coralcove.sip.Out;
 import coralcove.sip.SipMessage;
@@ -162,7 +162,7 @@
         int source = (Integer) subscription.owner();
         Listing listing;
         try {
-            listing = ListingText.read(notify.text());
+            listing = ExchangeListFormat.parse(notify.text());
         } catch (IllegalArgumentException e) {
             out.log("bad-list", "", subscription.to() + ": " + e.getMessage());
             return Subscriber.News.BAD;
@@ -340,7 +340,7 @@
     }
 
     Hop routerHop(Belief entry) {
-        return hopsByAddress.computeIfAbsent(entry.address(), Hops::of);
+        return hopsByAddress.computeIfAbsent(entry.address(), AddressSettings::parse);
     }
 
     Collection<Belief> entries() {
--- a/src/main/java/coralcove/emulator/Calibration.java
+++ b/src/main/java/coralcove/emulator/Calibration.java
@@ -1,7 +1,7 @@
 package coralcove.emulator;
 
 import coralcove.config.BadConfig;
-import coralcove.config.Toml;
+import coralcove.config.TomlSettings;
 import coralcove.exchange.Arrival;
 import coralcove.rehearsal.Day;
 import coralcove.rehearsal.DayFile;
@@ -117,7 +117,9 @@
                 .forEach(
                         i -> {
                             try {
-                                Day day = DayFile.of(Toml.of("calibration.toml", toml), 1 + i);
+                                Day day =
+                                        DayFile.of(
+                                                TomlSettings.from("calibration.toml", toml), 1 + i);
                                 lost[i] =
                                         lossByService(
                                                 day,
--- a/src/main/java/coralcove/exchange/ExchangeCore.java
+++ b/src/main/java/coralcove/exchange/ExchangeCore.java
@@ -1,8 +1,8 @@
 package coralcove.exchange;
 
 import coralcove.protocol.CallHeaders;
-import coralcove.protocol.Outcomes;
-import coralcove.protocol.Refusal;
+import coralcove.protocol.FailureResponse;
+import coralcove.protocol.InviteOutcomes;
 import coralcove.sip.Hop;
 import coralcove.sip.Out;
 import coralcove.sip.SipMessage;
@@ -243,7 +243,7 @@
         for (ForwardedCall forwarded : List.copyOf(forwardedCalls)) {
             cutOff(now, forwarded, out);
         }
-        String reason = Outcomes.reason(Outcomes.CUT, "cut");
+        String reason = InviteOutcomes.reasonHeader(InviteOutcomes.NETWORK_OUT_OF_ORDER, "cut");
         localCalls.forEach(localCall -> agent.bye(now, localCall.call, reason, out));
         localCalls.clear();
         for (Caller caller : establishedCallers) {
@@ -273,7 +273,7 @@
     private void cutOff(long now, ForwardedCall forwarded, Out out) {
         if (forwarded.inbound.stands()) {
             forwardedCalls.remove(forwarded);
-            String reason = Outcomes.reason(Outcomes.CUT, "cut");
+            String reason = InviteOutcomes.reasonHeader(InviteOutcomes.NETWORK_OUT_OF_ORDER, "cut");
             agent.bye(now, forwarded.inbound, reason, out);
             agent.bye(now, forwarded.outbound, reason, out);
         }
@@ -291,7 +291,7 @@
     public void invited(long now, Call call, Hop from, Out out) {
         CallHeaders headers;
         try {
-            headers = CallHeaders.of(call.invite(), settings.services().size());
+            headers = CallHeaders.parse(call.invite(), settings.services().size());
         } catch (IllegalArgumentException e) {
             agent.reject(now, call, 400, "Bad Request", out);
             return;
@@ -308,7 +308,10 @@
                     now,
                     times.refuse(),
                     (at, o) -> {
-                        int cause = forLocalLines ? Outcomes.PROCESSOR_FULL : Outcomes.OWN_EXCHANGE;
+                        int cause =
+                                forLocalLines
+                                        ? InviteOutcomes.SWITCHING_EQUIPMENT_CONGESTION
+                                        : InviteOutcomes.TEMPORARY_FAILURE;
                         agent.reject(
                                 at,
                                 call,
@@ -316,9 +319,9 @@
                                 "Processor Full",
                                 o,
                                 "Reason",
-                                Outcomes.reason(cause, "processor full"),
+                                InviteOutcomes.reasonHeader(cause, "processor full"),
                                 "Retry-After",
-                                Outcomes.retryAfter(retryAfter));
+                                InviteOutcomes.retryAfter(retryAfter));
                     });
             return;
         }
@@ -375,7 +378,7 @@
                     "Busy Here",
                     out,
                     "Reason",
-                    Outcomes.reason(Outcomes.LINES_BUSY, "lines busy"));
+                    InviteOutcomes.reasonHeader(InviteOutcomes.USER_BUSY, "lines busy"));
             return;
         }
         if (limitedLines) {
@@ -409,12 +412,12 @@
         }
         SipMessage invite = agent.request("INVITE", SipUri.text(headers.number(), route.hop()));
         invite.set("Max-Forwards", Long.toString(call.invite().number("Max-Forwards", 70) - 1));
-        CallHeaders.pass(call.invite(), invite);
-        CallHeaders.write(
+        CallHeaders.copyEndToEndFields(call.invite(), invite);
+        CallHeaders.addTo(
                 invite,
                 headers,
                 settings.number(),
-                Math.max(0, headers.left() - queueingDelay),
+                Math.max(0, headers.timeLeft() - queueingDelay),
                 call.sessionId());
         ForwardedCall forwarded =
                 new ForwardedCall(
@@ -460,7 +463,8 @@
         }
         ForwardedCall forwarded = (ForwardedCall) call.owner();
         forwardedCalls.remove(forwarded);
-        Refusal refusal = Refusal.of(response, lost, "Reason", "Retry-After", "X-Circuits");
+        FailureResponse refusal =
+                FailureResponse.forwarding(response, lost, "Reason", "Retry-After", "X-Circuits");
         agent.reject(
                 now, forwarded.inbound, refusal.status(), refusal.reason(), out, refusal.fields());
     }
@@ -598,7 +602,7 @@
                         -1,
                         timeLeft,
                         number);
-        CallHeaders.write(invite, headers, -1, timeLeft, sessionId());
+        CallHeaders.addTo(invite, headers, -1, timeLeft, sessionId());
         caller.call = agent.invite(now, invite, settings.routerAddress(), caller, out);
     }
 
@@ -687,7 +691,10 @@
             stats.terminated++;
         }
         redialOrGiveUp(
-                now, caller, Outcomes.retryAfter(response), busy ? "busy-replied" : "terminated");
+                now,
+                caller,
+                InviteOutcomes.retryAfter(response),
+                busy ? "busy-replied" : "terminated");
     }
 
     /**
--- a/src/main/java/coralcove/exchange/ExchangeFile.java
+++ b/src/main/java/coralcove/exchange/ExchangeFile.java
@@ -1,10 +1,10 @@
 package coralcove.exchange;
 
+import coralcove.config.AddressSettings;
 import coralcove.config.BadConfig;
-import coralcove.config.Hops;
 import coralcove.config.ServiceTable;
-import coralcove.config.Starts;
-import coralcove.config.Toml;
+import coralcove.config.StartTags;
+import coralcove.config.TomlSettings;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -20,18 +20,18 @@
     private record TrafficShare(int to, double share) {}
 
     /** Reads a settings file and draws the callers from its seed. */
-    public static ExchangeFile of(Toml toml) throws BadConfig {
-        Toml.Table exchange = toml.table("exchange");
-        int number = exchange.whole("number", 0, 65_535);
-        long seed = exchange.whole("seed", 1, Integer.MAX_VALUE, 1);
+    public static ExchangeFile of(TomlSettings toml) throws BadConfig {
+        TomlSettings.Table exchange = toml.table("exchange");
+        int number = exchange.integer("number", 0, 65_535);
+        long seed = exchange.integer("seed", 1, Integer.MAX_VALUE, 1);
         boolean cold = exchange.flag("cold", false);
         TreeMap<Integer, Integer> groups = new TreeMap<>();
         List<TrafficShare> trafficShares = new ArrayList<>();
-        for (Toml.Table each : toml.list("group")) {
-            int to = each.whole("to", 0, 65_535);
+        for (TomlSettings.Table each : toml.list("group")) {
+            int to = each.integer("to", 0, 65_535);
             if (to == number
-                    || groups.putIfAbsent(to, each.whole("circuits", 0, 1_000_000)) != null) {
-                throw each.bad(
+                    || groups.putIfAbsent(to, each.integer("circuits", 0, 1_000_000)) != null) {
+                throw each.invalid(
                         "to",
                         to + (to == number ? " is the exchange itself" : " has a group already"));
             }
@@ -51,51 +51,51 @@
             serviceShares.add(each.share());
             holdTimes.add(each.hold());
         }
-        Toml.Table processor = toml.table("processor");
+        TomlSettings.Table processor = toml.table("processor");
         ExchangeSettings.Work processingTimes =
                 new ExchangeSettings.Work(
-                        processor.millis("look_ms", 0, 10_000, 0.2),
-                        processor.millis("set_up_ms", 0.001, 10_000, 1),
-                        processor.millis("answer_ms", 0, 10_000, 0.35),
-                        processor.millis("release_ms", 0, 10_000, 0.35),
-                        processor.millis("refuse_ms", 0, 10_000, 0.2),
-                        processor.millis("repeat_ms", 0, 10_000, 0.4),
-                        processor.millis("probe_ms", 0, 10_000, 0.3),
-                        processor.millis("queue_ms", 1, 60_000, 2000),
+                        processor.microsFromMillis("look_ms", 0, 10_000, 0.2),
+                        processor.microsFromMillis("set_up_ms", 0.001, 10_000, 1),
+                        processor.microsFromMillis("answer_ms", 0, 10_000, 0.35),
+                        processor.microsFromMillis("release_ms", 0, 10_000, 0.35),
+                        processor.microsFromMillis("refuse_ms", 0, 10_000, 0.2),
+                        processor.microsFromMillis("repeat_ms", 0, 10_000, 0.4),
+                        processor.microsFromMillis("probe_ms", 0, 10_000, 0.3),
+                        processor.microsFromMillis("queue_ms", 1, 60_000, 2000),
                         processor.flag("tells_wait", true),
-                        processor.millis("resend_ms", 0, 60_000, 0));
-        Toml.Table callers = toml.table("callers");
+                        processor.microsFromMillis("resend_ms", 0, 60_000, 0));
+        TomlSettings.Table callers = toml.table("callers");
         double rate = callers.number("sessions_per_s", 0, 100_000, 0);
-        long duration = callers.seconds("length_s", 0, 86_400, 60);
+        long duration = callers.microsFromSeconds("length_s", 0, 86_400, 60);
         ExchangeSettings.Callers callerModel =
                 new ExchangeSettings.Callers(
-                        callers.whole("redials", 0, 10, 2),
+                        callers.integer("redials", 0, 10, 2),
                         callers.number("try_share", 0.01, 1, 0.35),
-                        callers.millis("backoff_ms", 1, 60_000, 700),
+                        callers.microsFromMillis("backoff_ms", 1, 60_000, 700),
                         callers.number("honour", 0, 1, 0.7),
                         callers.flag("marks_redials", true));
-        Toml.Table rules = toml.table("rules");
+        TomlSettings.Table rules = toml.table("rules");
         ExchangeSettings settings =
                 new ExchangeSettings(
                         number,
-                        exchange.whole("id", 0, Integer.MAX_VALUE),
-                        Hops.read(exchange, "listen"),
-                        Hops.read(exchange, "edge"),
-                        Hops.readAll(exchange, "directory"),
+                        exchange.integer("id", 0, Integer.MAX_VALUE),
+                        AddressSettings.read(exchange, "listen"),
+                        AddressSettings.read(exchange, "edge"),
+                        AddressSettings.readAll(exchange, "directory"),
                         processingTimes,
                         services,
                         callerModel,
                         new ExchangeSettings.Rules(
                                 rules.number("fall_multiple", 1, 100, 3),
-                                rules.millis("fall_ms", 1, 60_000, 1500),
+                                rules.microsFromMillis("fall_ms", 1, 60_000, 1500),
                                 rules.number("cold_from", 0.01, 1, 0.32),
-                                rules.seconds("warm_s", 0.01, 600, 12)),
+                                rules.microsFromSeconds("warm_s", 0.01, 600, 12)),
                         0,
                         groups,
-                        callers.whole("hot_lines", 1, 1000, 8),
+                        callers.integer("hot_lines", 1, 1000, 8),
                         seed,
-                        Starts.tag());
-        toml.nothingElse();
+                        StartTags.newTag());
+        toml.rejectUnknownKeys();
         List<Arrival> arrivals =
                 trafficShares.isEmpty()
                         ? List.of()
--- a/src/main/java/coralcove/experiment/Plan.java
+++ b/src/main/java/coralcove/experiment/Plan.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import coralcove.baseline.RoutingPolicies;
 import coralcove.config.BadConfig;
-import coralcove.config.Toml;
+import coralcove.config.TomlSettings;
 import coralcove.rehearsal.DayFile;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -99,7 +99,7 @@
         }
     }
 
-    private final Toml toml;
+    private final TomlSettings toml;
     private final String name;
     private final Path dayFile;
     private final ObjectNode day;
@@ -118,41 +118,41 @@
      * valid day.
      */
     public static Plan read(Path path) throws BadConfig {
-        return new Plan(Toml.read(path), path.toAbsolutePath().getParent());
+        return new Plan(TomlSettings.read(path), path.toAbsolutePath().getParent());
     }
 
-    Plan(Toml toml, Path folder) throws BadConfig {
+    Plan(TomlSettings toml, Path folder) throws BadConfig {
         this.toml = toml;
-        Toml.Table experiment = toml.table("experiment");
+        TomlSettings.Table experiment = toml.table("experiment");
         name = experiment.text("name");
         dayFile = folder.resolve(experiment.text("day")).normalize();
-        Toml dayToml = Toml.read(dayFile);
+        TomlSettings dayToml = TomlSettings.read(dayFile);
         DayFile.of(dayToml, 1);
         day = (ObjectNode) dayToml.root();
-        firstSeed = experiment.whole("first_seed", 1, 1_000_000, 1);
-        seeds = experiment.whole("seeds", 1, 100_000, 10);
+        firstSeed = experiment.integer("first_seed", 1, 1_000_000, 1);
+        seeds = experiment.integer("seeds", 1, 100_000, 10);
         runTimeoutSeconds = experiment.number("patience_s", 0.1, 86_400, 600);
         boundRequired = experiment.flag("bound", true);
         maxResultBytes = Math.round(experiment.number("most_mb", 1, 1e6, 500) * 1e6);
         if (toml.has("troubles")) {
-            Toml.Table sets = toml.table("troubles");
+            TomlSettings.Table sets = toml.table("troubles");
             for (String key : sets.keys()) {
                 if (!(sets.node(key) instanceof ArrayNode list)) {
-                    throw sets.bad(key, "is no list of troubles");
+                    throw sets.invalid(key, "is no list of troubles");
                 }
                 troubleSets.put(key, list);
             }
         }
-        List<Toml.Table> tables = toml.list("factor");
+        List<TomlSettings.Table> tables = toml.list("factor");
         if (tables.size() > MAX_FACTORS) {
             throw tables.get(MAX_FACTORS)
-                    .bad("key", "is a factor too many: " + MAX_FACTORS + " at most");
+                    .invalid("key", "is a factor too many: " + MAX_FACTORS + " at most");
         }
         Set<String> keys = new HashSet<>();
-        for (Toml.Table table : tables) {
+        for (TomlSettings.Table table : tables) {
             Factor factor = readFactor(table);
             if (!keys.add(factor.key)) {
-                throw table.bad("key", factor.key + " is a factor twice");
+                throw table.invalid("key", factor.key + " is a factor twice");
             }
             for (String other : keys) {
                 boolean oneContainsOther =
@@ -161,7 +161,7 @@
                         other.equals(TROUBLES_KEY) && factor.key.startsWith("trouble.")
                                 || factor.key.equals(TROUBLES_KEY) && other.startsWith("trouble.");
                 if (oneContainsOther || bothChangeTroubles) {
-                    throw table.bad(
+                    throw table.invalid(
                             "key",
                             factor.key + " and " + other + " change the same part of the day");
                 }
@@ -175,45 +175,45 @@
             runs *= factor.levels.size();
         }
         if (runs > MAX_RUNS) {
-            throw experiment.bad(
+            throw experiment.invalid(
                     "seeds", "make " + runs + " runs of all levels: " + MAX_RUNS + " at most");
         }
-        toml.nothingElse();
+        toml.rejectUnknownKeys();
         checkDays(tables);
     }
 
-    private Factor readFactor(Toml.Table table) throws BadConfig {
+    private Factor readFactor(TomlSettings.Table table) throws BadConfig {
         String key = table.text("key");
         JsonNode list = table.node("levels");
         if (!(list instanceof ArrayNode levels) || levels.isEmpty() || levels.size() > MAX_LEVELS) {
-            throw table.bad("levels", "is no list of 1 to " + MAX_LEVELS + " levels");
+            throw table.invalid("levels", "is no list of 1 to " + MAX_LEVELS + " levels");
         }
         List<JsonNode> accepted = new ArrayList<>();
         Set<String> distinct = new HashSet<>();
         for (JsonNode level : levels) {
             if (!level.isValueNode()) {
-                throw table.bad("levels", level + " is no single value");
+                throw table.invalid("levels", level + " is no single value");
             }
             if (!distinct.add(level.asText())) {
-                throw table.bad("levels", level + " is there twice");
+                throw table.invalid("levels", level + " is there twice");
             }
             if (key.equals(POLICY_KEY) && !RoutingPolicies.NAMES.contains(level.asText())) {
-                throw table.bad(
+                throw table.invalid(
                         "levels",
                         level + " is no policy: " + String.join(", ", RoutingPolicies.NAMES));
             }
             if (key.equals(TROUBLES_KEY) && !troubleSets.containsKey(level.asText())) {
-                throw table.bad("levels", level + " is no set of [troubles]");
+                throw table.invalid("levels", level + " is no set of [troubles]");
             }
             accepted.add(level);
         }
         if (key.equals("day.seed") || key.equals("seed")) {
-            throw table.bad("key", "is no factor: seeds are drawn for each combination alike");
+            throw table.invalid("key", "is no factor: seeds are drawn for each combination alike");
         }
         if (!key.equals(POLICY_KEY)
                 && !key.equals(TROUBLES_KEY)
                 && !key.matches("[a-z_]+(\\.\\d+)?\\.[a-z0-9_]+")) {
-            throw table.bad(
+            throw table.invalid(
                     "key",
                     key
                             + " is neither policy, troubles nor TABLE.KEY of the day"
@@ -226,20 +226,20 @@
         if (!toml.has("stop")) {
             return null;
         }
-        Toml.Table table = toml.table("stop");
+        TomlSettings.Table table = toml.table("stop");
         String key = table.text("factor");
         Factor factor =
                 factors.stream().filter(each -> each.key.equals(key)).findFirst().orElse(null);
         if (factor == null) {
-            throw table.bad("factor", key + " is no factor of this plan");
+            throw table.invalid("factor", key + " is no factor of this plan");
         }
         String baseLevel = table.node("base") == null ? "" : table.node("base").asText();
         if (factor.levels.stream().noneMatch(level -> level.asText().equals(baseLevel))) {
-            throw table.bad("base", "\"" + baseLevel + "\" is no level of " + key);
+            throw table.invalid("base", "\"" + baseLevel + "\" is no level of " + key);
         }
-        int minSeeds = table.whole("least_seeds", 2, 10_000, 8);
+        int minSeeds = table.integer("least_seeds", 2, 10_000, 8);
         if (minSeeds > seeds) {
-            throw table.bad("least_seeds", "are more than all " + seeds);
+            throw table.invalid("least_seeds", "are more than all " + seeds);
         }
         return new StoppingRule(key, baseLevel, table.number("half_width", 1e-6, 1), minSeeds);
     }
@@ -248,7 +248,7 @@
         if (!toml.has("goal")) {
             return null;
         }
-        Toml.Table table = toml.table("goal");
+        TomlSettings.Table table = toml.table("goal");
         return new Goal(
                 table.number("share", 0, 1, 0),
                 table.number("worst_10s", 0, 1, 0),
@@ -259,7 +259,7 @@
      * Checks that each combination of levels makes a valid day, so that an error is reported before
      * the first run.
      */
-    private void checkDays(List<Toml.Table> tables) throws BadConfig {
+    private void checkDays(List<TomlSettings.Table> tables) throws BadConfig {
         // Runs that differ in the policy only have the same day, which is checked once, since it
         // takes time to generate.
         Set<ObjectNode> checkedDays = new HashSet<>();
@@ -268,7 +268,7 @@
                 continue;
             }
             try {
-                DayFile.of(Toml.of(dayFile.toString(), run.day), run.seed);
+                DayFile.of(TomlSettings.from(dayFile.toString(), run.day), run.seed);
             } catch (BadConfig e) {
                 String reason = e.getMessage().replaceFirst("^.*?:\\d+: ", "");
                 // The error is reported for the factor that the reason names, or for the first one.
@@ -279,10 +279,10 @@
                     factorIndex = reason.contains(lastPart) ? i : factorIndex;
                 }
                 if (tables.isEmpty()) {
-                    throw toml.table("experiment").bad("day", reason);
+                    throw toml.table("experiment").invalid("day", reason);
                 }
                 throw tables.get(factorIndex)
-                        .bad(
+                        .invalid(
                                 "levels",
                                 "make no day with "
                                         + run.id().replaceAll(" seed=.*", "")
@@ -334,7 +334,7 @@
     }
 
     /** Returns the source of the plan, for errors that name a line of it. */
-    public Toml toml() {
+    public TomlSettings toml() {
         return toml;
     }
 
--- a/src/main/java/coralcove/experiment/ResultStore.java
+++ b/src/main/java/coralcove/experiment/ResultStore.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import coralcove.store.Stores;
+import coralcove.store.MvStores;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -42,11 +42,12 @@
             if (path.toAbsolutePath().getParent() != null) {
                 Files.createDirectories(path.toAbsolutePath().getParent());
             }
-            store = Stores.open(path);
+            store = MvStores.open(path);
             runs = store.openMap("runs");
         } catch (MVStoreException e) {
             throw new IOException(
-                    path + ": results cannot be opened: " + Stores.reason(e.getMessage()), e);
+                    path + ": results cannot be opened: " + MvStores.shortReason(e.getMessage()),
+                    e);
         }
     }
 
--- a/src/main/java/coralcove/experiment/RunExecutor.java
+++ b/src/main/java/coralcove/experiment/RunExecutor.java
@@ -6,7 +6,7 @@
 import coralcove.bound.Network;
 import coralcove.bound.PricedBound;
 import coralcove.config.BadConfig;
-import coralcove.config.Toml;
+import coralcove.config.TomlSettings;
 import coralcove.exchange.Arrival;
 import coralcove.rehearsal.Day;
 import coralcove.rehearsal.DayFile;
@@ -45,7 +45,7 @@
     public static ObjectNode execute(
             ObjectNode day, long seed, String policy, boolean boundRequired)
             throws BadConfig, IOException {
-        Day generatedDay = DayFile.of(Toml.of("day", day), seed);
+        Day generatedDay = DayFile.of(TomlSettings.from("day", day), seed);
         Result result = Rehearse.virtual(generatedDay, seed, policy, null, null, false, true);
         return metrics(generatedDay, result, boundRequired);
     }
--- a/src/main/java/coralcove/judge/Judge.java
+++ b/src/main/java/coralcove/judge/Judge.java
@@ -2,7 +2,7 @@
 
 import coralcove.network.Network;
 import coralcove.protocol.CallHeaders;
-import coralcove.protocol.Outcomes;
+import coralcove.protocol.InviteOutcomes;
 import coralcove.sip.BadMessage;
 import coralcove.sip.Hop;
 import coralcove.sip.SipMessage;
@@ -316,7 +316,7 @@
         }
         CallHeaders headers;
         try {
-            headers = CallHeaders.of(invite, MAX_SERVICES);
+            headers = CallHeaders.parse(invite, MAX_SERVICES);
         } catch (IllegalArgumentException e) {
             return;
         }
@@ -324,7 +324,7 @@
         String sessionId = invite.header("Session-ID", "");
         ObservedSession session =
                 new ObservedSession(
-                        node, sessionId, now, headers.left(), headers.farEnd() == number);
+                        node, sessionId, now, headers.timeLeft(), headers.farEnd() == number);
         session.dialledNumber = headers.farEnd() < 0 ? headers.number() : null;
         sessionsByCall.put(key(node, invite), session);
         sessionsById.put(node + "|" + sessionId, session);
@@ -465,9 +465,11 @@
         SentInvite sent = invitesByCall.get(key(node, response));
         if (sent != null && sent.endedAt == Long.MAX_VALUE) {
             sent.endedAt = now;
-            int cause = Outcomes.cause(response);
+            int cause = InviteOutcomes.causeOf(response);
             sent.needsRelease =
-                    response.status() == 408 || response.status() == 487 || cause == Outcomes.CUT;
+                    response.status() == 408
+                            || response.status() == 487
+                            || cause == InviteOutcomes.NETWORK_OUT_OF_ORDER;
         }
     }
 
--- a/src/main/java/coralcove/mina/Mina.java
+++ b/src/main/java/coralcove/mina/MinaSupport.java
@@ -4,11 +4,11 @@
 import org.apache.mina.core.buffer.IoBuffer;
 
 /** Helper methods for transports on Apache MINA. */
-public final class Mina {
-    private Mina() {}
+public final class MinaSupport {
+    private MinaSupport() {}
 
     /** Returns the bytes of a message that a handler received. */
-    public static byte[] bytes(Object message) {
+    public static byte[] toBytes(Object message) {
         IoBuffer buffer = (IoBuffer) message;
         byte[] bytes = new byte[buffer.remaining()];
         buffer.get(bytes);
@@ -16,7 +16,7 @@
     }
 
     /** Returns an exception for a failed bind, which names the address and the reason. */
-    public static IOException cannotListen(String host, int port, Exception cause) {
+    public static IOException bindFailure(String host, int port, Exception cause) {
         return new IOException(
                 "cannot listen on " + host + ":" + port + ": " + cause.getMessage(), cause);
     }
--- a/src/main/java/coralcove/network/InputQueue.java
+++ b/src/main/java/coralcove/network/InputQueue.java
@@ -1,31 +1,36 @@
 package coralcove.network;
 
-import coralcove.overload.Gate;
+import coralcove.overload.OverloadControl;
 import coralcove.sip.Hop;
 import java.util.ArrayDeque;
 import java.util.concurrent.TimeUnit;
 
 /**
- * Bounded queue of the inputs of one node that are not processed yet. {@link Gate} decides the
- * order in which they are taken and what is dropped when the queue is full. Filled by MINA's
- * threads, emptied by the node's own thread. A message is classified by its first bytes and parsed
- * only when it is taken.
+ * Bounded queue of the inputs of one node that are not processed yet. {@link OverloadControl}
+ * decides the order in which they are taken and what is dropped when the queue is full. Filled by
+ * MINA's threads, emptied by the node's own thread. A message is classified by its first bytes and
+ * parsed only when it is taken.
  */
 final class InputQueue {
     /**
      * One input: a message as read from the network, or an action to run on the node's thread.
      * Exactly one of {@code bytes} and {@code action} is set. {@code receivedAt} is in µs.
      */
-    record Input(Hop source, byte[] bytes, Network.Act action, Gate.Kind kind, long receivedAt) {}
+    record Input(
+            Hop source,
+            byte[] bytes,
+            Network.Act action,
+            OverloadControl.Kind kind,
+            long receivedAt) {}
 
     /**
      * Limits on queued inputs and bytes. 20,000 set-ups are 4 s of load at 5,000 set-ups per
      * second, and no set-up waits that long.
      */
-    private static final Gate.Bounds LIMITS =
-            new Gate.Bounds(100_000, 50_000, 10_000, 20_000, 64L << 20);
+    private static final OverloadControl.QueueLimits LIMITS =
+            new OverloadControl.QueueLimits(100_000, 50_000, 10_000, 20_000, 64L << 20);
 
-    private final Gate overloadControl = new Gate(LIMITS);
+    private final OverloadControl overloadControl = new OverloadControl(LIMITS);
     private final ArrayDeque<Input> responses = new ArrayDeque<>();
     private final ArrayDeque<Input> releases = new ArrayDeque<>();
     private final ArrayDeque<Input> notifications = new ArrayDeque<>();
@@ -36,33 +41,43 @@
     /**
      * Classifies a message by its first bytes: the start of its method, or "SI" of the status line.
      */
-    static Gate.Kind classify(byte[] bytes) {
+    static OverloadControl.Kind classify(byte[] bytes) {
         return switch (bytes.length == 0 ? 0 : bytes[0]) {
-            case 'S' -> bytes.length > 2 && bytes[1] == 'I' ? Gate.Kind.ANSWER : Gate.Kind.NEWS;
-            case 'A', 'B', 'C' -> Gate.Kind.RELEASE;
-            case 'I' -> Gate.Kind.SET_UP;
-            default -> Gate.Kind.NEWS;
+            case 'S' ->
+                    bytes.length > 2 && bytes[1] == 'I'
+                            ? OverloadControl.Kind.ANSWER
+                            : OverloadControl.Kind.NOTIFICATION;
+            case 'A', 'B', 'C' -> OverloadControl.Kind.RELEASE;
+            case 'I' -> OverloadControl.Kind.SET_UP;
+            default -> OverloadControl.Kind.NOTIFICATION;
         };
     }
 
     /** Queues a message, or drops and counts it if the queue is full. */
     synchronized void offerMessage(Hop source, byte[] message, long now) {
-        Gate.Kind kind = classify(message);
+        OverloadControl.Kind kind = classify(message);
         // A CANCEL must not overtake its INVITE, which may still be among the queued set-ups.
         boolean queueBehindInvite =
-                kind == Gate.Kind.RELEASE && message[0] == 'C' && !setUps.isEmpty();
-        enqueue(new Input(source, message, null, queueBehindInvite ? Gate.Kind.SET_UP : kind, now));
+                kind == OverloadControl.Kind.RELEASE && message[0] == 'C' && !setUps.isEmpty();
+        enqueue(
+                new Input(
+                        source,
+                        message,
+                        null,
+                        queueBehindInvite ? OverloadControl.Kind.SET_UP : kind,
+                        now));
     }
 
     /** Queues an action. Actions are few and are never dropped. */
     synchronized void addAction(Network.Act action, long now) {
-        responses.add(new Input(null, null, action, Gate.Kind.ANSWER, now));
+        responses.add(new Input(null, null, action, OverloadControl.Kind.ANSWER, now));
         notifyAll();
     }
 
     private void enqueue(Input input) {
         ArrayDeque<Input> queue = queueFor(input.kind);
-        if (overloadControl.offer(input.kind, queue.size(), queuedBytes) == Gate.Verdict.TAKE) {
+        if (overloadControl.admitToQueue(input.kind, queue.size(), queuedBytes)
+                == OverloadControl.Verdict.ACCEPT) {
             queue.add(input);
             queuedBytes += input.bytes.length;
             notifyAll();
@@ -71,11 +86,11 @@
         }
     }
 
-    private ArrayDeque<Input> queueFor(Gate.Kind kind) {
+    private ArrayDeque<Input> queueFor(OverloadControl.Kind kind) {
         return switch (kind) {
             case ANSWER -> responses;
             case RELEASE -> releases;
-            case NEWS -> notifications;
+            case NOTIFICATION -> notifications;
             case SET_UP -> setUps;
         };
     }
@@ -84,13 +99,13 @@
      * Takes the next input, waiting at most {@code timeoutMicros} µs for one; null if none arrived.
      */
     synchronized Input awaitNext(long timeoutMicros) throws InterruptedException {
-        Gate.Kind kind =
-                overloadControl.next(
+        OverloadControl.Kind kind =
+                overloadControl.nextKind(
                         responses.size(), releases.size(), notifications.size(), setUps.size());
         if (kind == null && timeoutMicros > 0) {
             TimeUnit.MICROSECONDS.timedWait(this, timeoutMicros);
             kind =
-                    overloadControl.next(
+                    overloadControl.nextKind(
                             responses.size(), releases.size(), notifications.size(), setUps.size());
         }
         Input input = kind == null ? null : queueFor(kind).poll();
@@ -110,15 +125,16 @@
 
     /**
      * Decides whether a new set-up is accepted. Called by the node's thread; synchronized because
-     * {@link Gate} has no lock of its own. {@code repeat}: the set-up is a retransmission.
+     * {@link OverloadControl} has no lock of its own. {@code repeat}: the set-up is a
+     * retransmission.
      */
-    synchronized Gate.Verdict decideSetUp(long now, Input input, boolean repeat) {
-        return overloadControl.look(now, now - input.receivedAt, repeat);
+    synchronized OverloadControl.Verdict decideSetUp(long now, Input input, boolean repeat) {
+        return overloadControl.decideSetUp(now, now - input.receivedAt, repeat);
     }
 
     /** The retry-after delay in µs for rejected set-ups. */
     synchronized long retryAfter() {
-        return overloadControl.comeBack();
+        return overloadControl.retryAfter();
     }
 
     /** Number of messages dropped because the queue was full. */
--- a/src/main/java/coralcove/network/LiveNetwork.java
+++ b/src/main/java/coralcove/network/LiveNetwork.java
@@ -1,7 +1,7 @@
 package coralcove.network;
 
 import coralcove.network.VirtualNetwork.Weather;
-import coralcove.overload.Gate;
+import coralcove.overload.OverloadControl;
 import coralcove.sip.BadMessage;
 import coralcove.sip.Core;
 import coralcove.sip.Hop;
@@ -116,7 +116,7 @@
                 boolean setUp = message.method().equals("INVITE") && message.toTag().isEmpty();
                 if (setUp
                         && inputQueue.decideSetUp(now, input, core.repeat(message))
-                                == Gate.Verdict.TURN_AWAY) {
+                                == OverloadControl.Verdict.REJECT) {
                     core.turnAway(now, input.source(), message, inputQueue.retryAfter(), this);
                 } else {
                     core.receive(now, input.source(), message, this);
--- a/src/main/java/coralcove/overload/Gate.java
+++ b/src/main/java/coralcove/overload/OverloadControl.java
@@ -7,7 +7,7 @@
  * above its target. The class has no clock, queue or wire format of its own; its caller passes in
  * the times and queue lengths. Not thread-safe.
  */
-public final class Gate {
+public final class OverloadControl {
     /**
      * Kinds of input, in order of priority: an answer or a release frees what a set-up takes, and
      * so helps most.
@@ -15,19 +15,20 @@
     public enum Kind {
         ANSWER,
         RELEASE,
-        NEWS,
+        NOTIFICATION,
         SET_UP
     }
 
     /** What to do with an input that has arrived or whose turn has come. */
     public enum Verdict {
-        TAKE,
-        TURN_AWAY,
+        ACCEPT,
+        REJECT,
         DROP
     }
 
     /** Largest number of queued inputs of each kind, and of queued bytes of all kinds. */
-    public record Bounds(int answers, int releases, int news, int setUps, long bytes) {}
+    public record QueueLimits(
+            int answers, int releases, int notifications, int setUps, long bytes) {}
 
     /**
      * Queueing delay beyond which a set-up is rejected: it has lost so much of its post-dial target
@@ -56,7 +57,7 @@
     /** Number of consecutive inputs of other kinds after which the oldest set-up is processed. */
     private static final int MAX_PASSED_OVER = 200;
 
-    private final Bounds bounds;
+    private final QueueLimits bounds;
     private long aboveTargetSince = -1;
     private long lastStep;
     private double rejectedShare;
@@ -64,7 +65,7 @@
     private int passedOver;
 
     /** Creates an overload control without load, for queues of these bounds. */
-    public Gate(Bounds bounds) {
+    public OverloadControl(QueueLimits bounds) {
         this.bounds = bounds;
     }
 
@@ -73,14 +74,14 @@
      *
      * @param waiting number of queued inputs of its kind
      * @param bytes number of queued bytes of all kinds
-     * @return {@link Verdict#TAKE} or {@link Verdict#DROP}
+     * @return {@link Verdict#ACCEPT} or {@link Verdict#DROP}
      */
-    public Verdict offer(Kind kind, int waiting, long bytes) {
+    public Verdict admitToQueue(Kind kind, int waiting, long bytes) {
         int limit =
                 switch (kind) {
                     case ANSWER -> bounds.answers;
                     case RELEASE -> bounds.releases;
-                    case NEWS -> bounds.news;
+                    case NOTIFICATION -> bounds.notifications;
                     case SET_UP -> bounds.setUps;
                 };
         // Over the byte limit only inputs that free resources are accepted; the sender of a lost
@@ -88,14 +89,14 @@
         boolean accepted =
                 waiting < limit
                         && (bytes < bounds.bytes || kind == Kind.ANSWER || kind == Kind.RELEASE);
-        return accepted ? Verdict.TAKE : Verdict.DROP;
+        return accepted ? Verdict.ACCEPT : Verdict.DROP;
     }
 
     /**
      * Returns the kind of input to process next, given the number of queued inputs of each kind, or
      * null if all queues are empty.
      */
-    public Kind next(int answers, int releases, int news, int setUps) {
+    public Kind nextKind(int answers, int releases, int news, int setUps) {
         boolean setUpsStarved = setUps > 0 && passedOver >= MAX_PASSED_OVER;
         Kind kind =
                 setUpsStarved
@@ -104,7 +105,9 @@
                                 ? Kind.ANSWER
                                 : releases > 0
                                         ? Kind.RELEASE
-                                        : news > 0 ? Kind.NEWS : setUps > 0 ? Kind.SET_UP : null;
+                                        : news > 0
+                                                ? Kind.NOTIFICATION
+                                                : setUps > 0 ? Kind.SET_UP : null;
         passedOver = kind == Kind.SET_UP || setUps == 0 ? 0 : passedOver + 1;
         return kind;
     }
@@ -116,9 +119,9 @@
      * @param waited queueing delay of the set-up in µs
      * @param repeat whether the set-up is a retransmission of one that was decided on before; it is
      *     always accepted
-     * @return {@link Verdict#TAKE} or {@link Verdict#TURN_AWAY}
+     * @return {@link Verdict#ACCEPT} or {@link Verdict#REJECT}
      */
-    public Verdict look(long now, long waited, boolean repeat) {
+    public Verdict decideSetUp(long now, long waited, boolean repeat) {
         if (waited <= TARGET_WAIT_US) {
             aboveTargetSince = -1;
         } else if (aboveTargetSince < 0) {
@@ -133,22 +136,22 @@
                             : Math.max(0, rejectedShare - SHARE_STEP / 2);
         }
         if (repeat) {
-            return Verdict.TAKE;
+            return Verdict.ACCEPT;
         }
         if (waited > MAX_WAIT_US) {
-            return Verdict.TURN_AWAY;
+            return Verdict.REJECT;
         }
         // Rejects evenly and without randomness: a share of one half rejects every second set-up.
         rejectionDebt += rejectedShare;
         if (rejectionDebt >= 1) {
             rejectionDebt -= 1;
-            return Verdict.TURN_AWAY;
+            return Verdict.REJECT;
         }
-        return Verdict.TAKE;
+        return Verdict.ACCEPT;
     }
 
     /** Returns the retry-after delay in µs for a set-up that is rejected now. */
-    public long comeBack() {
+    public long retryAfter() {
         return Math.round(MIN_RETRY_AFTER_US * (1 + 3 * rejectedShare));
     }
 
--- a/src/main/java/coralcove/planner/store/GroupStore.java
+++ b/src/main/java/coralcove/planner/store/GroupStore.java
@@ -24,7 +24,7 @@
     public static EntryStore<Integer, GroupLoad> facts(Path path, Consumer<String> warnings) {
         return new EntryStore<>(
                 path,
-                new EntryStore.Form<>(
+                new EntryStore.Format<>(
                         "facts",
                         GroupLoad::number,
                         load -> new Frame.GroupLoads(List.of(load)).encode(),
@@ -46,7 +46,7 @@
     public static EntryStore<Integer, Plan> plans(Path path, Consumer<String> warnings) {
         return new EntryStore<>(
                 path,
-                new EntryStore.Form<>(
+                new EntryStore.Format<>(
                         "plans",
                         plan -> plan.groups().get(0).number(),
                         plan -> new Frame.PlanOffer(plan).encode(),
--- a/src/main/java/coralcove/planner/transport/EdgePort.java
+++ b/src/main/java/coralcove/planner/transport/EdgePort.java
@@ -1,6 +1,6 @@
 package coralcove.planner.transport;
 
-import coralcove.mina.Mina;
+import coralcove.mina.MinaSupport;
 import coralcove.planner.EdgeLink;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -50,7 +50,7 @@
 
                     @Override
                     public void messageReceived(IoSession session, Object message) {
-                        byte[] bytes = Mina.bytes(message);
+                        byte[] bytes = MinaSupport.toBytes(message);
                         executor.run(now -> link.read(now, session.getId(), bytes, EdgePort.this));
                     }
 
@@ -69,7 +69,7 @@
             acceptor.bind(new InetSocketAddress(host, port));
         } catch (IOException | RuntimeException e) {
             close();
-            throw Mina.cannotListen(host, port, e);
+            throw MinaSupport.bindFailure(host, port, e);
         }
     }
 
--- a/src/main/java/coralcove/planner/transport/PlannerPort.java
+++ b/src/main/java/coralcove/planner/transport/PlannerPort.java
@@ -1,7 +1,7 @@
 package coralcove.planner.transport;
 
 import coralcove.GroupLoad;
-import coralcove.mina.Mina;
+import coralcove.mina.MinaSupport;
 import coralcove.planner.PlannerCore;
 import coralcove.store.EntryStore;
 import java.net.InetSocketAddress;
@@ -64,7 +64,7 @@
                 new IoHandlerAdapter() {
                     @Override
                     public void messageReceived(IoSession source, Object message) {
-                        byte[] bytes = Mina.bytes(message);
+                        byte[] bytes = MinaSupport.toBytes(message);
                         execute(
                                 now -> {
                                     if (source == session) {
--- a/src/main/java/coralcove/platform/RouterCore.java
+++ b/src/main/java/coralcove/platform/RouterCore.java
@@ -18,7 +18,7 @@
 import coralcove.platform.leg.SessionDescription;
 import coralcove.platform.leg.SignalingMessages;
 import coralcove.platform.leg.SipOutcomes;
-import coralcove.protocol.Outcomes;
+import coralcove.protocol.InviteOutcomes;
 import coralcove.sip.BadMessage;
 import coralcove.sip.SipMessage;
 import coralcove.sip.SipParser;
@@ -571,7 +571,7 @@
                 actions.sendToExchange(
                         connection.id, SignalingMessages.response(message, 200, "OK"));
                 if (id != null) {
-                    handleBye(connection, id, Outcomes.cause(message));
+                    handleBye(connection, id, InviteOutcomes.causeOf(message));
                 }
             }
             case "OPTIONS" ->
@@ -629,8 +629,8 @@
                 SignalingMessages.ack(
                         id, pending.outstanding.sequence, pending.setUp.calledNumber()));
         if (message.status() >= 300) {
-            Outcomes.Outcome outcome = SipOutcomes.ofResponse(message);
-            endInvite(pending, outcome.ending(), outcome.cause(), outcome.namedWait());
+            InviteOutcomes.Outcome outcome = SipOutcomes.ofResponse(message);
+            endInvite(pending, outcome.outcome(), outcome.cause(), outcome.retryAfter());
             return;
         }
         pendingById.remove(id);
--- a/src/main/java/coralcove/platform/leg/SipOutcomes.java
+++ b/src/main/java/coralcove/platform/leg/SipOutcomes.java
@@ -2,7 +2,7 @@
 
 import coralcove.InviteOutcome;
 import coralcove.RejectionCause;
-import coralcove.protocol.Outcomes.Outcome;
+import coralcove.protocol.InviteOutcomes.Outcome;
 import coralcove.sip.SipMessage;
 
 /**
--- a/src/main/java/coralcove/platform/live/PeerChannel.java
+++ b/src/main/java/coralcove/platform/live/PeerChannel.java
@@ -1,6 +1,6 @@
 package coralcove.platform.live;
 
-import coralcove.mina.Mina;
+import coralcove.mina.MinaSupport;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.List;
@@ -45,7 +45,7 @@
                 new IoHandlerAdapter() {
                     @Override
                     public void messageReceived(IoSession session, Object message) {
-                        byte[] bytes = Mina.bytes(message);
+                        byte[] bytes = MinaSupport.toBytes(message);
                         int peerIndex = peers.indexOf(session.getRemoteAddress());
                         if (peerIndex >= 0 && bytes.length <= MAX_DATAGRAM_BYTES) {
                             listener.received(peerIndex, bytes);
@@ -61,7 +61,8 @@
         try {
             acceptor.bind(listenAddress);
         } catch (IOException | RuntimeException e) {
-            throw Mina.cannotListen(listenAddress.getHostString(), listenAddress.getPort(), e);
+            throw MinaSupport.bindFailure(
+                    listenAddress.getHostString(), listenAddress.getPort(), e);
         }
     }
 
--- a/src/main/java/coralcove/platform/live/Serve.java
+++ b/src/main/java/coralcove/platform/live/SessionRouterServer.java
@@ -20,7 +20,7 @@
  * The session router process on the platform. Connects a {@link RouterCore} to sockets, the clock,
  * the configuration file and signals, and runs its event loop.
  */
-public final class Serve implements Actions, TcpConnections.Listener {
+public final class SessionRouterServer implements Actions, TcpConnections.Listener {
     /** Interval between two {@code counts} lines in the log. */
     private static final long COUNTERS_INTERVAL_US = 5_000_000;
 
@@ -54,7 +54,8 @@
     private volatile boolean ended;
     private long maxTimerLagUs;
 
-    private Serve(Path file, Configuration configuration, PrintStream out) throws IOException {
+    private SessionRouterServer(Path file, Configuration configuration, PrintStream out)
+            throws IOException {
         this.configurationFile = file;
         this.configuration = configuration;
         log = new JsonLog(configuration.name(), out);
@@ -70,7 +71,7 @@
                 new TcpConnections(
                         Math.max(1, configuration.settings().connectTimeout() / 1000),
                         configuration.descriptorShares().maxCallerConnections(),
-                        Serve::clock,
+                        SessionRouterServer::clock,
                         this);
         peerChannel =
                 configuration.peerListen() == null
@@ -109,12 +110,12 @@
      *
      * @throws BadConfig if the file cannot be read or holds an invalid value
      */
-    public static Serve fromFile(Path file) throws BadConfig, IOException {
+    public static SessionRouterServer fromFile(Path file) throws BadConfig, IOException {
         return fromFile(file, System.err);
     }
 
-    static Serve fromFile(Path file, PrintStream out) throws BadConfig, IOException {
-        return new Serve(file, Configuration.read(file), out);
+    static SessionRouterServer fromFile(Path file, PrintStream out) throws BadConfig, IOException {
+        return new SessionRouterServer(file, Configuration.read(file), out);
     }
 
     /**
@@ -126,7 +127,7 @@
         PendingSignals signals = new PendingSignals();
         SignalHandlers.register("TERM", signals::drain);
         SignalHandlers.register("HUP", signals::reload);
-        Serve server = fromFile(file);
+        SessionRouterServer server = fromFile(file);
         signals.attach(server::drain, server::reload);
         server.serve();
     }
--- a/src/main/java/coralcove/platform/live/TcpConnections.java
+++ b/src/main/java/coralcove/platform/live/TcpConnections.java
@@ -1,6 +1,6 @@
 package coralcove.platform.live;
 
-import coralcove.mina.Mina;
+import coralcove.mina.MinaSupport;
 import coralcove.platform.ConnectionLoss;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -111,7 +111,7 @@
         try {
             acceptor.bind(address);
         } catch (IOException | RuntimeException e) {
-            throw Mina.cannotListen(address.getHostString(), address.getPort(), e);
+            throw MinaSupport.bindFailure(address.getHostString(), address.getPort(), e);
         }
     }
 
@@ -227,7 +227,7 @@
             listener.callerRead(
                     (Long) session.getAttribute(CONNECTION_ID),
                     clock.getAsLong(),
-                    Mina.bytes(message));
+                    MinaSupport.toBytes(message));
         }
 
         @Override
@@ -260,7 +260,7 @@
             listener.exchangeRead(
                     (Long) session.getAttribute(CONNECTION_ID),
                     clock.getAsLong(),
-                    Mina.bytes(message));
+                    MinaSupport.toBytes(message));
         }
 
         @Override
--- a/src/main/java/coralcove/platform/trial/Trial.java
+++ b/src/main/java/coralcove/platform/trial/LoopbackTrial.java
@@ -5,7 +5,7 @@
 import coralcove.platform.caller.CallerMessage;
 import coralcove.platform.caller.MalformedCallerMessageException;
 import coralcove.platform.leg.SignalingMessages;
-import coralcove.platform.live.Serve;
+import coralcove.platform.live.SessionRouterServer;
 import coralcove.sip.BadMessage;
 import coralcove.sip.SipMessage;
 import coralcove.sip.SipParser;
@@ -25,7 +25,7 @@
  * caller, and counts the sessions that get through on this machine. The build runs it once to
  * archive the classes that it loads, which shortens a router's start-up time.
  */
-public final class Trial {
+public final class LoopbackTrial {
     /** Time allowed for the router's start and for its end. */
     private static final long TIMEOUT_MS = 20_000;
 
@@ -39,9 +39,9 @@
      * Counts of sessions: those attempted, those that were established, and those that the router
      * released.
      */
-    public record Result(int asked, int stood, int released) {}
+    public record Result(int attempted, int established, int released) {}
 
-    private Trial() {}
+    private LoopbackTrial() {}
 
     /**
      * Starts a router, sends the sessions one after another, and drains the router.
@@ -56,9 +56,9 @@
             int port = freePort(loopback);
             Files.writeString(
                     file, configuration(port, exchange.getLocalPort(), discovery.getLocalPort()));
-            start("exchange", () -> accept(exchange, Trial::serveExchange));
-            start("list", () -> accept(discovery, Trial::serveDiscovery));
-            Serve server = Serve.fromFile(file);
+            start("exchange", () -> accept(exchange, LoopbackTrial::serveExchange));
+            start("list", () -> accept(discovery, LoopbackTrial::serveDiscovery));
+            SessionRouterServer server = SessionRouterServer.fromFile(file);
             Thread serverThread = start("router", server::serve);
             Result result;
             try {
--- a/src/main/java/coralcove/portability/Portability.java
+++ b/src/main/java/coralcove/portability/PortabilityService.java
@@ -25,31 +25,31 @@
  * A number portability server with a client for each router, on sockets or in the virtual time of a
  * simulated network.
  */
-public interface Portability extends AutoCloseable {
+public interface PortabilityService extends AutoCloseable {
     /** Domain suffix of a number in ENUM (RFC 6116 section 3.2). */
     String SUFFIX = "e164.arpa";
 
     /** Time-out of one attempt in µs; two attempts fit into the time that a session waits. */
-    long TRY_FOR = 120_000;
+    long ATTEMPT_TIMEOUT_US = 120_000;
 
     /** Number of attempts for a query. */
-    int TRIES = 2;
+    int MAX_ATTEMPTS = 2;
 
     /** Number of local ports of a resolver. */
-    int SOCKETS = 16;
+    int SOCKET_COUNT = 16;
 
     /** Largest number of outstanding queries of a resolver. */
-    int MOST_OUT = 2000;
+    int MAX_OUTSTANDING_QUERIES = 2000;
 
     /** Returns the portability client of the router that runs as {@code node}. */
-    NumberDesk.Asker asker(String node, Supplier<EdgeCore> core);
+    NumberDesk.Asker clientFor(String node, Supplier<EdgeCore> core);
 
     /**
      * Makes the server show a fault from now on, or answer correctly again.
      *
      * @param delay delay of each answer in µs if the fault is SLOW
      */
-    void misbehave(DnsStandIn.Fault fault, long delay);
+    void injectFault(DnsStandIn.Fault fault, long delay);
 
     @Override
     void close();
@@ -94,7 +94,7 @@
     }
 
     /** Returns a portability client that uses this resolver; the caller closes the resolver. */
-    static NumberDesk.Asker over(
+    static NumberDesk.Asker clientUsing(
             Questions client,
             String suffix,
             Network network,
@@ -112,28 +112,28 @@
      *
      * @throws IOException if the address cannot be bound
      */
-    static Portability live(Network network, DnsStandIn server, String host, int port)
+    static PortabilityService live(Network network, DnsStandIn server, String host, int port)
             throws IOException {
         DnsServer dnsServer = new DnsServer(host, port, server);
         List<DnsClient> clients = new ArrayList<>();
-        return new Portability() {
+        return new PortabilityService() {
             @Override
-            public NumberDesk.Asker asker(String node, Supplier<EdgeCore> core) {
+            public NumberDesk.Asker clientFor(String node, Supplier<EdgeCore> core) {
                 DnsClient client =
                         new DnsClient(
                                 new Resolver.Settings(
                                         List.of(new Resolver.Server(host, port)),
-                                        TRY_FOR,
-                                        TRIES,
-                                        SOCKETS,
-                                        MOST_OUT),
+                                        ATTEMPT_TIMEOUT_US,
+                                        MAX_ATTEMPTS,
+                                        SOCKET_COUNT,
+                                        MAX_OUTSTANDING_QUERIES),
                                 new SecureRandom());
                 clients.add(client);
-                return over(client, SUFFIX, network, node, core);
+                return clientUsing(client, SUFFIX, network, node, core);
             }
 
             @Override
-            public void misbehave(DnsStandIn.Fault fault, long delay) {
+            public void injectFault(DnsStandIn.Fault fault, long delay) {
                 dnsServer.misbehave(fault, delay);
             }
 
@@ -146,26 +146,26 @@
     }
 
     /** Returns a portability server in virtual time, over a network without loss. */
-    static Portability virtual(Network network, DnsStandIn server, long seed) {
-        return new Portability() {
+    static PortabilityService virtual(Network network, DnsStandIn server, long seed) {
+        return new PortabilityService() {
             @Override
-            public NumberDesk.Asker asker(String node, Supplier<EdgeCore> core) {
+            public NumberDesk.Asker clientFor(String node, Supplier<EdgeCore> core) {
                 VirtualDns client =
                         new VirtualDns(
                                 network,
                                 server,
                                 new Resolver.Settings(
                                         List.of(new Resolver.Server("portability", 53)),
-                                        TRY_FOR,
-                                        TRIES,
-                                        SOCKETS,
-                                        MOST_OUT),
+                                        ATTEMPT_TIMEOUT_US,
+                                        MAX_ATTEMPTS,
+                                        SOCKET_COUNT,
+                                        MAX_OUTSTANDING_QUERIES),
                                 new SplittableRandom(seed + node.hashCode()));
-                return over(client, SUFFIX, network, node, core);
+                return clientUsing(client, SUFFIX, network, node, core);
             }
 
             @Override
-            public void misbehave(DnsStandIn.Fault fault, long delay) {
+            public void injectFault(DnsStandIn.Fault fault, long delay) {
                 server.misbehave(fault, delay);
             }
 
--- a/src/main/java/coralcove/portability/Locators.java
+++ b/src/main/java/coralcove/portability/RouterLocators.java
@@ -6,14 +6,14 @@
 import coralcove.network.Network;
 
 /** Connects the core of a router to the DNS resolver with which it locates other routers. */
-public final class Locators {
-    private Locators() {}
+public final class RouterLocators {
+    private RouterLocators() {}
 
     /**
      * Lets a core locate routers by DNS from now on. The results are passed to the core on its own
      * thread.
      */
-    public static void join(
+    public static void connect(
             Network network,
             String node,
             Locating core,
--- a/src/main/java/coralcove/protocol/CallHeaders.java
+++ b/src/main/java/coralcove/protocol/CallHeaders.java
@@ -18,7 +18,7 @@
  * @param farEnd number of the exchange where the session ends, or -1 where only a number was
  *     dialled, which never happens on a trunk
  * @param origin number of the exchange at the near end of the trunk group, or -1 off a trunk
- * @param left time in µs that is left until the caller's timer limit
+ * @param timeLeft time in µs that is left until the caller's timer limit
  * @param number the dialled number
  */
 public record CallHeaders(
@@ -29,7 +29,7 @@
         boolean cut,
         int farEnd,
         int origin,
-        long left,
+        long timeLeft,
         String number) {
     /**
      * Reads the headers of an INVITE.
@@ -37,7 +37,7 @@
      * @param services number of services in the settings
      * @throws IllegalArgumentException if a header is missing or invalid; the message names it
      */
-    public static CallHeaders of(SipMessage invite, int services) {
+    public static CallHeaders parse(SipMessage invite, int services) {
         Params service = Params.of(require(invite, "X-Service"));
         int index = parseNumber("X-Service", service.value(), 0, services - 1);
         int width = parseNumber("X-Service", service.get("width", "1"), 1, 64);
@@ -75,8 +75,9 @@
     }
 
     /** Returns a copy with this far end. */
-    public CallHeaders to(int newFarEnd) {
-        return new CallHeaders(service, value, width, redial, cut, newFarEnd, origin, left, number);
+    public CallHeaders withFarEnd(int newFarEnd) {
+        return new CallHeaders(
+                service, value, width, redial, cut, newFarEnd, origin, timeLeft, number);
     }
 
     private static String require(SipMessage message, String name) {
@@ -113,7 +114,7 @@
     }
 
     /**
-     * Header fields that belong to one call leg, or that {@link #write} adds itself. All other
+     * Header fields that belong to one call leg, or that {@link #addTo} adds itself. All other
      * fields are passed on unchanged.
      */
     private static final Set<String> CALL_LEG_FIELDS =
@@ -142,7 +143,7 @@
                     "Proxy-Require");
 
     /** Copies the body and the end-to-end header fields of a received INVITE to a new one. */
-    public static void pass(SipMessage received, SipMessage forwarded) {
+    public static void copyEndToEndFields(SipMessage received, SipMessage forwarded) {
         for (Field field : received.fields()) {
             if (!CALL_LEG_FIELDS.contains(field.name())) {
                 forwarded.add(field.name(), field.value());
@@ -162,7 +163,7 @@
      * @param sessionId value of the Session-ID header
      * @return the INVITE
      */
-    public static SipMessage write(
+    public static SipMessage addTo(
             SipMessage invite, CallHeaders headers, int origin, long left, String sessionId) {
         invite.add(
                 "X-Service",
--- a/src/main/java/coralcove/protocol/ListingText.java
+++ b/src/main/java/coralcove/protocol/ExchangeListFormat.java
@@ -11,17 +11,17 @@
  * "id number ready|draining|silent|left start beat age address", with the age in µs, or "-" if it
  * started long ago.
  */
-public final class ListingText {
+public final class ExchangeListFormat {
     private static final int FIELDS = 7;
 
-    private ListingText() {}
+    private ExchangeListFormat() {}
 
     /**
      * Reads a complete list.
      *
      * @throws IllegalArgumentException if any part is malformed; the rest is then not used either
      */
-    public static Listing read(String text) {
+    public static Listing parse(String text) {
         List<String> textLines = text.lines().toList();
         String[] header = textLines.isEmpty() ? new String[0] : textLines.get(0).split(" ");
         if (header.length < 5
@@ -45,7 +45,7 @@
         long after = kind == Listing.Kind.CHANGES ? parseCount(header[6]) : 0;
         List<Listing.Line> lines = new ArrayList<>();
         for (String textLine : textLines.subList(1, textLines.size())) {
-            lines.add(line(textLine));
+            lines.add(parseLine(textLine));
         }
         return new Listing(header[1], parseCount(header[3]), kind, after, lines);
     }
@@ -55,7 +55,7 @@
      *
      * @throws IllegalArgumentException if it is malformed
      */
-    public static Listing.Line line(String text) {
+    public static Listing.Line parseLine(String text) {
         String[] parts = text.split(" ");
         if (parts.length != FIELDS
                 || !parts[1].matches("\\d{1,5}")
@@ -87,7 +87,7 @@
     }
 
     /** Returns the first line of a list; {@code after} counts only for changes. */
-    public static String head(String epoch, long version, Listing.Kind kind, long after) {
+    public static String formatHeader(String epoch, long version, Listing.Kind kind, long after) {
         return "epoch "
                 + epoch
                 + " version "
@@ -100,7 +100,7 @@
     }
 
     /** Returns the line of one exchange; {@code age} is in µs or {@link Listing#LONG_AGO}. */
-    public static String text(
+    public static String formatLine(
             long id, int number, String phase, long start, long beat, long age, String address) {
         return id
                 + " "
--- a/src/main/java/coralcove/protocol/Refusal.java
+++ b/src/main/java/coralcove/protocol/FailureResponse.java
@@ -10,7 +10,7 @@
  *
  * @param fields header fields as alternating names and values
  */
-public record Refusal(int status, String reason, String... fields) {
+public record FailureResponse(int status, String reason, String... fields) {
     /** Q.850 cause 102. */
     private static final int RECOVERY_ON_TIMER_EXPIRY = 102;
 
@@ -22,15 +22,17 @@
      * @param lost how the call leg ended without a response
      * @param names names of the headers to copy
      */
-    public static Refusal of(SipMessage response, Lost lost, String... names) {
+    public static FailureResponse forwarding(SipMessage response, Lost lost, String... names) {
         if (response == null) {
             boolean unreachable = lost == Lost.UNREACHABLE;
-            return new Refusal(
+            return new FailureResponse(
                     unreachable ? 502 : 408,
                     "No Answer",
                     "Reason",
-                    Outcomes.reason(
-                            unreachable ? Outcomes.UNREACHABLE : RECOVERY_ON_TIMER_EXPIRY,
+                    InviteOutcomes.reasonHeader(
+                            unreachable
+                                    ? InviteOutcomes.DESTINATION_OUT_OF_ORDER
+                                    : RECOVERY_ON_TIMER_EXPIRY,
                             "no answer"));
         }
         List<String> fields = new ArrayList<>();
@@ -41,6 +43,7 @@
                 fields.add(value);
             }
         }
-        return new Refusal(response.status(), response.reason(), fields.toArray(String[]::new));
+        return new FailureResponse(
+                response.status(), response.reason(), fields.toArray(String[]::new));
     }
 }
--- a/src/main/java/coralcove/protocol/Outcomes.java
+++ b/src/main/java/coralcove/protocol/InviteOutcomes.java
@@ -11,30 +11,30 @@
  * Maps SIP answers to the outcomes of INVITEs that the routing policy uses (docs/protocol.md).
  * Causes are those of Q.850, carried in a Reason header (RFC 3326).
  */
-public final class Outcomes {
+public final class InviteOutcomes {
     /** Q.850 cause 17, user busy: all lines are busy. */
-    public static final int LINES_BUSY = 17;
+    public static final int USER_BUSY = 17;
 
     /** Q.850 cause 27, destination out of order: the far end accepts no connection. */
-    public static final int UNREACHABLE = 27;
+    public static final int DESTINATION_OUT_OF_ORDER = 27;
 
     /** Q.850 cause 34, no circuit available. */
-    public static final int NO_CIRCUIT = 34;
+    public static final int NO_CIRCUIT_AVAILABLE = 34;
 
     /** Q.850 cause 41, temporary failure: the local exchange rejected the INVITE. */
-    public static final int OWN_EXCHANGE = 41;
+    public static final int TEMPORARY_FAILURE = 41;
 
     /** Q.850 cause 42, switching equipment congestion: the far processor is full. */
-    public static final int PROCESSOR_FULL = 42;
+    public static final int SWITCHING_EQUIPMENT_CONGESTION = 42;
 
     /** Q.850 cause 44, requested circuit not available: crankback from a tandem. */
-    public static final int TURNED_BACK = 44;
+    public static final int REQUESTED_CIRCUIT_NOT_AVAILABLE = 44;
 
     /** Q.850 cause 47, resource unavailable: the processor beyond a tandem is full. */
-    public static final int FULL_BEYOND = 47;
+    public static final int RESOURCE_UNAVAILABLE = 47;
 
     /** Q.850 cause 38, network out of order: an established call was cut. */
-    public static final int CUT = 38;
+    public static final int NETWORK_OUT_OF_ORDER = 38;
 
     private static final Pattern CAUSE_HEADER =
             Pattern.compile("(?i)^\\s*Q\\.850\\s*;.*?cause\\s*=\\s*(\\d{1,3})");
@@ -42,11 +42,11 @@
     /**
      * The outcome of an INVITE with its cause. Its text is part of the test traces.
      *
-     * @param namedWait retry-after delay in µs that a full processor asked for, or 0
+     * @param retryAfter retry-after delay in µs that a full processor asked for, or 0
      */
-    public record Outcome(InviteOutcome ending, RejectionCause cause, long namedWait) {}
+    public record Outcome(InviteOutcome outcome, RejectionCause cause, long retryAfter) {}
 
-    private Outcomes() {}
+    private InviteOutcomes() {}
 
     /**
      * Returns the outcome of an INVITE that established no call.
@@ -54,7 +54,7 @@
      * @param response the final response, or null if there was none
      * @param lost how the INVITE ended without a response; unused if there was one
      */
-    public static Outcome of(SipMessage response, Lost lost) {
+    public static Outcome fromResponse(SipMessage response, Lost lost) {
         if (response == null) {
             return switch (lost) {
                 // The first hop is the local exchange: if it accepts no connection, the INVITE was
@@ -65,20 +65,23 @@
                 case TIMED_OUT, NO -> withoutWait(InviteOutcome.TIMED_OUT, RejectionCause.NONE);
             };
         }
-        return switch (cause(response)) {
-            case LINES_BUSY -> withoutWait(InviteOutcome.ERROR, RejectionCause.LINES_BUSY);
-            case UNREACHABLE -> withoutWait(InviteOutcome.UNREACHABLE, RejectionCause.NONE);
-            case NO_CIRCUIT -> withoutWait(InviteOutcome.BUSY, RejectionCause.NO_CIRCUIT);
-            case OWN_EXCHANGE -> withoutWait(InviteOutcome.NOT_SENT, RejectionCause.PROCESSOR_FULL);
-            case PROCESSOR_FULL ->
+        return switch (causeOf(response)) {
+            case USER_BUSY -> withoutWait(InviteOutcome.ERROR, RejectionCause.LINES_BUSY);
+            case DESTINATION_OUT_OF_ORDER ->
+                    withoutWait(InviteOutcome.UNREACHABLE, RejectionCause.NONE);
+            case NO_CIRCUIT_AVAILABLE -> withoutWait(InviteOutcome.BUSY, RejectionCause.NO_CIRCUIT);
+            case TEMPORARY_FAILURE ->
+                    withoutWait(InviteOutcome.NOT_SENT, RejectionCause.PROCESSOR_FULL);
+            case SWITCHING_EQUIPMENT_CONGESTION ->
                     new Outcome(
                             InviteOutcome.BUSY,
                             RejectionCause.PROCESSOR_FULL,
                             retryAfter(response));
-            case TURNED_BACK -> withoutWait(InviteOutcome.BUSY, RejectionCause.CRANKBACK);
-            case FULL_BEYOND ->
+            case REQUESTED_CIRCUIT_NOT_AVAILABLE ->
+                    withoutWait(InviteOutcome.BUSY, RejectionCause.CRANKBACK);
+            case RESOURCE_UNAVAILABLE ->
                     withoutWait(InviteOutcome.BUSY, RejectionCause.FAR_END_PROCESSOR_FULL);
-            case CUT -> withoutWait(InviteOutcome.RESET, RejectionCause.NONE);
+            case NETWORK_OUT_OF_ORDER -> withoutWait(InviteOutcome.RESET, RejectionCause.NONE);
             default -> byStatus(response.status());
         };
     }
@@ -100,7 +103,7 @@
     }
 
     /** Returns the Q.850 cause of a message, or 0 if it has none. */
-    public static int cause(SipMessage message) {
+    public static int causeOf(SipMessage message) {
         for (String reason : message.headers("Reason")) {
             Matcher matcher = CAUSE_HEADER.matcher(reason);
             if (matcher.find()) {
@@ -111,7 +114,7 @@
     }
 
     /** Returns the value of a Reason header with a Q.850 cause. */
-    public static String reason(int cause, String text) {
+    public static String reasonHeader(int cause, String text) {
         return "Q.850;cause=" + cause + ";text=\"" + text + "\"";
     }
 
--- a/src/main/java/coralcove/rehearsal/DayFile.java
+++ b/src/main/java/coralcove/rehearsal/DayFile.java
@@ -2,7 +2,7 @@
 
 import coralcove.config.BadConfig;
 import coralcove.config.ServiceTable;
-import coralcove.config.Toml;
+import coralcove.config.TomlSettings;
 import coralcove.edge.NumbersFile;
 import coralcove.exchange.Arrival;
 import coralcove.exchange.ExchangeSettings;
@@ -26,7 +26,7 @@
 
     /** Reads a scenario file and draws it from {@code seed}; 0 takes the seed of the file. */
     public static Day read(Path path, long seed) throws BadConfig {
-        return of(Toml.read(path), seed);
+        return of(TomlSettings.read(path), seed);
     }
 
     /**
@@ -34,22 +34,22 @@
      *
      * @throws BadConfig if a setting is missing, out of bounds or unknown
      */
-    public static Day of(Toml toml, long seed) throws BadConfig {
-        Toml.Table day = toml.table("day");
+    public static Day of(TomlSettings toml, long seed) throws BadConfig {
+        TomlSettings.Table day = toml.table("day");
         String name = day.text("name");
-        long length = day.seconds("length_s", 1, 3600);
-        long fileSeed = day.whole("seed", 1, Integer.MAX_VALUE, 1);
+        long length = day.microsFromSeconds("length_s", 1, 3600);
+        long fileSeed = day.integer("seed", 1, Integer.MAX_VALUE, 1);
         RandomGenerator random = new SplittableRandom(seed == 0 ? fileSeed : seed);
-        Toml.Table size = toml.table("size");
-        int exchangeCount = size.whole("exchanges", 2, MAX_EXCHANGES);
-        int districts = size.whole("districts", 1, exchangeCount, 1);
+        TomlSettings.Table size = toml.table("size");
+        int exchangeCount = size.integer("exchanges", 2, MAX_EXCHANGES);
+        int districts = size.integer("districts", 1, exchangeCount, 1);
         int[] zones = new int[exchangeCount];
         for (int i = 0; i < exchangeCount; i++) {
             zones[i] = i % districts;
         }
         List<Day.Service> services = new ArrayList<>();
         List<TrafficGenerator.ServiceShare> serviceShares = new ArrayList<>();
-        List<Toml.Table> serviceTables = toml.list("service");
+        List<TomlSettings.Table> serviceTables = toml.list("service");
         Path directoryPath = Path.of(toml.file()).toAbsolutePath().getParent();
         for (ServiceTable each : ServiceTable.read(toml, true)) {
             services.add(
@@ -69,7 +69,7 @@
                                     serviceTables.get(serviceShares.size()), directoryPath)));
         }
         List<InjectedFault> faults = readFaults(toml, zones, length);
-        Toml.Table traffic = toml.table("traffic");
+        TomlSettings.Table traffic = toml.table("traffic");
         double loadFactor = traffic.number("load", 0.01, 10, 1);
         double sessionsPerSecond = traffic.number("sessions_per_s", 0.01, 100_000);
         double missedCv = traffic.number("missed_cv", 0, 2, 0);
@@ -102,9 +102,9 @@
         double[] rates = new double[exchangeCount];
         Arrays.fill(rates, exchangeRate * loadFactor);
         double[] profileFactors = traffic.numbers("profile", 0, 20);
-        long profileStep = traffic.seconds("profile_step_s", 0.1, 3600, 3600);
+        long profileStep = traffic.microsFromSeconds("profile_step_s", 0.1, 3600, 3600);
         if (profileFactors.length > 0 && profileFactors.length * profileStep < length) {
-            throw traffic.bad("profile", "ends before the day does");
+            throw traffic.invalid("profile", "ends before the day does");
         }
         TrafficGenerator generator =
                 new TrafficGenerator(
@@ -113,42 +113,42 @@
                         serviceShares,
                         faults,
                         length,
-                        traffic.seconds("drift_s", 0, 3600, 0),
+                        traffic.microsFromSeconds("drift_s", 0, 3600, 0),
                         traffic.number("drift_cv", 0, 2, 0),
                         profileFactors.length == 0
                                 ? TrafficGenerator.RateProfile.FLAT
                                 : new TrafficGenerator.RateProfile(profileFactors, profileStep));
         double[] speeds = new double[exchangeCount];
         Arrays.fill(speeds, 1);
-        int hotNumberLines = traffic.whole("hot_lines", 1, 1000, 8);
+        int hotNumberLines = traffic.integer("hot_lines", 1, 1000, 8);
         ExchangeSettings.Work times = readProcessingTimes(toml.table("processor"), exchangeRate);
         Day.RouterLimits routerLimits = readRouterLimits(toml.table("router"));
-        Toml.Table callers = toml.table("callers");
+        TomlSettings.Table callers = toml.table("callers");
         ExchangeSettings.Callers callerModel =
                 new ExchangeSettings.Callers(
-                        callers.whole("redials", 0, 10, 2),
+                        callers.integer("redials", 0, 10, 2),
                         callers.number("try_share", 0.01, 1, 0.35),
-                        callers.millis("backoff_ms", 1, 60_000, 700),
+                        callers.microsFromMillis("backoff_ms", 1, 60_000, 700),
                         callers.number("honour", 0, 1, 0.7),
                         routerLimits.redialsMarked());
-        Toml.Table directory = toml.table("directory");
+        TomlSettings.Table directory = toml.table("directory");
         Day.DirectoryDelays directoryDelays =
                 new Day.DirectoryDelays(
-                        directory.millis("notice_ms", 0, 60_000, 1000),
-                        directory.millis("silence_ms", 1500, 120_000, 8000),
-                        directory.millis("add_ms", 0, 60_000, 800));
-        int directoryCount = directory.whole("count", 1, Day.MAX_DIRECTORIES, 1);
-        long dnsTtl = directory.whole("dns_life_s", 0, 86_400, 0);
+                        directory.microsFromMillis("notice_ms", 0, 60_000, 1000),
+                        directory.microsFromMillis("silence_ms", 1500, 120_000, 8000),
+                        directory.microsFromMillis("add_ms", 0, 60_000, 800));
+        int directoryCount = directory.integer("count", 1, Day.MAX_DIRECTORIES, 1);
+        long dnsTtl = directory.integer("dns_life_s", 0, 86_400, 0);
         if (dnsTtl == 0 && faults.stream().anyMatch(fault -> fault.kind().startsWith("dns"))) {
-            throw directory.bad("dns_life_s", "is 0 or missing, and a trouble of DNS needs it");
+            throw directory.invalid("dns_life_s", "is 0 or missing, and a trouble of DNS needs it");
         }
         Rules rules = readRules(toml.table("rules"), times);
-        Toml.Table net = toml.table("net");
+        TomlSettings.Table net = toml.table("net");
         Weather networkConditions =
                 new Weather(
-                        net.millis("near_ms", 0.001, 1000, 0.1),
-                        net.millis("same_ms", 0.001, 1000, 1),
-                        net.millis("cross_ms", 0.001, 1000, 5),
+                        net.microsFromMillis("near_ms", 0.001, 1000, 0.1),
+                        net.microsFromMillis("same_ms", 0.001, 1000, 1),
+                        net.microsFromMillis("cross_ms", 0.001, 1000, 5),
                         net.number("jitter", 0, 0.9, 0.1),
                         net.number("loss", 0, 0.9, 0),
                         net.number("doubled", 0, 0.9, 0),
@@ -160,18 +160,20 @@
         if (numberPlan == null
                 && faults.stream().anyMatch(fault -> fault.kind().startsWith("portability"))) {
             throw toml.table("numbers")
-                    .bad("ported", "is missing, and a trouble of the portability server needs it");
+                    .invalid(
+                            "ported",
+                            "is missing, and a trouble of the portability server needs it");
         }
-        Toml.Table planner = toml.has("planner") ? toml.table("planner") : null;
+        TomlSettings.Table planner = toml.has("planner") ? toml.table("planner") : null;
         boolean planAhead = planner != null && planner.flag("ahead", false);
         Day.Planners planners =
                 planner != null && planner.flag("apart", true) ? new Day.Planners(planAhead) : null;
         if (planners == null
                 && faults.stream().anyMatch(fault -> fault.kind().startsWith("planner"))) {
             throw toml.table("planner")
-                    .bad("apart", "is not true, and a trouble of the planners needs it");
+                    .invalid("apart", "is not true, and a trouble of the planners needs it");
         }
-        toml.nothingElse();
+        toml.rejectUnknownKeys();
         List<List<Arrival>> arrivals = generator.draw(rates);
         if (numberPlan != null) {
             DialPlan dialPlan = new DialPlan(exchangeCount, numberPlan);
@@ -218,31 +220,32 @@
                 dnsTtl);
     }
 
-    private static Day.NumberPlan readNumberPlan(Toml.Table table) throws BadConfig {
+    private static Day.NumberPlan readNumberPlan(TomlSettings.Table table) throws BadConfig {
         return new Day.NumberPlan(
                 table.number("ported", 0, 1, 0),
-                table.whole("lines", 1, 100_000, 1000),
-                table.whole("beside", 0, 5_000_000, 0),
-                table.seconds("replace_s", 0, 3600, 0),
-                table.millis("server_ms", 0.001, 10_000, 4),
-                table.whole("life_s", 1, 86_400, 300),
-                table.whole("most_tables", 1, 100, 4),
+                table.integer("lines", 1, 100_000, 1000),
+                table.integer("beside", 0, 5_000_000, 0),
+                table.microsFromSeconds("replace_s", 0, 3600, 0),
+                table.microsFromMillis("server_ms", 0.001, 10_000, 4),
+                table.integer("life_s", 1, 86_400, 300),
+                table.integer("most_tables", 1, 100, 4),
                 NumbersFile.porting(table));
     }
 
-    private static List<InjectedFault> readFaults(Toml toml, int[] zones, long length)
+    private static List<InjectedFault> readFaults(TomlSettings toml, int[] zones, long length)
             throws BadConfig {
         List<InjectedFault> faults = new ArrayList<>();
-        for (Toml.Table each : toml.list("trouble")) {
+        for (TomlSettings.Table each : toml.list("trouble")) {
             List<Integer> on = new ArrayList<>();
-            for (int number : each.wholes("on", 0, zones.length - 1)) {
+            for (int number : each.integers("on", 0, zones.length - 1)) {
                 on.add(number);
             }
             // All exchanges of a district fail together, as in a power cut, a cable cut or a flood.
             int lastDistrict = Arrays.stream(zones).max().orElse(0);
-            int district = each.whole("district", 0, lastDistrict, -1);
+            int district = each.integer("district", 0, lastDistrict, -1);
             if (district >= 0 && !on.isEmpty()) {
-                throw each.bad("district", "and on are both set; only one may name the exchanges");
+                throw each.invalid(
+                        "district", "and on are both set; only one may name the exchanges");
             }
             for (int number = 0; number < zones.length && district >= 0; number++) {
                 if (zones[number] == district) {
@@ -250,21 +253,21 @@
                 }
             }
             String kind = each.oneOf("kind", InjectedFault.KINDS, "");
-            long at = each.seconds("at_s", 0, 3600);
+            long at = each.microsFromSeconds("at_s", 0, 3600);
             if (at >= length) {
-                throw each.bad("at_s", "is past the end of the day");
+                throw each.invalid("at_s", "is past the end of the day");
             }
             if (on.isEmpty()
                     && List.of("swamped", "death", "drain", "router-death", "ageing", "mass-call")
                             .contains(kind)) {
-                throw each.bad("on", "names no exchange, and a " + kind + " needs one");
+                throw each.invalid("on", "names no exchange, and a " + kind + " needs one");
             }
             double maxSize = List.of("lost-answers", "other-work").contains(kind) ? 1 : 1e6;
             faults.add(
                     new InjectedFault(
                             kind,
                             at,
-                            each.seconds("len_s", 0.01, 3600),
+                            each.microsFromSeconds("len_s", 0.01, 3600),
                             on,
                             each.number("size", 0, maxSize, 1),
                             each.number("extra", 0, 1e6, 0)));
@@ -356,8 +359,8 @@
      * Returns processing times in µs, from the processor utilization at load 1 with all sessions on
      * direct routes.
      */
-    private static ExchangeSettings.Work readProcessingTimes(Toml.Table table, double exchangeRate)
-            throws BadConfig {
+    private static ExchangeSettings.Work readProcessingTimes(
+            TomlSettings.Table table, double exchangeRate) throws BadConfig {
         double utilization = table.number("use", 0.001, 0.99, 0.7);
         double lookUp = table.number("look", 0, 5, 0.2);
         double followUp = table.number("follow", 0, 5, 0.35);
@@ -369,31 +372,32 @@
                 (long) (followUp * setUp),
                 (long) (table.number("reject", 0, 5, 0.2) * setUp),
                 (long) (table.number("repeat", 0, 5, 0.4) * setUp),
-                table.millis("probe_ms", 0, 1000, 0.3),
-                table.millis("queue_ms", 1, 60_000, 2000),
+                table.microsFromMillis("probe_ms", 0, 1000, 0.3),
+                table.microsFromMillis("queue_ms", 1, 60_000, 2000),
                 table.flag("tells_wait", true),
-                table.millis("resend_ms", 0, 60_000, 0));
+                table.microsFromMillis("resend_ms", 0, 60_000, 0));
     }
 
-    private static Rules readRules(Toml.Table table, ExchangeSettings.Work times) throws BadConfig {
+    private static Rules readRules(TomlSettings.Table table, ExchangeSettings.Work times)
+            throws BadConfig {
         return new Rules(
-                table.millis("answer_grace_ms", 0, 10_000, 20),
-                table.millis("drain_grace_ms", 0, 60_000, 1000),
-                table.millis("release_ms", 0, 60_000, 300),
+                table.microsFromMillis("answer_grace_ms", 0, 10_000, 20),
+                table.microsFromMillis("drain_grace_ms", 0, 60_000, 1000),
+                table.microsFromMillis("release_ms", 0, 60_000, 300),
                 table.number("fall_multiple", 1, 100, 3),
-                table.millis("fall_ms", 1, 60_000, 1500),
+                table.microsFromMillis("fall_ms", 1, 60_000, 1500),
                 table.number("cold_from", 0.01, 1, 0.32),
-                table.seconds("warm_s", 0.01, 600, 12),
+                table.microsFromSeconds("warm_s", 0.01, 600, 12),
                 1e6 / times.setUp());
     }
 
-    private static Day.RouterLimits readRouterLimits(Toml.Table table) throws BadConfig {
+    private static Day.RouterLimits readRouterLimits(TomlSettings.Table table) throws BadConfig {
         return new Day.RouterLimits(
-                table.whole("invites", 1, 20, 4),
-                table.millis("come_back_ms", 0, 60_000, 2000),
+                table.integer("invites", 1, 20, 4),
+                table.microsFromMillis("come_back_ms", 0, 60_000, 2000),
                 table.flag("peers", true),
                 table.flag("redials_marked", true),
-                table.millis("answer_margin_ms", 0, 5000, 20),
-                table.whole("max_open", 1, 1_000_000, 20_000));
+                table.microsFromMillis("answer_margin_ms", 0, 5000, 20),
+                table.integer("max_open", 1, 1_000_000, 20_000));
     }
 }
--- a/src/main/java/coralcove/rehearsal/DnsDiscovery.java
+++ b/src/main/java/coralcove/rehearsal/DnsDiscovery.java
@@ -10,7 +10,7 @@
 import coralcove.edge.LocatorSettings;
 import coralcove.network.Network;
 import coralcove.network.VirtualDns;
-import coralcove.portability.Locators;
+import coralcove.portability.RouterLocators;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.security.SecureRandom;
@@ -100,7 +100,7 @@
                         "udp",
                         resolverSettings,
                         new SplittableRandom(seed * 31 + number));
-        Locators.join(network, node, core, locatorSettings, queryClient);
+        RouterLocators.connect(network, node, core, locatorSettings, queryClient);
     }
 
     /** Makes the name server fail in the given way, or recover. */
--- a/src/main/java/coralcove/rehearsal/HoldTimeDistribution.java
+++ b/src/main/java/coralcove/rehearsal/HoldTimeDistribution.java
@@ -1,7 +1,7 @@
 package coralcove.rehearsal;
 
 import coralcove.config.BadConfig;
-import coralcove.config.Toml;
+import coralcove.config.TomlSettings;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -25,17 +25,17 @@
      * Reads the distribution of a service from its table: {@code hold_law}, {@code hold_cv} and
      * {@code hold_file}, whose path is relative to the scenario file.
      */
-    static HoldTimeDistribution read(Toml.Table service, Path directory) throws BadConfig {
+    static HoldTimeDistribution read(TomlSettings.Table service, Path directory) throws BadConfig {
         String name =
                 service.oneOf(
                         "hold_law",
                         List.of("exponential", "fixed", "lognormal", "file"),
                         "exponential");
         if (!name.equals("lognormal") && service.has("hold_cv")) {
-            throw service.bad("hold_cv", "applies only to hold_law \"lognormal\"");
+            throw service.invalid("hold_cv", "applies only to hold_law \"lognormal\"");
         }
         if (!name.equals("file") && service.has("hold_file")) {
-            throw service.bad("hold_file", "applies only to hold_law \"file\"");
+            throw service.invalid("hold_file", "applies only to hold_law \"file\"");
         }
         return switch (name) {
             case "fixed" -> FIXED;
@@ -54,7 +54,7 @@
      * Reads measured hold times, one in seconds per line. They are drawn with equal probability and
      * scaled so that their mean is that of the service.
      */
-    private static HoldTimeDistribution readSamples(Toml.Table service, Path path)
+    private static HoldTimeDistribution readSamples(TomlSettings.Table service, Path path)
             throws BadConfig {
         List<Double> samples = new ArrayList<>();
         try {
@@ -66,7 +66,7 @@
                     continue;
                 }
                 if (!value.matches("\\d+(\\.\\d+)?") || Double.parseDouble(value) <= 0) {
-                    throw service.bad(
+                    throw service.invalid(
                             "hold_file",
                             path
                                     + ":"
@@ -77,15 +77,15 @@
                 }
                 samples.add(Double.parseDouble(value));
                 if (samples.size() > MAX_VALUES) {
-                    throw service.bad(
+                    throw service.invalid(
                             "hold_file", path + " has more than " + MAX_VALUES + " values");
                 }
             }
         } catch (IOException e) {
-            throw service.bad("hold_file", path + " cannot be read");
+            throw service.invalid("hold_file", path + " cannot be read");
         }
         if (samples.isEmpty()) {
-            throw service.bad("hold_file", path + " has no values");
+            throw service.invalid("hold_file", path + " has no values");
         }
         double sampleMean =
                 samples.stream().mapToDouble(Double::doubleValue).sum() / samples.size();
--- a/src/main/java/coralcove/rehearsal/Rehearse.java
+++ b/src/main/java/coralcove/rehearsal/Rehearse.java
@@ -7,7 +7,7 @@
 import coralcove.network.LiveNetwork;
 import coralcove.network.Network;
 import coralcove.network.VirtualNetwork;
-import coralcove.portability.Portability;
+import coralcove.portability.PortabilityService;
 import coralcove.sip.BadMessage;
 import coralcove.sip.Hop;
 import coralcove.sip.SipMessage;
@@ -120,10 +120,11 @@
                             judged ? new CaptureObserver(judge, meter, file) : null,
                             log,
                             text);
-            Portability portability =
+            PortabilityService portability =
                     scenario.numberPlan() == null
                             ? null
-                            : Portability.virtual(network, portabilityServer(scenario, seed), seed);
+                            : PortabilityService.virtual(
+                                    network, portabilityServer(scenario, seed), seed);
             if (portability != null) {
                 judge.numbers(ScenarioRun.farEnds(scenario, ScenarioRun.startTime(network.now())));
             }
@@ -174,10 +175,10 @@
                     judge.numbers(
                             ScenarioRun.farEnds(scenario, ScenarioRun.startTime(network.now())));
                 }
-                try (Portability portability =
+                try (PortabilityService portability =
                         scenario.numberPlan() == null
                                 ? null
-                                : Portability.live(
+                                : PortabilityService.live(
                                         network,
                                         portabilityServer(scenario, seed),
                                         "127.0.0.1",
@@ -214,7 +215,7 @@
         Day.NumberPlan numberPlan = scenario.numberPlan();
         DialPlan dialPlan = new DialPlan(scenario.exchanges(), numberPlan);
         return new DnsStandIn(
-                Portability.SUFFIX,
+                PortabilityService.SUFFIX,
                 dialPlan::routingNumber,
                 numberPlan.recordTtl(),
                 numberPlan.serverDelay(),
--- a/src/main/java/coralcove/rehearsal/ScenarioRun.java
+++ b/src/main/java/coralcove/rehearsal/ScenarioRun.java
@@ -19,7 +19,7 @@
 import coralcove.network.VirtualNetwork;
 import coralcove.numbers.NumberTable;
 import coralcove.planner.EdgeLink;
-import coralcove.portability.Portability;
+import coralcove.portability.PortabilityService;
 import coralcove.sip.Hop;
 import coralcove.sip.Out;
 import coralcove.sources.Roster;
@@ -80,7 +80,7 @@
     private final Map<Integer, RouterPlanner> planners = new LinkedHashMap<>();
     private final Map<Integer, List<Roster.Said>> storedReports = new ConcurrentHashMap<>();
     private final DialPlan dialPlan;
-    private final Portability portability;
+    private final PortabilityService portability;
     private final Histogram planAges = new Histogram(PlannedTargetSource.STALE_AGE_MICROS, 3);
     private DnsDiscovery dnsDiscovery;
     private long tableVersion = 1;
@@ -96,7 +96,7 @@
             Network network,
             int firstPort,
             Witness witness,
-            Portability portability) {
+            PortabilityService portability) {
         this.scenario = scenario;
         this.seed = seed;
         this.policy = policy;
@@ -347,7 +347,7 @@
                             scenario.numberPlan().maxTables(),
                             dialPlan.table(tableVersion),
                             scenario.numberPlan().porting(),
-                            portability.asker(name, () -> core));
+                            portability.clientFor(name, () -> core));
             numberContexts.add(numberContext);
             core.numbers(numberContext);
         }
@@ -461,9 +461,10 @@
                             : DnsStandIn.Fault.SLOW;
             network.at(
                     startTime + fault.at(),
-                    () -> portability.misbehave(serverFault, Math.round(fault.size() * 1000)));
+                    () -> portability.injectFault(serverFault, Math.round(fault.size() * 1000)));
             network.at(
-                    startTime + fault.end(), () -> portability.misbehave(DnsStandIn.Fault.NONE, 0));
+                    startTime + fault.end(),
+                    () -> portability.injectFault(DnsStandIn.Fault.NONE, 0));
             return;
         }
         if (fault.kind().startsWith("dns")) {
--- a/src/main/java/coralcove/sip/transport/Sockets.java
+++ b/src/main/java/coralcove/sip/transport/Sockets.java
@@ -1,6 +1,6 @@
 package coralcove.sip.transport;
 
-import coralcove.mina.Mina;
+import coralcove.mina.MinaSupport;
 import coralcove.sip.BadMessage;
 import coralcove.sip.Hop;
 import coralcove.sip.SipParser;
@@ -94,7 +94,7 @@
             datagramAcceptor.bind(bindAddress);
         } catch (IOException | RuntimeException e) {
             close();
-            throw Mina.cannotListen(localAddress.host(), localAddress.port(), e);
+            throw MinaSupport.bindFailure(localAddress.host(), localAddress.port(), e);
         }
     }
 
@@ -228,7 +228,7 @@
     private final class DatagramHandler extends IoHandlerAdapter {
         @Override
         public void messageReceived(IoSession session, Object message) {
-            byte[] bytes = Mina.bytes(message);
+            byte[] bytes = MinaSupport.toBytes(message);
             // Shorter datagrams are keep-alives of RFC 5626.
             if (bytes.length > 4) {
                 listener.read(remoteAddress(session, false), bytes);
@@ -260,7 +260,7 @@
 
         @Override
         public void messageReceived(IoSession session, Object message) {
-            byte[] bytes = Mina.bytes(message);
+            byte[] bytes = MinaSupport.toBytes(message);
             Hop from = remoteAddress(session, true);
             try {
                 ((StreamFramer) session.getAttribute(FRAMER_ATTRIBUTE))
--- a/src/main/java/coralcove/sources/store/RosterStore.java
+++ b/src/main/java/coralcove/sources/store/RosterStore.java
@@ -38,7 +38,7 @@
         store =
                 new EntryStore<>(
                         path,
-                        new EntryStore.Form<>(
+                        new EntryStore.Format<>(
                                 "roster",
                                 report -> report.source() + " " + report.id(),
                                 RosterStore::encode,
--- a/src/main/java/coralcove/store/EntryStore.java
+++ b/src/main/java/coralcove/store/EntryStore.java
@@ -31,17 +31,20 @@
      *
      * @param kind name of the map in the store
      * @param key returns the key of an entry
-     * @param out encodes an entry
-     * @param in decodes an entry; returns null if it is invalid
+     * @param encode encodes an entry
+     * @param decode decodes an entry; returns null if it is invalid
      */
-    public record Form<K, T>(
-            String kind, Function<T, K> key, Function<T, byte[]> out, Function<byte[], T> in) {}
+    public record Format<K, T>(
+            String kind,
+            Function<T, K> key,
+            Function<T, byte[]> encode,
+            Function<byte[], T> decode) {}
 
     /** Largest number of stores moved aside; after that the last name is used again. */
     private static final int MAX_BAD_COPIES = 5;
 
     private final Path path;
-    private final Form<K, T> format;
+    private final Format<K, T> format;
     private final Consumer<String> reporter;
     private MVStore store;
     private MVMap<K, byte[]> entries;
@@ -52,7 +55,7 @@
      *
      * @param reporter receives a text for each fault
      */
-    public EntryStore(Path path, Form<K, T> format, Consumer<String> reporter) {
+    public EntryStore(Path path, Format<K, T> format, Consumer<String> reporter) {
         this.path = path;
         this.format = format;
         this.reporter = reporter;
@@ -64,7 +67,7 @@
     }
 
     private void open() {
-        store = Stores.open(path);
+        store = MvStores.open(path);
         entries = store.openMap(format.kind());
     }
 
@@ -83,7 +86,10 @@
             }
             Files.move(path, target, StandardCopyOption.REPLACE_EXISTING);
             reporter.accept(
-                    "store put aside as " + target.getFileName() + ": " + Stores.reason(reason));
+                    "store put aside as "
+                            + target.getFileName()
+                            + ": "
+                            + MvStores.shortReason(reason));
             open();
         } catch (IOException | MVStoreException e) {
             disable(e.getMessage());
@@ -94,7 +100,7 @@
         closeImmediately();
         store = null;
         entries = null;
-        reporter.accept("store is not used: " + Stores.reason(reason));
+        reporter.accept("store is not used: " + MvStores.shortReason(reason));
     }
 
     private void closeImmediately() {
@@ -104,7 +110,7 @@
     }
 
     /** Returns whether the store is usable, so that entries are written. */
-    public boolean works() {
+    public boolean isUsable() {
         return store != null;
     }
 
@@ -116,7 +122,7 @@
         }
         try {
             for (Map.Entry<K, byte[]> stored : entries.entrySet()) {
-                T entry = format.in().apply(stored.getValue());
+                T entry = format.decode().apply(stored.getValue());
                 if (entry != null && format.key().apply(entry).equals(stored.getKey())) {
                     valid.add(entry);
                 } else {
@@ -133,7 +139,7 @@
     }
 
     /** Returns the number of invalid entries that were skipped by reading. */
-    public int left() {
+    public int skippedCount() {
         return skipped;
     }
 
@@ -147,7 +153,7 @@
         }
         try {
             for (T entry : candidates) {
-                byte[] bytes = format.out().apply(entry);
+                byte[] bytes = format.encode().apply(entry);
                 if (!Arrays.equals(bytes, entries.get(format.key().apply(entry)))) {
                     entries.put(format.key().apply(entry), bytes);
                 }
@@ -184,7 +190,7 @@
             try {
                 store.close();
             } catch (MVStoreException e) {
-                reporter.accept("store was not closed: " + Stores.reason(e.getMessage()));
+                reporter.accept("store was not closed: " + MvStores.shortReason(e.getMessage()));
             }
         }
     }
--- a/src/main/java/coralcove/store/Stores.java
+++ b/src/main/java/coralcove/store/MvStores.java
@@ -4,8 +4,8 @@
 import org.h2.mvstore.MVStore;
 
 /** Helper methods for stores on H2's MVStore. */
-public final class Stores {
-    private Stores() {}
+public final class MvStores {
+    private MvStores() {}
 
     /** Opens or creates a store; only committed data is written to disk. */
     public static MVStore open(Path path) {
@@ -15,7 +15,7 @@
     /**
      * Returns the first line of an MVStore message, without the version and error code at its end.
      */
-    public static String reason(String message) {
+    public static String shortReason(String message) {
         return String.valueOf(message).lines().findFirst().orElse("").replaceAll(" \\[.*", "");
     }
 }
--- a/src/test/java/coralcove/config/TomlTest.java
+++ b/src/test/java/coralcove/config/TomlTest.java
@@ -16,12 +16,12 @@
     private final StringBuilder results = new StringBuilder();
 
     private interface SettingsReader {
-        Object read(Toml toml) throws BadConfig;
+        Object read(TomlSettings toml) throws BadConfig;
     }
 
     private void recordResult(String name, String text, SettingsReader reader) {
         try {
-            Object settings = reader.read(Toml.of(name, text));
+            Object settings = reader.read(TomlSettings.from(name, text));
             results.append("taken: ").append(settings).append('\n');
         } catch (BadConfig e) {
             results.append(e.getMessage()).append('\n');
@@ -100,7 +100,7 @@
                         servers = "127.0.0.1:53, ns.example:5353"
                         budget_ms = 200
                         """;
-        EdgeFile file = EdgeFile.of(Toml.of("edge.toml", edge));
+        EdgeFile file = EdgeFile.of(TomlSettings.from("edge.toml", edge));
         assertThat(file.store()).hasToString("planner-0.store");
         assertThat(file.planner().port()).isEqualTo(15970);
         assertThat(file.numbers().resolver().servers()).hasSize(2);
--- a/src/test/java/coralcove/edge/EdgeCoreTest.java
+++ b/src/test/java/coralcove/edge/EdgeCoreTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import coralcove.RoutingDecision;
-import coralcove.protocol.Outcomes;
+import coralcove.protocol.InviteOutcomes;
 import coralcove.sip.SipMessage;
 import org.junit.jupiter.api.Test;
 
@@ -42,7 +42,8 @@
                 .answerInvite(
                         503,
                         "Reason",
-                        Outcomes.reason(Outcomes.PROCESSOR_FULL, "full"),
+                        InviteOutcomes.reasonHeader(
+                                InviteOutcomes.SWITCHING_EQUIPMENT_CONGESTION, "full"),
                         "Retry-After",
                         "1;ms=250")
                 .assertTrace("edge-again");
@@ -100,7 +101,7 @@
                 .answerInvite(
                         503,
                         "Reason",
-                        Outcomes.reason(Outcomes.NO_CIRCUIT, "none"),
+                        InviteOutcomes.reasonHeader(InviteOutcomes.NO_CIRCUIT_AVAILABLE, "none"),
                         "X-Circuits",
                         "2")
                 .note("so a third is not sent")
@@ -115,7 +116,11 @@
     void routesATransitSessionAndCranksItBack() {
         harness.policyDecides(RoutingDecision.send(102, 900_000), RoutingDecision.refuse(0))
                 .call("a", 2, 3_000_000, "X-Origin", "1", "Max-Forwards", "9")
-                .answerInvite(503, "Reason", Outcomes.reason(Outcomes.PROCESSOR_FULL, "full"))
+                .answerInvite(
+                        503,
+                        "Reason",
+                        InviteOutcomes.reasonHeader(
+                                InviteOutcomes.SWITCHING_EQUIPMENT_CONGESTION, "full"))
                 .assertTrace("edge-transit");
     }
 
@@ -218,26 +223,26 @@
         for (int cause : new int[] {17, 27, 34, 38, 41, 42, 44, 47, 16}) {
             SipMessage reply =
                     SipMessage.status(503, "x")
-                            .add("Reason", Outcomes.reason(cause, "t"))
+                            .add("Reason", InviteOutcomes.reasonHeader(cause, "t"))
                             .add("Retry-After", "2;ms=1500");
             table.append("cause ")
                     .append(cause)
                     .append(": ")
-                    .append(Outcomes.of(reply, null))
+                    .append(InviteOutcomes.fromResponse(reply, null))
                     .append('\n');
         }
         for (int status : new int[] {302, 400, 404, 408, 480, 486, 487, 500, 502, 503, 504, 600}) {
             table.append("status ")
                     .append(status)
                     .append(": ")
-                    .append(Outcomes.of(SipMessage.status(status, "x"), null))
+                    .append(InviteOutcomes.fromResponse(SipMessage.status(status, "x"), null))
                     .append('\n');
         }
         for (var lost : coralcove.sip.dialog.Agent.Lost.values()) {
             table.append("no answer, ")
                     .append(lost)
                     .append(": ")
-                    .append(Outcomes.of(null, lost))
+                    .append(InviteOutcomes.fromResponse(null, lost))
                     .append('\n');
         }
         assertThat(table.toString()).isEqualTo(coralcove.TraceFiles.read("edge-outcomes"));
--- a/src/test/java/coralcove/edge/EdgeNumbersTest.java
+++ b/src/test/java/coralcove/edge/EdgeNumbersTest.java
@@ -6,7 +6,7 @@
 import coralcove.numbers.NumberTable;
 import coralcove.numbers.Porting;
 import coralcove.numbers.file.TableReader;
-import coralcove.protocol.Outcomes;
+import coralcove.protocol.InviteOutcomes;
 import java.io.BufferedReader;
 import java.io.StringReader;
 import org.junit.jupiter.api.Test;
@@ -78,7 +78,11 @@
                 .dial("a", "+8115", 3_000_000)
                 .replaceTable(table(2, "8115 to 2"))
                 .advance(5)
-                .answerInvite(503, "Reason", Outcomes.reason(Outcomes.PROCESSOR_FULL, "full"))
+                .answerInvite(
+                        503,
+                        "Reason",
+                        InviteOutcomes.reasonHeader(
+                                InviteOutcomes.SWITCHING_EQUIPMENT_CONGESTION, "full"))
                 .advance(300);
         assertThat(harness.lastInviteHeader("X-Far-End")).isEqualTo("1");
         harness.answerInvite(200)
--- a/src/test/java/coralcove/experiment/ExperimentTest.java
+++ b/src/test/java/coralcove/experiment/ExperimentTest.java
@@ -6,7 +6,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import coralcove.TraceFiles;
 import coralcove.config.BadConfig;
-import coralcove.config.Toml;
+import coralcove.config.TomlSettings;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -83,7 +83,7 @@
 
     private static Plan plan(Path folder, String text) throws BadConfig, IOException {
         Files.writeString(folder.resolve("tiny.toml"), DAY);
-        return new Plan(Toml.of("plan.toml", text), folder);
+        return new Plan(TomlSettings.from("plan.toml", text), folder);
     }
 
     private static final class RecordingProgress implements Runner.Progress {
--- a/src/test/java/coralcove/judge/JudgeTest.java
+++ b/src/test/java/coralcove/judge/JudgeTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import coralcove.protocol.Outcomes;
+import coralcove.protocol.InviteOutcomes;
 import coralcove.sip.Hop;
 import coralcove.sip.SipMessage;
 import java.nio.charset.StandardCharsets;
@@ -68,7 +68,9 @@
 
     private JudgeTest reply(long at, String call, int status, int cause) {
         SipMessage reply = SipMessage.reply(invite(call, "s", 0), status, "x", "t");
-        return received(at, cause == 0 ? reply : reply.add("Reason", Outcomes.reason(cause, "t")));
+        return received(
+                at,
+                cause == 0 ? reply : reply.add("Reason", InviteOutcomes.reasonHeader(cause, "t")));
     }
 
     private JudgeTest list(long at, String body) {
--- a/src/test/java/coralcove/overload/OverloadControlTest.java
+++ b/src/test/java/coralcove/overload/OverloadControlTest.java
@@ -3,24 +3,25 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import coralcove.TraceFiles;
-import coralcove.overload.Gate.Kind;
-import coralcove.overload.Gate.Verdict;
+import coralcove.overload.OverloadControl.Kind;
+import coralcove.overload.OverloadControl.Verdict;
 import java.util.ArrayDeque;
 import org.junit.jupiter.api.Test;
 
 /** Tests priorities, queue limits and the rejection of set-ups under overload. */
 class OverloadControlTest {
-    private final Gate control = new Gate(new Gate.Bounds(100, 50, 10, 20, 10_000));
+    private final OverloadControl control =
+            new OverloadControl(new OverloadControl.QueueLimits(100, 50, 10, 20, 10_000));
 
     @Test
     void processesAnswersAndReleasesFirstWithoutStarvingSetUps() {
-        assertThat(control.next(1, 1, 1, 1)).isEqualTo(Kind.ANSWER);
-        assertThat(control.next(0, 1, 1, 1)).isEqualTo(Kind.RELEASE);
-        assertThat(control.next(0, 0, 1, 1)).isEqualTo(Kind.NEWS);
-        assertThat(control.next(0, 0, 0, 1)).isEqualTo(Kind.SET_UP);
-        assertThat(control.next(0, 0, 0, 0)).isNull();
+        assertThat(control.nextKind(1, 1, 1, 1)).isEqualTo(Kind.ANSWER);
+        assertThat(control.nextKind(0, 1, 1, 1)).isEqualTo(Kind.RELEASE);
+        assertThat(control.nextKind(0, 0, 1, 1)).isEqualTo(Kind.NOTIFICATION);
+        assertThat(control.nextKind(0, 0, 0, 1)).isEqualTo(Kind.SET_UP);
+        assertThat(control.nextKind(0, 0, 0, 0)).isNull();
         int others = 0;
-        while (control.next(9, 9, 9, 1) != Kind.SET_UP) {
+        while (control.nextKind(9, 9, 9, 1) != Kind.SET_UP) {
             others++;
         }
         assertThat(others).isEqualTo(200);
@@ -28,13 +29,13 @@
 
     @Test
     void limitsEachKindAndTheTotalOfBytes() {
-        assertThat(control.offer(Kind.SET_UP, 19, 0)).isEqualTo(Verdict.TAKE);
-        assertThat(control.offer(Kind.SET_UP, 20, 0)).isEqualTo(Verdict.DROP);
-        assertThat(control.offer(Kind.NEWS, 0, 10_000)).isEqualTo(Verdict.DROP);
-        assertThat(control.offer(Kind.SET_UP, 0, 10_000)).isEqualTo(Verdict.DROP);
-        assertThat(control.offer(Kind.ANSWER, 99, 10_000)).isEqualTo(Verdict.TAKE);
-        assertThat(control.offer(Kind.ANSWER, 100, 10_000)).isEqualTo(Verdict.DROP);
-        assertThat(control.offer(Kind.RELEASE, 50, 0)).isEqualTo(Verdict.DROP);
+        assertThat(control.admitToQueue(Kind.SET_UP, 19, 0)).isEqualTo(Verdict.ACCEPT);
+        assertThat(control.admitToQueue(Kind.SET_UP, 20, 0)).isEqualTo(Verdict.DROP);
+        assertThat(control.admitToQueue(Kind.NOTIFICATION, 0, 10_000)).isEqualTo(Verdict.DROP);
+        assertThat(control.admitToQueue(Kind.SET_UP, 0, 10_000)).isEqualTo(Verdict.DROP);
+        assertThat(control.admitToQueue(Kind.ANSWER, 99, 10_000)).isEqualTo(Verdict.ACCEPT);
+        assertThat(control.admitToQueue(Kind.ANSWER, 100, 10_000)).isEqualTo(Verdict.DROP);
+        assertThat(control.admitToQueue(Kind.RELEASE, 50, 0)).isEqualTo(Verdict.DROP);
     }
 
     /**
@@ -46,7 +47,8 @@
     void rejectsLoadOverCapacityAndRecovers() {
         StringBuilder trace = new StringBuilder();
         ArrayDeque<Long> queue = new ArrayDeque<>();
-        Gate largeControl = new Gate(new Gate.Bounds(100, 50, 10, 20_000, 1 << 30));
+        OverloadControl largeControl =
+                new OverloadControl(new OverloadControl.QueueLimits(100, 50, 10, 20_000, 1 << 30));
         long now = 0;
         long nextArrival = 0;
         for (int second = 0; second < 12; second++) {
@@ -65,7 +67,7 @@
                     now = Math.min(end, nextArrival);
                     continue;
                 }
-                if (largeControl.look(now, now - arrivedAt, false) == Verdict.TAKE) {
+                if (largeControl.decideSetUp(now, now - arrivedAt, false) == Verdict.ACCEPT) {
                     accepted++;
                     longestWait = Math.max(longestWait, now - arrivedAt);
                     now += 1000;
@@ -82,7 +84,7 @@
                     .append(", longest wait of those taken ")
                     .append(longestWait / 1000)
                     .append(" ms, come back after ")
-                    .append(largeControl.comeBack() / 1000)
+                    .append(largeControl.retryAfter() / 1000)
                     .append(" ms\n");
         }
         assertThat(trace.toString()).isEqualTo(TraceFiles.read("gate-overload"));
@@ -90,7 +92,7 @@
 
     @Test
     void neverRejectsARetransmissionOfAnAcceptedSetUp() {
-        assertThat(control.look(1_000_000, 900_000, true)).isEqualTo(Verdict.TAKE);
-        assertThat(control.look(1_000_000, 900_000, false)).isEqualTo(Verdict.TURN_AWAY);
+        assertThat(control.decideSetUp(1_000_000, 900_000, true)).isEqualTo(Verdict.ACCEPT);
+        assertThat(control.decideSetUp(1_000_000, 900_000, false)).isEqualTo(Verdict.REJECT);
     }
 }
--- a/src/test/java/coralcove/planner/store/GroupStoreTest.java
+++ b/src/test/java/coralcove/planner/store/GroupStoreTest.java
@@ -138,7 +138,7 @@
         try (EntryStore<Integer, GroupLoad> store =
                 GroupStore.facts(file.resolve("facts"), warnings::add)) {
             store.write(loads(0, 5, 1));
-            assertThat(store.works()).isFalse();
+            assertThat(store.isUsable()).isFalse();
             assertThat(store.read()).isEmpty();
         }
         assertThat(warnings).hasSize(1);
@@ -175,7 +175,7 @@
         }
         try (EntryStore<Integer, Plan> store = GroupStore.plans(path, warnings::add)) {
             assertThat(store.read()).hasSize(19).noneMatch(plan -> plan.version() == 104);
-            assertThat(store.left()).isEqualTo(1);
+            assertThat(store.skippedCount()).isEqualTo(1);
         }
     }
 }
--- a/src/test/java/coralcove/platform/leg/SignalingTest.java
+++ b/src/test/java/coralcove/platform/leg/SignalingTest.java
@@ -36,7 +36,7 @@
                 response.add("Fail-Word", row[1]);
             }
             var outcome = SipOutcomes.ofResponse(response);
-            assertThat(outcome.ending() + " " + outcome.cause() + " " + outcome.namedWait())
+            assertThat(outcome.outcome() + " " + outcome.cause() + " " + outcome.retryAfter())
                     .as(row[0] + row[1])
                     .isEqualTo(row[2]);
         }
--- a/src/test/java/coralcove/platform/live/SessionRouterHarness.java
+++ b/src/test/java/coralcove/platform/live/SessionRouterHarness.java
@@ -157,7 +157,7 @@
     final ServerSocket discovery;
     final InetSocketAddress listenAddress;
     final Path configurationFile;
-    final Serve server;
+    final SessionRouterServer server;
     final Thread serverThread;
     final List<ExchangeConnection> exchangeConnections = new ArrayList<>();
     private final PrintStream out = new PrintStream(log, true, StandardCharsets.UTF_8);
@@ -168,7 +168,7 @@
         listenAddress = new InetSocketAddress(LOOPBACK, freePort());
         configurationFile = dir.resolve("config.json");
         Files.writeString(configurationFile, configuration(descriptors, exchange, discovery));
-        server = Serve.fromFile(configurationFile, out);
+        server = SessionRouterServer.fromFile(configurationFile, out);
         serverThread = start("router", server::serve);
     }
 
--- a/src/test/java/coralcove/platform/live/TcpConnectionsTest.java
+++ b/src/test/java/coralcove/platform/live/TcpConnectionsTest.java
@@ -66,7 +66,7 @@
         }
         List<Socket> sockets = new ArrayList<>();
         try (TcpConnections connections =
-                new TcpConnections(500, 20, Serve::clock, new RecordingListener())) {
+                new TcpConnections(500, 20, SessionRouterServer::clock, new RecordingListener())) {
             connections.listen(new InetSocketAddress(loopback, port));
             for (int i = 0; i < 50; i++) {
                 sockets.add(new Socket(loopback, port));
@@ -102,7 +102,7 @@
         }
         List<Socket> sockets = new ArrayList<>();
         try (TcpConnections connections =
-                new TcpConnections(500, 2, Serve::clock, new RecordingListener())) {
+                new TcpConnections(500, 2, SessionRouterServer::clock, new RecordingListener())) {
             connections.listen(new InetSocketAddress(loopback, port));
             for (int i = 0; i < 10; i++) {
                 sockets.add(new Socket(loopback, port));
@@ -124,7 +124,7 @@
     void reportsWhetherAnExchangeConnectionWasRefusedOrBroke() throws Exception {
         InetAddress loopback = InetAddress.getLoopbackAddress();
         try (TcpConnections connections =
-                new TcpConnections(500, 20, Serve::clock, new RecordingListener())) {
+                new TcpConnections(500, 20, SessionRouterServer::clock, new RecordingListener())) {
             ServerSocket server = new ServerSocket(0, 5, loopback);
             InetSocketAddress address = new InetSocketAddress(loopback, server.getLocalPort());
             connections.connectToExchange(1, address);
--- a/src/test/java/coralcove/platform/trial/TrialTest.java
+++ b/src/test/java/coralcove/platform/trial/TrialTest.java
@@ -8,6 +8,6 @@
 class TrialTest {
     @Test
     void establishesAndReleasesEachSession() throws Exception {
-        assertThat(Trial.run(50)).isEqualTo(new Trial.Result(50, 50, 50));
+        assertThat(LoopbackTrial.run(50)).isEqualTo(new LoopbackTrial.Result(50, 50, 50));
     }
 }
--- a/src/test/java/coralcove/rehearsal/DirectoryDaysTest.java
+++ b/src/test/java/coralcove/rehearsal/DirectoryDaysTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import coralcove.baseline.RoutingPolicies;
-import coralcove.config.Toml;
+import coralcove.config.TomlSettings;
 import coralcove.directory.DirectoryCore;
 import coralcove.edge.EdgeCore;
 import coralcove.edge.EdgeSettings;
@@ -32,7 +32,7 @@
                                 .replace("[directory]", "[directory]\n" + directorySettings)
                         + faults;
         return Rehearse.virtual(
-                DayFile.of(Toml.of("day.toml", toml), seed), seed, "choice", null, null);
+                DayFile.of(TomlSettings.from("day.toml", toml), seed), seed, "choice", null, null);
     }
 
     private static String faultTable(String kind, int at, int length, String settings) {
@@ -120,7 +120,10 @@
     @Test
     void resubscriptionsOf94RoutersAreSpreadOut() throws Exception {
         Day scenario =
-                DayFile.of(Toml.of("day.toml", Files.readString(Path.of("days/bad-day.toml"))), 1);
+                DayFile.of(
+                        TomlSettings.from(
+                                "day.toml", Files.readString(Path.of("days/bad-day.toml"))),
+                        1);
         TreeMap<Long, Integer> subscribesByInterval = new TreeMap<>();
         Network.Tap tap =
                 new Network.Tap() {
--- a/src/test/java/coralcove/rehearsal/EmulatorSpeed.java
+++ b/src/test/java/coralcove/rehearsal/EmulatorSpeed.java
@@ -1,6 +1,6 @@
 package coralcove.rehearsal;
 
-import coralcove.config.Toml;
+import coralcove.config.TomlSettings;
 import java.lang.management.ManagementFactory;
 import java.lang.management.MemoryPoolMXBean;
 import java.lang.management.ThreadMXBean;
@@ -35,7 +35,7 @@
             long cpuStart = threads.getCurrentThreadCpuTime();
             Result result =
                     Rehearse.virtual(
-                            DayFile.of(Toml.of("day", toml), seed),
+                            DayFile.of(TomlSettings.from("day", toml), seed),
                             seed,
                             "choice",
                             null,
--- a/src/test/java/coralcove/rehearsal/PlannerDays.java
+++ b/src/test/java/coralcove/rehearsal/PlannerDays.java
@@ -1,6 +1,6 @@
 package coralcove.rehearsal;
 
-import coralcove.config.Toml;
+import coralcove.config.TomlSettings;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Arrays;
@@ -18,7 +18,7 @@
     private static Result run(String text, int seed) {
         try {
             return Rehearse.virtual(
-                    DayFile.of(Toml.of("planner.toml", text), seed),
+                    DayFile.of(TomlSettings.from("planner.toml", text), seed),
                     seed,
                     "choice",
                     null,
--- a/src/test/java/coralcove/rehearsal/ScenarioRunTest.java
+++ b/src/test/java/coralcove/rehearsal/ScenarioRunTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import coralcove.config.BadConfig;
-import coralcove.config.Toml;
+import coralcove.config.TomlSettings;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -19,7 +19,7 @@
             assertThat(text).contains(changes[i]);
             text = text.replace(changes[i], changes[i + 1]);
         }
-        return DayFile.of(Toml.of("bad-day.toml", text), seed);
+        return DayFile.of(TomlSettings.from("bad-day.toml", text), seed);
     }
 
     private static void assertRulesKept(Result result) {
@@ -97,7 +97,12 @@
                         + faults;
         toml = toml.replace("[directory]", "[directory]\ndns_life_s = 3\ncount = 2");
         Result result =
-                Rehearse.virtual(DayFile.of(Toml.of("all.toml", toml), 5), 5, "choice", null, null);
+                Rehearse.virtual(
+                        DayFile.of(TomlSettings.from("all.toml", toml), 5),
+                        5,
+                        "choice",
+                        null,
+                        null);
         assertRulesKept(result);
         assertThat(result.stats().cut).isPositive();
         assertThat(result.rules().get("one_table").checked()).isGreaterThan(1000);
--- a/src/test/java/coralcove/rehearsal/ShortcutTest.java
+++ b/src/test/java/coralcove/rehearsal/ShortcutTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import coralcove.config.Toml;
+import coralcove.config.TomlSettings;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Locale;
@@ -23,7 +23,7 @@
         long[] lineCount = new long[1];
         Result result =
                 Rehearse.virtual(
-                        DayFile.of(Toml.of("day", toml), seed),
+                        DayFile.of(TomlSettings.from("day", toml), seed),
                         seed,
                         "choice",
                         null,
--- a/src/test/java/coralcove/rehearsal/SmallNetworkTest.java
+++ b/src/test/java/coralcove/rehearsal/SmallNetworkTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import coralcove.config.Toml;
+import coralcove.config.TomlSettings;
 import java.util.Locale;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
@@ -97,7 +97,11 @@
                         FAULT_KINDS.get(faultKind),
                         seed % 3);
         return Rehearse.virtual(
-                DayFile.of(Toml.of("small.toml", toml), seed), seed, "choice", null, null);
+                DayFile.of(TomlSettings.from("small.toml", toml), seed),
+                seed,
+                "choice",
+                null,
+                null);
     }
 
     @Property(tries = 150, seed = "7")
--- a/src/test/java/coralcove/sources/RosterTest.java
+++ b/src/test/java/coralcove/sources/RosterTest.java
@@ -4,7 +4,7 @@
 
 import coralcove.Exchange;
 import coralcove.TraceFiles;
-import coralcove.protocol.ListingText;
+import coralcove.protocol.ExchangeListFormat;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.Collectors;
@@ -23,7 +23,7 @@
 
     private RosterTest receiveListing(int source, String text) {
         Roster.ListingRejection rejection =
-                roster.applyListing(now, source, ListingText.read(text));
+                roster.applyListing(now, source, ExchangeListFormat.parse(text));
         String queried =
                 IntStream.range(0, 2)
                         .filter(i -> roster.pollCompleteListWanted(i))
