--- a/src/main/java/coralcove/cli/Commands.java
+++ b/src/main/java/coralcove/cli/Commands.java
@@ -13,9 +13,9 @@
 import coralcove.directory.DirectoryFile;
 import coralcove.dns.transport.DnsClient;
 import coralcove.edge.EdgeCore;
-import coralcove.edge.EdgeFile;
-import coralcove.edge.NumberDesk;
-import coralcove.edge.NumbersFile;
+import coralcove.edge.EdgeSettingsFile;
+import coralcove.edge.NumberAnalysisContext;
+import coralcove.edge.NumberAnalysisSettings;
 import coralcove.exchange.Arrival;
 import coralcove.exchange.ExchangeCore;
 import coralcove.exchange.ExchangeFile;
@@ -172,10 +172,10 @@
             String name,
             Hop self,
             Core core,
-            EdgeFile file,
+            EdgeSettingsFile file,
             EdgeLink link)
             throws BadConfig {
-        NumbersFile numbers = file == null ? null : file.numbers();
+        NumberAnalysisSettings numbers = file == null ? null : file.numbers();
         AtomicBoolean stop = new AtomicBoolean();
         CountDownLatch ended = new CountDownLatch(1);
         LiveNetwork network = new LiveNetwork(null);
@@ -190,9 +190,9 @@
                                     LoggerFactory.getLogger(name).warn("table-refused: {}", error));
             try {
                 DnsClient client = new DnsClient(numbers.resolver(), new SecureRandom());
-                edge.numbers(
-                        new NumberDesk(
-                                numbers.mostTables(),
+                edge.attachNumberAnalysis(
+                        new NumberAnalysisContext(
+                                numbers.maxTables(),
                                 watch.first(),
                                 numbers.porting(),
                                 PortabilityService.clientUsing(
@@ -212,7 +212,7 @@
                     name,
                     edge,
                     file.dns(),
-                    new DnsClient(file.dns().servers(), new SecureRandom()));
+                    new DnsClient(file.dns().resolverSettings(), new SecureRandom()));
         }
         if (link != null && core instanceof EdgeCore edge) {
             try {
@@ -223,7 +223,7 @@
                                 file.planner().port(),
                                 link,
                                 action -> network.on(name, (now, out) -> action.accept(now)));
-                network.on(name, (now, out) -> edge.planner(now, link, port));
+                network.on(name, (now, out) -> edge.attachPlanner(now, link, port));
             } catch (IOException e) {
                 throw toml.table("planner").invalid("listen", e.getMessage());
             }
@@ -257,7 +257,9 @@
                 nextPollAt = network.now() + TABLE_POLL_INTERVAL_MICROS;
                 NumberTable next = watch.next();
                 if (next != null) {
-                    network.on(name, (now, out) -> ((EdgeCore) core).replace(now, next, out));
+                    network.on(
+                            name,
+                            (now, out) -> ((EdgeCore) core).replaceNumberTable(now, next, out));
                 }
             }
             if (stop.get() && core instanceof EdgeCore edge) {
@@ -268,8 +270,8 @@
                         (now, out) -> {
                             if (first) {
                                 out.log("stopping", "", "");
-                                edge.stop();
-                            } else if (edge.idle()) {
+                                edge.stopAccepting();
+                            } else if (edge.isIdle()) {
                                 ended.countDown();
                             }
                         });
@@ -292,8 +294,8 @@
     static final class EdgeCommand extends NodeCommand {
         @Override
         void serve(TomlSettings toml) throws BadConfig {
-            EdgeFile file = EdgeFile.of(toml);
-            Settings module = file.settings().module();
+            EdgeSettingsFile file = EdgeSettingsFile.of(toml);
+            Settings module = file.settings().policySettings();
             FactsOut facts = new FactsOut(PlannerCore.MOST_GROUPS);
             PlannedTargetSource keeper = new PlannedTargetSource(module, facts::add);
             EdgeCore core =
@@ -306,11 +308,12 @@
                                             module,
                                             new SplittableRandom(file.settings().seed()),
                                             keeper));
-            if (file.roster() != null) {
-                RosterStore.keep(
-                        file.roster(),
+            if (file.rosterStore() != null) {
+                RosterStore.restoreAndStore(
+                        file.rosterStore(),
                         "edge-" + file.settings().number(),
-                        (entries, store) -> core.resume(LiveNetwork.clock(), entries, store));
+                        (entries, store) ->
+                                core.restoreRoster(LiveNetwork.clock(), entries, store));
             }
             EdgeLink link =
                     file.planner() == null
@@ -325,7 +328,7 @@
                     toml,
                     "edge",
                     "edge-" + file.settings().number(),
-                    file.settings().self(),
+                    file.settings().listenAddress(),
                     core,
                     file,
                     link);
@@ -337,17 +340,19 @@
      *
      * @return receives each new plan; ignores it where the settings name no plan store
      */
-    private static Consumer<Plan> restoreAndStorePlans(EdgeFile file, PlannedTargetSource keeper) {
-        if (file.plans() == null) {
+    private static Consumer<Plan> restoreAndStorePlans(
+            EdgeSettingsFile file, PlannedTargetSource keeper) {
+        if (file.planStore() == null) {
             return plan -> {};
         }
         PlanShelf pendingPlans = new PlanShelf();
         var log = LoggerFactory.getLogger("edge-" + file.settings().number());
         EntryStore<Integer, Plan> store =
-                GroupStore.plans(file.plans(), message -> log.warn("plans: {}", message));
+                GroupStore.plans(file.planStore(), message -> log.warn("plans: {}", message));
         List<Plan> stored = store.read();
         int groups =
-                PlanShelf.resume(LiveNetwork.clock(), file.settings().module(), keeper, stored);
+                PlanShelf.resume(
+                        LiveNetwork.clock(), file.settings().policySettings(), keeper, stored);
         log.info(
                 "plans: {} of {} stored groups resumed, version {}",
                 groups,
@@ -384,7 +389,7 @@
     static final class PlannerCommand extends NodeCommand {
         @Override
         void serve(TomlSettings toml) throws BadConfig, InterruptedException {
-            EdgeFile file = EdgeFile.of(toml);
+            EdgeSettingsFile file = EdgeSettingsFile.of(toml);
             if (file.planner() == null) {
                 throw toml.table("planner")
                         .invalid("listen", "is missing: this router has no planner");
@@ -392,16 +397,16 @@
             long start = System.currentTimeMillis();
             PlannerCore core =
                     new PlannerCore(
-                            file.settings().module(),
+                            file.settings().policySettings(),
                             start,
                             new SplittableRandom(start),
-                            file.ahead());
+                            file.planAhead());
             String name = "planner-" + file.settings().number();
             EntryStore<Integer, GroupLoad> store =
-                    file.store() == null
+                    file.plannerStore() == null
                             ? null
                             : GroupStore.facts(
-                                    file.store(),
+                                    file.plannerStore(),
                                     message ->
                                             LoggerFactory.getLogger(name)
                                                     .warn("store: {}", message));
@@ -782,7 +787,7 @@
             if (toml.has("day")) {
                 kind = "a day of " + DayFile.of(toml, 0).exchanges() + " exchanges";
             } else if (toml.has("edge")) {
-                EdgeFile file = EdgeFile.of(toml);
+                EdgeSettingsFile file = EdgeSettingsFile.of(toml);
                 kind = "call router " + file.settings().number();
                 if (file.numbers() != null) {
                     NumberTable table = NumbersCommand.read(file.numbers().table(), n -> true);
--- a/src/main/java/coralcove/cli/PairCommand.java
+++ b/src/main/java/coralcove/cli/PairCommand.java
@@ -1,7 +1,7 @@
 package coralcove.cli;
 
 import coralcove.config.TomlSettings;
-import coralcove.edge.EdgeFile;
+import coralcove.edge.EdgeSettingsFile;
 import coralcove.planner.Restarts;
 import java.io.File;
 import java.io.IOException;
@@ -56,7 +56,7 @@
     @Override
     public Integer call() throws Exception {
         TomlSettings toml = TomlSettings.read(config);
-        EdgeFile file = EdgeFile.of(toml);
+        EdgeSettingsFile file = EdgeSettingsFile.of(toml);
         if (file.planner() == null) {
             throw toml.table("planner").invalid("listen", "is missing: this router has no planner");
         }
--- a/src/main/java/coralcove/cli/SourcesCommand.java
+++ b/src/main/java/coralcove/cli/SourcesCommand.java
@@ -3,15 +3,15 @@
 import coralcove.config.BadConfig;
 import coralcove.config.TomlSettings;
 import coralcove.dns.transport.DnsClient;
-import coralcove.edge.EdgeFile;
 import coralcove.edge.EdgeSettings;
-import coralcove.edge.SourcesCore;
+import coralcove.edge.EdgeSettingsFile;
+import coralcove.edge.SourceQueryCore;
 import coralcove.network.LiveNetwork;
 import coralcove.portability.RouterLocators;
 import coralcove.sip.Hop;
-import coralcove.sources.Belief;
-import coralcove.sources.Life;
+import coralcove.sources.Liveness;
 import coralcove.sources.Roster;
+import coralcove.sources.RosterEntry;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
@@ -56,7 +56,9 @@
 
     /** State of the core, copied on its thread. */
     private record Snapshot(
-            List<Roster.Said> reports, List<Belief> roster, List<Roster.Say> authorities) {}
+            List<Roster.SourceReport> reports,
+            List<RosterEntry> roster,
+            List<Roster.ListAuthority> authorities) {}
 
     @Override
     public Integer call() throws Exception {
@@ -65,43 +67,46 @@
         if (!toml.has("edge")) {
             throw new BadConfig(config + ":1: [edge] is not in the file");
         }
-        EdgeFile file = EdgeFile.of(toml);
+        EdgeSettingsFile file = EdgeSettingsFile.of(toml);
         EdgeSettings router = file.settings();
         EdgeSettings settings =
                 new EdgeSettings(
                         router.number(),
-                        new Hop(false, router.self().host(), freePort(router.self().host())),
-                        router.exchange(),
+                        new Hop(
+                                false,
+                                router.listenAddress().host(),
+                                freePort(router.listenAddress().host())),
+                        router.exchangeAddress(),
                         router.directories(),
-                        router.module(),
+                        router.policySettings(),
                         router.answerMargin(),
-                        router.mostOpen(),
+                        router.maxOpenSessions(),
                         router.seed(),
-                        router.start());
-        SourcesCore core = new SourcesCore(settings);
+                        router.startTag());
+        SourceQueryCore core = new SourceQueryCore(settings);
         try (LiveNetwork network = new LiveNetwork(null)) {
-            network.add("sources", settings.self(), core, false);
+            network.add("sources", settings.listenAddress(), core, false);
             if (file.dns() != null) {
                 RouterLocators.connect(
                         network,
                         "sources",
                         core,
                         file.dns(),
-                        new DnsClient(file.dns().servers(), new SecureRandom()));
+                        new DnsClient(file.dns().resolverSettings(), new SecureRandom()));
             }
             network.run(network.now() + wait * 1000L);
             CompletableFuture<Snapshot> result = new CompletableFuture<>();
             network.on(
                     "sources",
                     (now, out) -> {
-                        List<Roster.Say> authorities = new ArrayList<>();
+                        List<Roster.ListAuthority> authorities = new ArrayList<>();
                         for (int i = 0; i < settings.directories().size(); i++) {
-                            authorities.add(core.roster().say(now, i));
+                            authorities.add(core.roster().listAuthority(now, i));
                         }
                         result.complete(
                                 new Snapshot(
-                                        core.roster().said(),
-                                        List.copyOf(core.roster().beliefs()),
+                                        core.roster().reports(),
+                                        List.copyOf(core.roster().entries()),
                                         authorities));
                     });
             print(settings, result.get(wait + 5000L, TimeUnit.MILLISECONDS));
@@ -120,12 +125,12 @@
             String name = settings.directories().get(i).toString();
             System.out.println(
                     name
-                            + (snapshot.authorities.get(i) == Roster.Say.NONE
+                            + (snapshot.authorities.get(i) == Roster.ListAuthority.NONE
                                     ? " says nothing"
                                     : " says"));
-            for (Roster.Said each : snapshot.reports) {
+            for (Roster.SourceReport each : snapshot.reports) {
                 if (each.source().equals(name)) {
-                    Life life = each.life();
+                    Liveness life = each.liveness();
                     System.out.println(
                             "  "
                                     + each.id()
@@ -134,10 +139,10 @@
                                     + " "
                                     + life.phase()
                                     + " start "
-                                    + life.start()
+                                    + life.startNumber()
                                     + " sign "
-                                    + life.beat()
-                                    + (life.silent() ? " silent" : "")
+                                    + life.heartbeat()
+                                    + (life.isSilent() ? " silent" : "")
                                     + " at "
                                     + life.address());
                 }
@@ -146,7 +151,7 @@
         System.out.println("believed");
         snapshot.roster.stream()
                 .sorted(
-                        Comparator.comparingInt((Belief b) -> b.exchange().number())
+                        Comparator.comparingInt((RosterEntry b) -> b.exchange().number())
                                 .thenComparingLong(b -> b.exchange().id()))
                 .forEach(
                         each ->
@@ -158,8 +163,8 @@
                                                 + " "
                                                 + each.exchange().phase()
                                                 + " at "
-                                                + each.address()
+                                                + each.routerAddress()
                                                 + ": "
-                                                + each.why()));
+                                                + each.reason()));
     }
 }
--- a/src/main/java/coralcove/directory/DirectoryCore.java
+++ b/src/main/java/coralcove/directory/DirectoryCore.java
@@ -8,7 +8,7 @@
 import coralcove.sip.event.Notifier;
 import coralcove.sip.transaction.ClientTx;
 import coralcove.sip.transaction.ServerTx;
-import coralcove.sources.Listing;
+import coralcove.sources.DirectoryListing;
 import java.util.LinkedHashMap;
 import java.util.Map;
 
@@ -43,7 +43,10 @@
         long heartbeat;
         String phase = "";
 
-        /** When it was started, by the directory's clock; {@link Listing#LONG_AGO} if long ago. */
+        /**
+         * When it was started, by the directory's clock; {@link DirectoryListing#LONG_AGO} if long
+         * ago.
+         */
         long startedAt;
 
         String address = "";
@@ -64,7 +67,9 @@
                     notifiedPhase,
                     notifiedStartNumber,
                     startNumber == notifiedStartNumber ? heartbeat : 0,
-                    startedAt == Listing.LONG_AGO ? startedAt : Math.max(0, now - startedAt),
+                    startedAt == DirectoryListing.LONG_AGO
+                            ? startedAt
+                            : Math.max(0, now - startedAt),
                     notifiedAddress);
         }
     }
@@ -108,7 +113,9 @@
                         ExchangeListFormat.formatHeader(
                                 epoch,
                                 version,
-                                learning ? Listing.Kind.LEARNING : Listing.Kind.WHOLE,
+                                learning
+                                        ? DirectoryListing.Kind.LEARNING
+                                        : DirectoryListing.Kind.WHOLE,
                                 0));
         exchanges.values().stream()
                 .filter(
@@ -138,26 +145,29 @@
      * reports itself as ready, draining or left.
      */
     private void register(long now, ServerTx tx, Out out) {
-        Listing.Line line;
+        DirectoryListing.Entry line;
         try {
             line = ExchangeListFormat.parseLine(tx.request().header("X-Exchange", "").strip());
         } catch (IllegalArgumentException e) {
             agent.respond(now, tx, agent.reply(tx, 400, "Bad Request"), out);
             return;
         }
-        if (line.life().silent()
+        if (line.liveness().isSilent()
                 || exchanges.size() >= MAX_EXCHANGES && !exchanges.containsKey(line.id())) {
             agent.respond(
-                    now, tx, agent.reply(tx, line.life().silent() ? 400 : 503, "Not taken"), out);
+                    now,
+                    tx,
+                    agent.reply(tx, line.liveness().isSilent() ? 400 : 503, "Not taken"),
+                    out);
             return;
         }
         RegisteredExchange exchange = exchanges.computeIfAbsent(line.id(), RegisteredExchange::new);
         SipMessage reply = agent.reply(tx, 200, "OK");
         boolean outdated =
-                line.life().start() < exchange.startNumber
-                        || line.life().start() == exchange.startNumber
+                line.liveness().startNumber() < exchange.startNumber
+                        || line.liveness().startNumber() == exchange.startNumber
                                 && exchange.phase.equals("left")
-                                && !line.life().left();
+                                && !line.liveness().left();
         if (outdated) {
             // Its clock went back, or it had left: it must register with a higher start number.
             reply.add("X-Start", Long.toString(exchange.startNumber));
@@ -168,31 +178,34 @@
         }
     }
 
-    private void applyRegistration(long now, RegisteredExchange exchange, Listing.Line line) {
+    private void applyRegistration(
+            long now, RegisteredExchange exchange, DirectoryListing.Entry line) {
         boolean first = exchange.startNumber < 0;
-        boolean newer = line.life().start() > exchange.startNumber;
-        if (!newer && line.life().beat() <= exchange.heartbeat) {
+        boolean newer = line.liveness().startNumber() > exchange.startNumber;
+        if (!newer && line.liveness().heartbeat() <= exchange.heartbeat) {
             // A duplicate, or delayed in the network.
             return;
         }
-        String phase = line.life().left() ? "left" : line.life().drains() ? "draining" : "ready";
+        String phase =
+                line.liveness().left() ? "left" : line.liveness().draining() ? "draining" : "ready";
         boolean changed =
                 newer
                         || !phase.equals(exchange.phase)
-                        || !line.life().address().equals(exchange.address);
+                        || !line.liveness().address().equals(exchange.address);
         if (newer) {
-            exchange.startNumber = line.life().start();
-            exchange.startedAt = line.age() == Listing.LONG_AGO ? line.age() : now - line.age();
+            exchange.startNumber = line.liveness().startNumber();
+            exchange.startedAt =
+                    line.age() == DirectoryListing.LONG_AGO ? line.age() : now - line.age();
         }
-        exchange.number = line.life().number();
-        exchange.heartbeat = line.life().beat();
+        exchange.number = line.liveness().number();
+        exchange.heartbeat = line.liveness().heartbeat();
         exchange.phase = phase;
-        exchange.address = line.life().address();
+        exchange.address = line.liveness().address();
         exchange.lastHeardAt = now;
         if (changed) {
             // Exchanges of the initial network are listed at once, later starts only after a delay.
             long wait =
-                    first && line.age() == Listing.LONG_AGO
+                    first && line.age() == DirectoryListing.LONG_AGO
                             ? 0
                             : phase.equals("ready") ? delays.addition : delays.drainOrLeave;
             long startNumber = exchange.startNumber;
@@ -228,7 +241,7 @@
                 now,
                 versionTag(),
                 ExchangeListFormat.formatHeader(
-                                epoch, version, Listing.Kind.CHANGES, previousVersion)
+                                epoch, version, DirectoryListing.Kind.CHANGES, previousVersion)
                         + line
                         + "\n",
                 out);
--- a/src/main/java/coralcove/edge/Locating.java
+++ b/src/main/java/coralcove/edge/DnsDiscoveryCore.java
@@ -5,17 +5,17 @@
 import java.util.function.Consumer;
 
 /** A core that can use DNS as a further source of router addresses. */
-public interface Locating {
+public interface DnsDiscoveryCore {
     /**
      * Starts querying DNS. The owner of {@code results} passes each result back through {@link
-     * #found} on the core's own thread.
+     * #dnsAnswered} on the core's own thread.
      */
-    void locate(
+    void startDnsDiscovery(
             long now,
             LocatorSettings settings,
             Questions questions,
             Consumer<LocatorResult> results);
 
     /** The result of a DNS query. */
-    void found(long now, LocatorResult result, Out out);
+    void dnsAnswered(long now, LocatorResult result, Out out);
 }
--- a/src/main/java/coralcove/edge/EdgeCore.java
+++ b/src/main/java/coralcove/edge/EdgeCore.java
@@ -26,8 +26,8 @@
 import coralcove.sip.dialog.Call;
 import coralcove.sip.transaction.ClientTx;
 import coralcove.sip.transaction.ServerTx;
-import coralcove.sources.Belief;
 import coralcove.sources.Roster;
+import coralcove.sources.RosterEntry;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -41,7 +41,7 @@
  * another, outbound legs, all through the local exchange. It informs the routing policy of every
  * event and carries out the policy's decisions; it makes no routing decision itself.
  */
-public final class EdgeCore extends AgentCore implements RosterManager.Listener, Locating {
+public final class EdgeCore extends AgentCore implements RosterManager.Listener, DnsDiscoveryCore {
     private static final String TEMPORARILY_UNAVAILABLE = "Temporarily Unavailable";
 
     /**
@@ -123,12 +123,12 @@
     private Timers.Timer wakeTimer;
     private long wakeAt;
     private boolean stopping;
-    private NumberDesk numberAnalysis;
+    private NumberAnalysisContext numberAnalysis;
     private EdgeLink plannerLink;
     private EdgeLink.Out plannerLinkOut;
 
     public EdgeCore(EdgeSettings settings, CallRouter policy) {
-        super(settings.self(), settings.start());
+        super(settings.listenAddress(), settings.startTag());
         this.settings = settings;
         this.policy = policy;
         rosterManager =
@@ -137,7 +137,7 @@
                         agent,
                         timers,
                         this,
-                        new SplittableRandom(settings.seed() ^ settings.start().hashCode()));
+                        new SplittableRandom(settings.seed() ^ settings.startTag().hashCode()));
     }
 
     /**
@@ -146,12 +146,13 @@
      *
      * @return the number of stored reports used
      */
-    public int resume(long now, List<Roster.Said> stored, Consumer<List<Roster.Said>> sink) {
+    public int restoreRoster(
+            long now, List<Roster.SourceReport> stored, Consumer<List<Roster.SourceReport>> sink) {
         return rosterManager.restore(now, stored, sink);
     }
 
     @Override
-    public void locate(
+    public void startDnsDiscovery(
             long now,
             LocatorSettings locatorSettings,
             Questions questions,
@@ -160,7 +161,7 @@
     }
 
     @Override
-    public void found(long now, LocatorResult result, Out out) {
+    public void dnsAnswered(long now, LocatorResult result, Out out) {
         rosterManager.dnsAnswered(now, result, out);
         performPendingActions(now, out);
     }
@@ -171,20 +172,20 @@
     }
 
     /**
-     * Rejects new sessions from now on; {@link #idle} tells when all accepted ones have a final
+     * Rejects new sessions from now on; {@link #isIdle} tells when all accepted ones have a final
      * response.
      */
-    public void stop() {
+    public void stopAccepting() {
         stopping = true;
     }
 
     /** Whether every accepted session has a final response. */
-    public boolean idle() {
+    public boolean isIdle() {
         return unansweredCount == 0;
     }
 
     /** Number of active sessions: those without a final response, and established calls. */
-    public int sessions() {
+    public int activeSessionCount() {
         return activeSessions.size();
     }
 
@@ -250,7 +251,7 @@
     public void invited(long now, Call call, Hop from, Out out) {
         CallHeaders headers;
         try {
-            headers = CallHeaders.parse(call.invite(), settings.module().services().size());
+            headers = CallHeaders.parse(call.invite(), settings.policySettings().services().size());
         } catch (IllegalArgumentException e) {
             agent.count("bad-invite");
             agent.reject(
@@ -287,7 +288,7 @@
             agent.reject(now, call, 482, "Loop Detected", out);
             return;
         }
-        if (stopping || unansweredCount >= settings.mostOpen()) {
+        if (stopping || unansweredCount >= settings.maxOpenSessions()) {
             agent.count(stopping ? "stopping" : "too-many-open");
             agent.reject(
                     now,
@@ -296,7 +297,7 @@
                     "Service Unavailable",
                     out,
                     "Retry-After",
-                    InviteOutcomes.retryAfter(settings.module().maxRetryAfter()));
+                    InviteOutcomes.retryAfter(settings.policySettings().maxRetryAfter()));
             return;
         }
         boolean inTransit = headers.origin() >= 0;
@@ -385,7 +386,7 @@
     // ---- the planner
 
     /** Ticks the link to a planner from now on. Must be called once, on the router's own thread. */
-    public void planner(long now, EdgeLink link, EdgeLink.Out out) {
+    public void attachPlanner(long now, EdgeLink link, EdgeLink.Out out) {
         plannerLink = link;
         plannerLinkOut = out;
         timers.set(now, this::tickPlannerLink);
@@ -399,7 +400,7 @@
     // ---- dialled numbers
 
     /** Accepts dialled numbers from now on. Must be called before {@link #start}. */
-    public void numbers(NumberDesk context) {
+    public void attachNumberAnalysis(NumberAnalysisContext context) {
         numberAnalysis = context;
     }
 
@@ -443,7 +444,7 @@
             activeSession.waitTimer =
                     timers.set(wait.until(), (at, o) -> resumeNumberSearch(at, activeSession, o));
             if (wait.ask()) {
-                numberAnalysis.portabilityClient.ask(now, wait.number());
+                numberAnalysis.portabilityClient.query(now, wait.number());
             }
         }
     }
@@ -463,7 +464,7 @@
      * The result of a query to the portability server: {@code routingNumber} if the number has
      * moved, valid for {@code lifetime} µs.
      */
-    public void ported(
+    public void portabilityAnswered(
             long now,
             long number,
             Porting.Outcome outcome,
@@ -481,7 +482,7 @@
     }
 
     /** Puts a number table in service; one that is not newer is logged and ignored. */
-    public void replace(long now, NumberTable table, Out out) {
+    public void replaceNumberTable(long now, NumberTable table, Out out) {
         List<Long> discardedVersions;
         try {
             discardedVersions = numberAnalysis.numberTables.replace(table);
@@ -557,7 +558,7 @@
         OutboundLeg leg = new OutboundLeg(activeSession, settings.number(), 0, now);
         activeSession.outboundLeg = leg;
         SipMessage invite = buildOutgoingInvite(activeSession, deadline - now);
-        leg.call = agent.invite(now, invite, settings.exchange(), leg, out);
+        leg.call = agent.invite(now, invite, settings.exchangeAddress(), leg, out);
         leg.timeoutTimer =
                 timers.set(
                         deadline,
@@ -570,7 +571,8 @@
     private SipMessage buildOutgoingInvite(ActiveSession activeSession, long remainingTime) {
         SipMessage invite =
                 agent.request(
-                        "INVITE", SipUri.text(activeSession.headers.number(), settings.exchange()));
+                        "INVITE",
+                        SipUri.text(activeSession.headers.number(), settings.exchangeAddress()));
         invite.set(
                 "Max-Forwards",
                 Long.toString(activeSession.inboundCall.invite().number("Max-Forwards", 70) - 1));
@@ -637,7 +639,7 @@
                 "invite",
                 activeSession.inboundCall.sessionId(),
                 "to " + decision.exchange() + " number " + exchangeNumber);
-        leg.call = agent.invite(now, invite, settings.exchange(), leg, out);
+        leg.call = agent.invite(now, invite, settings.exchangeAddress(), leg, out);
         leg.timeoutTimer =
                 timers.set(
                         now + decision.time(),
@@ -645,7 +647,7 @@
                             agent.cancel(at, leg.call, o);
                             // Its circuits stay busy at most for the release wait.
                             timers.set(
-                                    at + settings.module().releaseWait(),
+                                    at + settings.policySettings().releaseWait(),
                                     (releaseAt, unused) -> releaseCircuits(releaseAt, leg));
                             finishInvite(
                                     at, leg, InviteOutcome.TIMED_OUT, RejectionCause.NONE, 0, o);
@@ -833,7 +835,7 @@
         if (leg != null) {
             agent.cancel(now, leg.call, out);
             timers.set(
-                    now + settings.module().releaseWait(),
+                    now + settings.policySettings().releaseWait(),
                     (releaseAt, unused) -> releaseCircuits(releaseAt, leg));
             if (activeSession.session != null) {
                 finishInvite(now, leg, InviteOutcome.CANCELLED, RejectionCause.NONE, 0, out);
@@ -931,7 +933,7 @@
             return;
         }
         reportedCircuits.put(number, new int[] {free, size});
-        for (Belief entry : rosterManager.entries()) {
+        for (RosterEntry entry : rosterManager.entries()) {
             if (entry.exchange().number() == number) {
                 policy.onCircuitUpdate(now, entry.exchange().id(), free, size);
             }
@@ -951,7 +953,7 @@
     }
 
     private void broadcastToPeers(byte[] body, Out out) {
-        for (Belief entry : rosterManager.entries()) {
+        for (RosterEntry entry : rosterManager.entries()) {
             if (entry.exchange().number() != settings.number()
                     && entry.exchange().phase() == Phase.READY) {
                 Hop peer = rosterManager.routerHop(entry);
@@ -981,8 +983,13 @@
                     agent.respond(now, tx, agent.reply(tx, 200, "OK"), out);
                 } else {
                     SipMessage forwarded =
-                            agent.request("OPTIONS", SipUri.text("", settings.exchange()));
-                    agent.send(now, forwarded.add("X-Probe", "yes"), settings.exchange(), tx, out);
+                            agent.request("OPTIONS", SipUri.text("", settings.exchangeAddress()));
+                    agent.send(
+                            now,
+                            forwarded.add("X-Probe", "yes"),
+                            settings.exchangeAddress(),
+                            tx,
+                            out);
                 }
             }
             default -> agent.respond(now, tx, agent.reply(tx, 405, "Method Not Allowed"), out);
--- a/src/main/java/coralcove/edge/EdgeSettings.java
+++ b/src/main/java/coralcove/edge/EdgeSettings.java
@@ -8,23 +8,23 @@
  * Settings of one call router.
  *
  * @param number number of the local exchange
- * @param self address at which the router listens
- * @param exchange address of the local exchange
+ * @param listenAddress address at which the router listens
+ * @param exchangeAddress address of the local exchange
  * @param directories addresses of the directories
- * @param module settings of the routing policy
+ * @param policySettings settings of the routing policy
  * @param answerMargin µs subtracted from a caller's timer limit so that the final answer reaches
  *     the caller in time
- * @param mostOpen maximum sessions without a final answer
+ * @param maxOpenSessions maximum sessions without a final answer
  * @param seed seed of the router's random choices
- * @param start tag of this start, part of the ids the router generates
+ * @param startTag tag of this start, part of the ids the router generates
  */
 public record EdgeSettings(
         int number,
-        Hop self,
-        Hop exchange,
+        Hop listenAddress,
+        Hop exchangeAddress,
         List<Hop> directories,
-        Settings module,
+        Settings policySettings,
         long answerMargin,
-        int mostOpen,
+        int maxOpenSessions,
         long seed,
-        String start) {}
+        String startTag) {}
--- a/src/main/java/coralcove/edge/EdgeFile.java
+++ b/src/main/java/coralcove/edge/EdgeSettingsFile.java
@@ -21,26 +21,26 @@
  * @param policy name of the routing policy
  * @param numbers settings of number analysis, or null
  * @param planner address at which the planner connects, or null
- * @param store file in which the planner stores what it has learnt, or null
- * @param plans file in which the router stores the plans in force, or null
- * @param ahead whether the planner plans for forecast loads
- * @param roster file in which the router stores what directories reported, or null
+ * @param plannerStore file in which the planner stores what it has learnt, or null
+ * @param planStore file in which the router stores the plans in force, or null
+ * @param planAhead whether the planner plans for forecast loads
+ * @param rosterStore file in which the router stores what directories reported, or null
  * @param dns settings for finding routers through DNS, or null
  */
-public record EdgeFile(
+public record EdgeSettingsFile(
         EdgeSettings settings,
         String policy,
-        NumbersFile numbers,
+        NumberAnalysisSettings numbers,
         Hop planner,
-        Path store,
-        Path plans,
-        boolean ahead,
-        Path roster,
+        Path plannerStore,
+        Path planStore,
+        boolean planAhead,
+        Path rosterStore,
         LocatorSettings dns) {
     /**
      * Reads and checks a settings file; throws {@link BadConfig} with the line and key at fault.
      */
-    public static EdgeFile of(TomlSettings toml) throws BadConfig {
+    public static EdgeSettingsFile of(TomlSettings toml) throws BadConfig {
         TomlSettings.Table edge = toml.table("edge");
         int number = edge.integer("number", 0, 65_535);
         long seed = edge.integer("seed", 1, Integer.MAX_VALUE, 1);
@@ -106,18 +106,19 @@
                         maxOpen,
                         seed,
                         StartTags.newTag());
-        if (settings.self().port() == settings.exchange().port()
-                && settings.self().host().equals(settings.exchange().host())) {
+        if (settings.listenAddress().port() == settings.exchangeAddress().port()
+                && settings.listenAddress().host().equals(settings.exchangeAddress().host())) {
             throw edge.invalid("exchange", "is the router's own address");
         }
-        NumbersFile numbers = toml.has("numbers") ? NumbersFile.of(toml.table("numbers")) : null;
+        NumberAnalysisSettings numbers =
+                toml.has("numbers") ? NumberAnalysisSettings.of(toml.table("numbers")) : null;
         LocatorSettings dns =
                 toml.has("dns")
                         ? LocatorSettings.of(
                                 toml.table("dns"),
                                 number,
                                 routerCount,
-                                new SplittableRandom(settings.start().hashCode()))
+                                new SplittableRandom(settings.startTag().hashCode()))
                         : null;
         Hop planner = null;
         String plannerStore = "";
@@ -141,7 +142,7 @@
             }
         }
         toml.rejectUnknownKeys();
-        return new EdgeFile(
+        return new EdgeSettingsFile(
                 settings,
                 policy,
                 numbers,
--- a/src/main/java/coralcove/edge/LocatorSettings.java
+++ b/src/main/java/coralcove/edge/LocatorSettings.java
@@ -11,18 +11,18 @@
  * Settings for finding routers through DNS.
  *
  * @param numbers exchange numbers whose routers are looked up
- * @param pattern domain name with one %d for the number; the SRV record of _sip._{transport}. and
- *     this name is queried
+ * @param namePattern domain name with one %d for the number; the SRV record of _sip._{transport}.
+ *     and this name is queried
  * @param transport udp or tcp
- * @param servers settings of the resolver, with the name servers
- * @param chance source of randomness for the times of queries and the choice of targets
+ * @param resolverSettings settings of the resolver, with the name servers
+ * @param random source of randomness for the times of queries and the choice of targets
  */
 public record LocatorSettings(
         List<Integer> numbers,
-        String pattern,
+        String namePattern,
         String transport,
-        Resolver.Settings servers,
-        RandomGenerator chance) {
+        Resolver.Settings resolverSettings,
+        RandomGenerator random) {
     /** Time-out of one try. No session waits for these look-ups, so it may be long. */
     private static final long TRY_TIMEOUT_US = 1_000_000;
 
@@ -34,11 +34,11 @@
     private static final int MAX_PENDING_QUERIES = 1000;
 
     String name(int number) {
-        return pattern.replace("%d", Integer.toString(number));
+        return namePattern.replace("%d", Integer.toString(number));
     }
 
     /** Resolver settings for looking up routers at these name servers. */
-    public static Resolver.Settings resolver(List<Resolver.Server> servers) {
+    public static Resolver.Settings resolverSettingsFor(List<Resolver.Server> servers) {
         return new Resolver.Settings(
                 servers, TRY_TIMEOUT_US, MAX_TRIES, SOCKETS_PER_SERVER, MAX_PENDING_QUERIES);
     }
@@ -70,7 +70,7 @@
                 List.copyOf(numbers),
                 pattern,
                 table.oneOf("transport", List.of("udp", "tcp"), "udp"),
-                resolver(NumbersFile.servers(table)),
+                resolverSettingsFor(NumberAnalysisSettings.servers(table)),
                 random);
     }
 }
--- a/src/main/java/coralcove/edge/NumberDesk.java
+++ b/src/main/java/coralcove/edge/NumberAnalysisContext.java
@@ -7,25 +7,28 @@
 /**
  * What one router needs to find the far ends of dialled numbers: its number tables, its cache of
  * ported numbers, and a client of the portability server. The answer to a query is delivered by
- * {@link EdgeCore#ported}.
+ * {@link EdgeCore#portabilityAnswered}.
  */
-public final class NumberDesk {
+public final class NumberAnalysisContext {
     /** Sends queries to the portability server. */
-    public interface Asker {
+    public interface PortabilityClient {
         /**
          * Queries the server about a number. Every query ends with one call of {@link
-         * EdgeCore#ported} on the router's own thread.
+         * EdgeCore#portabilityAnswered} on the router's own thread.
          */
-        void ask(long now, long number);
+        void query(long now, long number);
     }
 
     final Tables numberTables;
     final Porting porting;
-    final Asker portabilityClient;
+    final PortabilityClient portabilityClient;
 
     /** Holds at most {@code maxTables} tables, including the one in service. */
-    public NumberDesk(
-            int maxTables, NumberTable first, Porting.Settings settings, Asker portabilityClient) {
+    public NumberAnalysisContext(
+            int maxTables,
+            NumberTable first,
+            Porting.Settings settings,
+            PortabilityClient portabilityClient) {
         numberTables = new Tables(maxTables, first);
         porting = new Porting(settings);
         this.portabilityClient = portabilityClient;
@@ -40,7 +43,7 @@
      * Four counts: answered from memory, queries sent, answered from entries past their lifetime,
      * and calls sent to the donor exchange.
      */
-    public long[] counts() {
+    public long[] portabilityCounts() {
         return porting.counts();
     }
 }
--- a/src/main/java/coralcove/edge/NumbersFile.java
+++ b/src/main/java/coralcove/edge/NumberAnalysisSettings.java
@@ -13,26 +13,26 @@
  *
  * @param table file with the number table
  * @param changes file with changes to the table, or null
- * @param mostTables maximum number tables held at once, including the one in service
+ * @param maxTables maximum number tables held at once, including the one in service
  * @param porting settings of portability queries
  * @param suffix domain under which ported numbers are looked up
  * @param resolver settings of the resolver for portability queries
  */
-public record NumbersFile(
+public record NumberAnalysisSettings(
         Path table,
         Path changes,
-        int mostTables,
+        int maxTables,
         Porting.Settings porting,
         String suffix,
         Resolver.Settings resolver) {
     /** Source ports per server: with the id they make 20 bits that a forger must guess. */
     private static final int SOCKETS_PER_SERVER = 16;
 
-    static NumbersFile of(TomlSettings.Table table) throws BadConfig {
+    static NumberAnalysisSettings of(TomlSettings.Table table) throws BadConfig {
         Porting.Settings porting = porting(table);
         String changes = table.text("changes", "");
         List<Resolver.Server> servers = servers(table);
-        return new NumbersFile(
+        return new NumberAnalysisSettings(
                 Path.of(table.text("table")),
                 changes.isEmpty() ? null : Path.of(changes),
                 table.integer("most_tables", 1, 100, 4),
--- a/src/main/java/coralcove/edge/RosterManager.java
+++ b/src/main/java/coralcove/edge/RosterManager.java
@@ -12,9 +12,9 @@
 import coralcove.sip.dialog.Agent;
 import coralcove.sip.event.Subscriber;
 import coralcove.sip.event.Subscription;
-import coralcove.sources.Belief;
-import coralcove.sources.Listing;
+import coralcove.sources.DirectoryListing;
 import coralcove.sources.Roster;
+import coralcove.sources.RosterEntry;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
@@ -75,7 +75,7 @@
     private volatile Set<Integer> farEnds = Set.of();
 
     /** Receives all reports after each update; null if they are not stored. */
-    private Consumer<List<Roster.Said>> reportSink;
+    private Consumer<List<Roster.SourceReport>> reportSink;
 
     private Timers.Timer authorityTimer;
     private Locator locator;
@@ -110,7 +110,8 @@
      *
      * @return the number of reports used
      */
-    int restore(long now, List<Roster.Said> stored, Consumer<List<Roster.Said>> sink) {
+    int restore(
+            long now, List<Roster.SourceReport> stored, Consumer<List<Roster.SourceReport>> sink) {
         reportSink = sink;
         return roster.restore(now, stored);
     }
@@ -123,7 +124,7 @@
     private void subscribeToTrunkGroups(long now, Out out) {
         subscriber.subscribe(
                 now,
-                settings.exchange(),
+                settings.exchangeAddress(),
                 TRUNK_GROUPS_EVENT,
                 SUBSCRIPTION_SECONDS,
                 -1,
@@ -160,7 +161,7 @@
                     : Subscriber.News.BAD;
         }
         int source = (Integer) subscription.owner();
-        Listing listing;
+        DirectoryListing listing;
         try {
             listing = ExchangeListFormat.parse(notify.text());
         } catch (IllegalArgumentException e) {
@@ -189,7 +190,7 @@
                         + " "
                         + listing.kind()
                         + " "
-                        + listing.lines().size()
+                        + listing.entries().size()
                         + " lines");
         boolean gap = refreshIncompleteLists(now, source, out);
         publishChanges(now, out);
@@ -242,7 +243,7 @@
                         locatorSettings.numbers(),
                         locatorSettings::name,
                         locatorSettings.transport(),
-                        locatorSettings.chance(),
+                        locatorSettings.random(),
                         (name, type) ->
                                 questions.ask(
                                         name,
@@ -290,9 +291,10 @@
                                 address ->
                                         !address.substring(4)
                                                         .equals(
-                                                                settings.self().host()
+                                                                settings.listenAddress().host()
                                                                         + ":"
-                                                                        + settings.self().port())
+                                                                        + settings.listenAddress()
+                                                                                .port())
                                                 && !address.startsWith("udp:["))
                         .toList(),
                 stale);
@@ -314,7 +316,7 @@
         authorityTimer =
                 deadline == Long.MAX_VALUE ? null : timers.set(deadline, this::publishChanges);
         if (reportSink != null) {
-            reportSink.accept(roster.said());
+            reportSink.accept(roster.reports());
         }
         if (changes.isEmpty()) {
             return;
@@ -323,28 +325,28 @@
         listener.rosterChanged(now, changes);
         List<String> logItems = new ArrayList<>();
         for (Exchange exchange : changes) {
-            Belief entry = roster.entry(exchange.id());
+            RosterEntry entry = roster.entry(exchange.id());
             logItems.add(
                     exchange.id()
                             + " "
                             + exchange.phase()
-                            + (entry == null ? "" : " " + entry.why()));
+                            + (entry == null ? "" : " " + entry.reason()));
         }
         out.log("roster", "", String.join(", ", logItems));
     }
 
     /** The location of the router of an exchange; null if the exchange is not in the roster. */
     RouterLocation locationOf(long exchangeId) {
-        Belief entry = roster.entry(exchangeId);
+        RosterEntry entry = roster.entry(exchangeId);
         return entry == null ? null : new RouterLocation(entry.exchange(), routerHop(entry));
     }
 
-    Hop routerHop(Belief entry) {
-        return hopsByAddress.computeIfAbsent(entry.address(), AddressSettings::parse);
+    Hop routerHop(RosterEntry entry) {
+        return hopsByAddress.computeIfAbsent(entry.routerAddress(), AddressSettings::parse);
     }
 
-    Collection<Belief> entries() {
-        return roster.beliefs();
+    Collection<RosterEntry> entries() {
+        return roster.entries();
     }
 
     Set<Integer> farEnds() {
--- a/src/main/java/coralcove/edge/SourcesCore.java
+++ b/src/main/java/coralcove/edge/SourceQueryCore.java
@@ -17,18 +17,19 @@
  * Queries all sources of a router as the router does, but routes nothing. For diagnosis: it shows
  * what the sources report and the roster that results.
  */
-public final class SourcesCore extends CallFreeCore implements RosterManager.Listener, Locating {
+public final class SourceQueryCore extends CallFreeCore
+        implements RosterManager.Listener, DnsDiscoveryCore {
     private final RosterManager rosterManager;
 
-    public SourcesCore(EdgeSettings settings) {
-        super(settings.self(), settings.start());
+    public SourceQueryCore(EdgeSettings settings) {
+        super(settings.listenAddress(), settings.startTag());
         rosterManager =
                 new RosterManager(
                         settings,
                         agent,
                         timers,
                         this,
-                        new SplittableRandom(settings.start().hashCode()));
+                        new SplittableRandom(settings.startTag().hashCode()));
     }
 
     @Override
@@ -37,7 +38,7 @@
     }
 
     @Override
-    public void locate(
+    public void startDnsDiscovery(
             long now,
             LocatorSettings settings,
             Questions questions,
@@ -46,7 +47,7 @@
     }
 
     @Override
-    public void found(long now, LocatorResult result, Out out) {
+    public void dnsAnswered(long now, LocatorResult result, Out out) {
         rosterManager.dnsAnswered(now, result, out);
     }
 
--- a/src/main/java/coralcove/portability/PortabilityService.java
+++ b/src/main/java/coralcove/portability/PortabilityService.java
@@ -9,7 +9,7 @@
 import coralcove.dns.transport.DnsClient;
 import coralcove.dns.transport.DnsServer;
 import coralcove.edge.EdgeCore;
-import coralcove.edge.NumberDesk;
+import coralcove.edge.NumberAnalysisContext;
 import coralcove.network.Network;
 import coralcove.network.VirtualDns;
 import coralcove.numbers.Digits;
@@ -42,7 +42,7 @@
     int MAX_OUTSTANDING_QUERIES = 2000;
 
     /** Returns the portability client of the router that runs as {@code node}. */
-    NumberDesk.Asker clientFor(String node, Supplier<EdgeCore> core);
+    NumberAnalysisContext.PortabilityClient clientFor(String node, Supplier<EdgeCore> core);
 
     /**
      * Makes the server show a fault from now on, or answer correctly again.
@@ -84,7 +84,7 @@
                 node,
                 (now, out) ->
                         core.get()
-                                .ported(
+                                .portabilityAnswered(
                                         now,
                                         number,
                                         finalOutcome,
@@ -94,7 +94,7 @@
     }
 
     /** Returns a portability client that uses this resolver; the caller closes the resolver. */
-    static NumberDesk.Asker clientUsing(
+    static NumberAnalysisContext.PortabilityClient clientUsing(
             Questions client,
             String suffix,
             Network network,
@@ -118,7 +118,8 @@
         List<DnsClient> clients = new ArrayList<>();
         return new PortabilityService() {
             @Override
-            public NumberDesk.Asker clientFor(String node, Supplier<EdgeCore> core) {
+            public NumberAnalysisContext.PortabilityClient clientFor(
+                    String node, Supplier<EdgeCore> core) {
                 DnsClient client =
                         new DnsClient(
                                 new Resolver.Settings(
@@ -149,7 +150,8 @@
     static PortabilityService virtual(Network network, DnsStandIn server, long seed) {
         return new PortabilityService() {
             @Override
-            public NumberDesk.Asker clientFor(String node, Supplier<EdgeCore> core) {
+            public NumberAnalysisContext.PortabilityClient clientFor(
+                    String node, Supplier<EdgeCore> core) {
                 VirtualDns client =
                         new VirtualDns(
                                 network,
--- a/src/main/java/coralcove/portability/RouterLocators.java
+++ b/src/main/java/coralcove/portability/RouterLocators.java
@@ -1,7 +1,7 @@
 package coralcove.portability;
 
 import coralcove.dns.Questions;
-import coralcove.edge.Locating;
+import coralcove.edge.DnsDiscoveryCore;
 import coralcove.edge.LocatorSettings;
 import coralcove.network.Network;
 
@@ -16,13 +16,13 @@
     public static void connect(
             Network network,
             String node,
-            Locating core,
+            DnsDiscoveryCore core,
             LocatorSettings settings,
             Questions questions) {
         network.on(
                 node,
                 (now, out) ->
-                        core.locate(
+                        core.startDnsDiscovery(
                                 now,
                                 settings,
                                 questions,
@@ -30,6 +30,7 @@
                                         network.on(
                                                 node,
                                                 (foundAt, foundOut) ->
-                                                        core.found(foundAt, result, foundOut))));
+                                                        core.dnsAnswered(
+                                                                foundAt, result, foundOut))));
     }
 }
--- a/src/main/java/coralcove/protocol/ExchangeListFormat.java
+++ b/src/main/java/coralcove/protocol/ExchangeListFormat.java
@@ -1,7 +1,7 @@
 package coralcove.protocol;
 
-import coralcove.sources.Life;
-import coralcove.sources.Listing;
+import coralcove.sources.DirectoryListing;
+import coralcove.sources.Liveness;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -21,7 +21,7 @@
      *
      * @throws IllegalArgumentException if any part is malformed; the rest is then not used either
      */
-    public static Listing parse(String text) {
+    public static DirectoryListing parse(String text) {
         List<String> textLines = text.lines().toList();
         String[] header = textLines.isEmpty() ? new String[0] : textLines.get(0).split(" ");
         if (header.length < 5
@@ -30,24 +30,25 @@
                 || !header[2].equals("version")) {
             throw new IllegalArgumentException("the first line is not \"epoch E version V KIND\"");
         }
-        Listing.Kind kind =
+        DirectoryListing.Kind kind =
                 switch (header[4]) {
-                    case "whole" -> Listing.Kind.WHOLE;
-                    case "learning" -> Listing.Kind.LEARNING;
-                    case "changes" -> Listing.Kind.CHANGES;
+                    case "whole" -> DirectoryListing.Kind.WHOLE;
+                    case "learning" -> DirectoryListing.Kind.LEARNING;
+                    case "changes" -> DirectoryListing.Kind.CHANGES;
                     default ->
                             throw new IllegalArgumentException(
                                     "\"" + header[4] + "\" is not a kind of list");
                 };
-        if (kind == Listing.Kind.CHANGES && (header.length != 7 || !header[5].equals("after"))) {
+        if (kind == DirectoryListing.Kind.CHANGES
+                && (header.length != 7 || !header[5].equals("after"))) {
             throw new IllegalArgumentException("a list of changes needs \"after M\"");
         }
-        long after = kind == Listing.Kind.CHANGES ? parseCount(header[6]) : 0;
-        List<Listing.Line> lines = new ArrayList<>();
+        long after = kind == DirectoryListing.Kind.CHANGES ? parseCount(header[6]) : 0;
+        List<DirectoryListing.Entry> lines = new ArrayList<>();
         for (String textLine : textLines.subList(1, textLines.size())) {
             lines.add(parseLine(textLine));
         }
-        return new Listing(header[1], parseCount(header[3]), kind, after, lines);
+        return new DirectoryListing(header[1], parseCount(header[3]), kind, after, lines);
     }
 
     /**
@@ -55,7 +56,7 @@
      *
      * @throws IllegalArgumentException if it is malformed
      */
-    public static Listing.Line parseLine(String text) {
+    public static DirectoryListing.Entry parseLine(String text) {
         String[] parts = text.split(" ");
         if (parts.length != FIELDS
                 || !parts[1].matches("\\d{1,5}")
@@ -64,19 +65,19 @@
             throw new IllegalArgumentException("a line of an exchange is malformed");
         }
         long beat = parseCount(parts[4]);
-        Life life =
-                new Life(
+        Liveness life =
+                new Liveness(
                         parseCount(parts[3]),
                         beat,
                         parts[2].equals("draining"),
-                        parts[2].equals("silent") ? beat : Life.HEARD,
+                        parts[2].equals("silent") ? beat : Liveness.NOT_SILENT,
                         parts[2].equals("left"),
                         Integer.parseInt(parts[1]),
                         parts[6]);
-        return new Listing.Line(
+        return new DirectoryListing.Entry(
                 parseCount(parts[0]),
                 life,
-                parts[5].equals("-") ? Listing.LONG_AGO : parseCount(parts[5]));
+                parts[5].equals("-") ? DirectoryListing.LONG_AGO : parseCount(parts[5]));
     }
 
     private static long parseCount(String text) {
@@ -87,7 +88,8 @@
     }
 
     /** Returns the first line of a list; {@code after} counts only for changes. */
-    public static String formatHeader(String epoch, long version, Listing.Kind kind, long after) {
+    public static String formatHeader(
+            String epoch, long version, DirectoryListing.Kind kind, long after) {
         return "epoch "
                 + epoch
                 + " version "
@@ -99,7 +101,9 @@
                 };
     }
 
-    /** Returns the line of one exchange; {@code age} is in µs or {@link Listing#LONG_AGO}. */
+    /**
+     * Returns the line of one exchange; {@code age} is in µs or {@link DirectoryListing#LONG_AGO}.
+     */
     public static String formatLine(
             long id, int number, String phase, long start, long beat, long age, String address) {
         return id
@@ -112,7 +116,7 @@
                 + " "
                 + beat
                 + " "
-                + (age == Listing.LONG_AGO ? "-" : Long.toString(age))
+                + (age == DirectoryListing.LONG_AGO ? "-" : Long.toString(age))
                 + " "
                 + address;
     }
--- a/src/main/java/coralcove/rehearsal/DayFile.java
+++ b/src/main/java/coralcove/rehearsal/DayFile.java
@@ -3,7 +3,7 @@
 import coralcove.config.BadConfig;
 import coralcove.config.ServiceTable;
 import coralcove.config.TomlSettings;
-import coralcove.edge.NumbersFile;
+import coralcove.edge.NumberAnalysisSettings;
 import coralcove.exchange.Arrival;
 import coralcove.exchange.ExchangeSettings;
 import coralcove.judge.Rules;
@@ -229,7 +229,7 @@
                 table.microsFromMillis("server_ms", 0.001, 10_000, 4),
                 table.integer("life_s", 1, 86_400, 300),
                 table.integer("most_tables", 1, 100, 4),
-                NumbersFile.porting(table));
+                NumberAnalysisSettings.porting(table));
     }
 
     private static List<InjectedFault> readFaults(TomlSettings toml, int[] zones, long length)
--- a/src/main/java/coralcove/rehearsal/DnsDiscovery.java
+++ b/src/main/java/coralcove/rehearsal/DnsDiscovery.java
@@ -58,7 +58,7 @@
         }
         nameServer = new DnsStandIn(zone, RESPONSE_DELAY_US, new SplittableRandom(seed));
         resolverSettings =
-                LocatorSettings.resolver(
+                LocatorSettings.resolverSettingsFor(
                         List.of(new Resolver.Server("127.0.0.1", Math.max(1, port))));
         if (port > 0) {
             try {
--- a/src/main/java/coralcove/rehearsal/ScenarioRun.java
+++ b/src/main/java/coralcove/rehearsal/ScenarioRun.java
@@ -8,7 +8,7 @@
 import coralcove.dns.DnsStandIn;
 import coralcove.edge.EdgeCore;
 import coralcove.edge.EdgeSettings;
-import coralcove.edge.NumberDesk;
+import coralcove.edge.NumberAnalysisContext;
 import coralcove.exchange.Arrival;
 import coralcove.exchange.ExchangeCore;
 import coralcove.exchange.ExchangeSettings;
@@ -76,9 +76,9 @@
     private final Stats[] stats;
     private final Map<String, ExchangeCore> exchanges = new HashMap<>();
     private final Map<String, EdgeCore> edges = new LinkedHashMap<>();
-    private final List<NumberDesk> numberContexts = new ArrayList<>();
+    private final List<NumberAnalysisContext> numberContexts = new ArrayList<>();
     private final Map<Integer, RouterPlanner> planners = new LinkedHashMap<>();
-    private final Map<Integer, List<Roster.Said>> storedReports = new ConcurrentHashMap<>();
+    private final Map<Integer, List<Roster.SourceReport>> storedReports = new ConcurrentHashMap<>();
     private final DialPlan dialPlan;
     private final PortabilityService portability;
     private final Histogram planAges = new Histogram(PlannedTargetSource.STALE_AGE_MICROS, 3);
@@ -248,9 +248,12 @@
      */
     public long[] portabilityCounts() {
         long[] total =
-                new long[numberContexts.isEmpty() ? 0 : numberContexts.get(0).counts().length];
-        for (NumberDesk numberContext : numberContexts) {
-            long[] each = numberContext.counts();
+                new long
+                        [numberContexts.isEmpty()
+                                ? 0
+                                : numberContexts.get(0).portabilityCounts().length];
+        for (NumberAnalysisContext numberContext : numberContexts) {
+            long[] each = numberContext.portabilityCounts();
             for (int i = 0; i < total.length; i++) {
                 total[i] += each[i];
             }
@@ -262,7 +265,8 @@
     private void replaceNumberTable() {
         NumberTable table = dialPlan.table(++tableVersion);
         edges.forEach(
-                (name, core) -> network.on(name, (now, out) -> core.replace(now, table, out)));
+                (name, core) ->
+                        network.on(name, (now, out) -> core.replaceNumberTable(now, table, out)));
     }
 
     /** Returns the far ends that the judge accepts for a number dialled at a given time. */
@@ -321,13 +325,13 @@
                                 ? RouterPlanner.virtual(
                                         network,
                                         name,
-                                        settings.module(),
+                                        settings.policySettings(),
                                         seed * 1000 + number,
                                         scenario.planners().planAhead())
                                 : RouterPlanner.live(
                                         network,
                                         name,
-                                        settings.module(),
+                                        settings.policySettings(),
                                         seed * 1000 + number,
                                         scenario.planners().planAhead(),
                                         firstPort + 2 * scenario.exchanges() + 2 + number);
@@ -336,23 +340,23 @@
                         settings,
                         planner == null
                                 ? RoutingPolicies.create(
-                                        policy, settings.module(), seed * 1000 + number)
+                                        policy, settings.policySettings(), seed * 1000 + number)
                                 : new ExponentialPenaltyRouter(
-                                        settings.module(),
+                                        settings.policySettings(),
                                         new SplittableRandom(seed * 1000 + number),
                                         planner.plannedTargets));
         if (dialPlan != null) {
-            NumberDesk numberContext =
-                    new NumberDesk(
+            NumberAnalysisContext numberContext =
+                    new NumberAnalysisContext(
                             scenario.numberPlan().maxTables(),
                             dialPlan.table(tableVersion),
                             scenario.numberPlan().porting(),
                             portability.clientFor(name, () -> core));
             numberContexts.add(numberContext);
-            core.numbers(numberContext);
+            core.attachNumberAnalysis(numberContext);
         }
         // Reports that a router would find on its disk after a kill.
-        core.resume(
+        core.restoreRoster(
                 network.now(),
                 storedReports.getOrDefault(number, List.of()),
                 reports -> storedReports.put(number, reports));
@@ -367,7 +371,7 @@
                 previous.kill();
             }
             EdgeLink.Out edgeOutput = planner.openEdgeOutput();
-            network.on(name, (now, out) -> core.planner(now, planner.link, edgeOutput));
+            network.on(name, (now, out) -> core.attachPlanner(now, planner.link, edgeOutput));
             planner.start();
         }
     }
--- a/src/main/java/coralcove/sources/Listing.java
+++ b/src/main/java/coralcove/sources/DirectoryListing.java
@@ -8,10 +8,11 @@
  * @param epoch chosen when the directory starts
  * @param version counts the directory's changes within its epoch
  * @param kind how complete the listing is
- * @param after version that a listing of kind {@link Kind#CHANGES} builds on
- * @param lines the exchanges
+ * @param afterVersion version that a listing of kind {@link Kind#CHANGES} builds on
+ * @param entries the exchanges
  */
-public record Listing(String epoch, long version, Kind kind, long after, List<Line> lines) {
+public record DirectoryListing(
+        String epoch, long version, Kind kind, long afterVersion, List<Entry> entries) {
     /** How complete a listing is. The names appear in the log. */
     public enum Kind {
         /** Names every exchange that is up. */
@@ -29,10 +30,10 @@
      * One exchange instance.
      *
      * @param id id of the instance
-     * @param life its liveness as known to the directory
+     * @param liveness its liveness as known to the directory
      * @param age µs from its start to the sending of the listing, or {@link #LONG_AGO}
      */
-    public record Line(long id, Life life, long age) {}
+    public record Entry(long id, Liveness liveness, long age) {}
 
     /** Age of an exchange that started too long ago to be cold. */
     public static final long LONG_AGO = -1;
--- a/src/main/java/coralcove/sources/Roster.java
+++ b/src/main/java/coralcove/sources/Roster.java
@@ -2,7 +2,7 @@
 
 import coralcove.Exchange;
 import coralcove.Exchange.Phase;
-import coralcove.sources.Belief.Why;
+import coralcove.sources.RosterEntry.Reason;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
@@ -20,7 +20,7 @@
  */
 public final class Roster {
     /** How much a directory's list still counts, by the time since it was last renewed. */
-    public enum Say {
+    public enum ListAuthority {
         /** No list has been received. */
         NONE,
         /** Renewed recently: also proves who is missing. */
@@ -45,11 +45,12 @@
      *
      * @param source name of the source
      * @param id id of the exchange instance
-     * @param life its liveness
-     * @param since time of its start; 0 for long ago
-     * @param renewed time at which the source's list was last renewed
+     * @param liveness its liveness
+     * @param startedAt time of its start; 0 for long ago
+     * @param renewedAt time at which the source's list was last renewed
      */
-    public record Said(String source, long id, Life life, long since, long renewed) {}
+    public record SourceReport(
+            String source, long id, Liveness liveness, long startedAt, long renewedAt) {}
 
     /**
      * Time after its last renewal for which a list proves who is missing: two and a half lifetimes
@@ -81,7 +82,7 @@
     /** What one directory has reported. */
     private static final class Directory {
         final String name;
-        final Map<Long, Life> livenessById = new LinkedHashMap<>();
+        final Map<Long, Liveness> livenessById = new LinkedHashMap<>();
 
         /** Exchanges that a complete list no longer named, with the time this was first seen. */
         final Map<Long, Long> missingSince = new LinkedHashMap<>();
@@ -96,21 +97,21 @@
         boolean complete;
 
         boolean completeListWanted;
-        Say lastAuthority = Say.NONE;
+        ListAuthority lastAuthority = ListAuthority.NONE;
         boolean lastComplete;
 
         Directory(String name) {
             this.name = name;
         }
 
-        Say authority(long now) {
+        ListAuthority authority(long now) {
             if (renewedAt == Long.MIN_VALUE) {
-                return Say.NONE;
+                return ListAuthority.NONE;
             }
             long age = now - renewedAt;
             return age < FRESH_FOR_US
-                    ? Say.FRESH
-                    : age < EXPIRES_AFTER_US ? Say.STALE : Say.EXPIRED;
+                    ? ListAuthority.FRESH
+                    : age < EXPIRES_AFTER_US ? ListAuthority.STALE : ListAuthority.EXPIRED;
         }
     }
 
@@ -132,7 +133,7 @@
     private final List<Directory> directories = new ArrayList<>();
     private final Map<Long, Start> starts = new HashMap<>();
     private final TreeMap<Integer, DnsRecord> dnsRecords = new TreeMap<>();
-    private final Map<Long, Belief> entries = new LinkedHashMap<>();
+    private final Map<Long, RosterEntry> entries = new LinkedHashMap<>();
     private final Set<Long> changedIds = new TreeSet<>();
 
     /** Last pseudo id given to a DNS address; these ids are negative. */
@@ -156,7 +157,7 @@
      * Applies a listing received within a subscription. Its lines count in any order; versions only
      * reveal gaps and who is missing.
      */
-    public ListingRejection applyListing(long now, int source, Listing listing) {
+    public ListingRejection applyListing(long now, int source, DirectoryListing listing) {
         Directory directory = directories.get(source);
         if (!directory.epoch.isEmpty() && !directory.epoch.equals(listing.epoch())) {
             return ListingRejection.OTHER_EPOCH;
@@ -165,11 +166,13 @@
             return ListingRejection.OLDER_VERSION;
         }
         long unknown =
-                listing.lines().stream()
+                listing.entries().stream()
                         .filter(line -> !directory.livenessById.containsKey(line.id()))
                         .count();
         if (directory.livenessById.size()
-                        - (listing.kind() == Listing.Kind.WHOLE ? directory.missingSince.size() : 0)
+                        - (listing.kind() == DirectoryListing.Kind.WHOLE
+                                ? directory.missingSince.size()
+                                : 0)
                         + unknown
                 > MAX_INSTANCES_PER_SOURCE) {
             return ListingRejection.TOO_LONG;
@@ -178,32 +181,33 @@
         directory.epoch = listing.epoch();
         directory.renewedAt = now;
         Set<Long> listedIds = new TreeSet<>();
-        for (Listing.Line line : listing.lines()) {
+        for (DirectoryListing.Entry line : listing.entries()) {
             listedIds.add(line.id());
             applyLine(now, directory, line);
         }
-        if (listing.kind() == Listing.Kind.CHANGES) {
-            directory.completeListWanted |= first || listing.after() > directory.version;
+        if (listing.kind() == DirectoryListing.Kind.CHANGES) {
+            directory.completeListWanted |= first || listing.afterVersion() > directory.version;
             directory.complete &= !first;
         } else {
             directory.completeListWanted = false;
-            directory.complete = listing.kind() == Listing.Kind.WHOLE;
+            directory.complete = listing.kind() == DirectoryListing.Kind.WHOLE;
         }
         directory.version = Math.max(first ? 0 : directory.version, listing.version());
-        if (directory.complete && listing.kind() == Listing.Kind.WHOLE) {
+        if (directory.complete && listing.kind() == DirectoryListing.Kind.WHOLE) {
             markMissing(now, directory, listedIds);
         }
         return ListingRejection.NONE;
     }
 
-    private void applyLine(long now, Directory directory, Listing.Line line) {
-        Life before = directory.livenessById.get(line.id());
-        Life after = before == null ? line.life() : before.join(line.life());
+    private void applyLine(long now, Directory directory, DirectoryListing.Entry line) {
+        Liveness before = directory.livenessById.get(line.id());
+        Liveness after = before == null ? line.liveness() : before.join(line.liveness());
         Start start = starts.get(line.id());
-        if (start == null || line.life().start() > start.startNumber) {
+        if (start == null || line.liveness().startNumber() > start.startNumber) {
             // The listing gives an age, not a date: the clocks of two machines need not agree.
-            long startedAt = line.age() == Listing.LONG_AGO ? 0 : Math.max(1, now - line.age());
-            starts.put(line.id(), new Start(line.life().start(), startedAt));
+            long startedAt =
+                    line.age() == DirectoryListing.LONG_AGO ? 0 : Math.max(1, now - line.age());
+            starts.put(line.id(), new Start(line.liveness().startNumber(), startedAt));
         }
         if (!after.equals(before)) {
             directory.livenessById.put(line.id(), after);
@@ -212,7 +216,7 @@
         if (after.phase() != Phase.GONE) {
             directory.missingSince.remove(line.id());
         }
-        if (after.silent()) {
+        if (after.isSilent()) {
             requestContradictingLists(now, directory, line.id(), after);
         }
     }
@@ -221,15 +225,16 @@
      * One directory reports an exchange silent: requests complete lists from the directories that
      * still list it, since they may have received a later heartbeat.
      */
-    private void requestContradictingLists(long now, Directory reporter, long id, Life reported) {
+    private void requestContradictingLists(
+            long now, Directory reporter, long id, Liveness reported) {
         for (Directory other : directories) {
-            Life known = other.livenessById.get(id);
+            Liveness known = other.livenessById.get(id);
             if (other != reporter
                     && known != null
-                    && other.authority(now) == Say.FRESH
-                    && known.start() == reported.start()
+                    && other.authority(now) == ListAuthority.FRESH
+                    && known.startNumber() == reported.startNumber()
                     && known.phase() != Phase.GONE
-                    && known.beat() <= reported.quiet()) {
+                    && known.heartbeat() <= reported.silentAfter()) {
                 other.completeListWanted = true;
             }
         }
@@ -240,10 +245,10 @@
      * that this directory reported.
      */
     private void markMissing(long now, Directory directory, Set<Long> listedIds) {
-        for (Map.Entry<Long, Life> each : directory.livenessById.entrySet()) {
+        for (Map.Entry<Long, Liveness> each : directory.livenessById.entrySet()) {
             if (!listedIds.contains(each.getKey())
                     && directory.missingSince.putIfAbsent(each.getKey(), now) == null) {
-                each.setValue(each.getValue().missed());
+                each.setValue(each.getValue().markedSilent());
                 changedIds.add(each.getKey());
                 requestContradictingLists(now, directory, each.getKey(), each.getValue());
             }
@@ -314,25 +319,27 @@
      *
      * @return the number of reports used
      */
-    public int restore(long now, List<Said> reports) {
+    public int restore(long now, List<SourceReport> reports) {
         int restored = 0;
-        for (Said report : reports) {
+        for (SourceReport report : reports) {
             for (Directory directory : directories) {
                 if (directory.name.equals(report.source)
                         && directory.livenessById.size() < MAX_INSTANCES_PER_SOURCE) {
-                    directory.livenessById.merge(report.id, report.life, Life::join);
+                    directory.livenessById.merge(report.id, report.liveness, Liveness::join);
                     // A time in the future means that the clock was set back: the list is stale at
                     // once, and its exchanges count as cold from now.
-                    long renewedAt = report.renewed > now ? now - FRESH_FOR_US : report.renewed;
+                    long renewedAt = report.renewedAt > now ? now - FRESH_FOR_US : report.renewedAt;
                     directory.renewedAt =
                             Math.max(directory.renewedAt, Math.min(renewedAt, now - FRESH_FOR_US));
                     Start start = starts.get(report.id);
-                    if (start == null || report.life.start() > start.startNumber) {
+                    if (start == null || report.liveness.startNumber() > start.startNumber) {
                         starts.put(
                                 report.id,
-                                new Start(report.life.start(), Math.min(report.since, now)));
+                                new Start(
+                                        report.liveness.startNumber(),
+                                        Math.min(report.startedAt, now)));
                     }
-                    if (report.life.phase() == Phase.GONE) {
+                    if (report.liveness.phase() == Phase.GONE) {
                         directory.missingSince.putIfAbsent(report.id, now);
                     }
                     changedIds.add(report.id);
@@ -367,15 +374,15 @@
                 });
         List<Exchange> changes = new ArrayList<>();
         for (long id : changedIds) {
-            Belief before = entries.get(id);
-            Belief after = id == 0 ? null : id < 0 ? mergeDns(now, id) : mergeLists(now, id);
+            RosterEntry before = entries.get(id);
+            RosterEntry after = id == 0 ? null : id < 0 ? mergeDns(now, id) : mergeLists(now, id);
             if (after == null && before != null) {
                 Exchange old = before.exchange();
                 after =
-                        new Belief(
+                        new RosterEntry(
                                 new Exchange(id, old.number(), Phase.GONE, old.startedAt()),
-                                before.address(),
-                                id < 0 ? Why.DNS_DROPPED : Why.OUTLIVED);
+                                before.routerAddress(),
+                                id < 0 ? Reason.DNS_DROPPED : Reason.OUTLIVED);
             }
             boolean neverReported =
                     before == null
@@ -405,7 +412,7 @@
 
     private int numberOf(long id) {
         for (Directory directory : directories) {
-            Life liveness = directory.livenessById.get(id);
+            Liveness liveness = directory.livenessById.get(id);
             if (liveness != null) {
                 return liveness.number();
             }
@@ -430,50 +437,50 @@
     public long nextAuthorityChange(long now) {
         long next = Long.MAX_VALUE;
         for (Directory directory : directories) {
-            Say authority = directory.authority(now);
+            ListAuthority authority = directory.authority(now);
             long step =
-                    authority == Say.FRESH
+                    authority == ListAuthority.FRESH
                             ? FRESH_FOR_US
-                            : authority == Say.STALE ? EXPIRES_AFTER_US : 0;
+                            : authority == ListAuthority.STALE ? EXPIRES_AFTER_US : 0;
             next = step == 0 ? next : Math.min(next, directory.renewedAt + step);
         }
         return next;
     }
 
     /** Merges all directories' reports about one exchange instance; null if there are none. */
-    private Belief mergeLists(long now, long id) {
-        Life liveness = null;
+    private RosterEntry mergeLists(long now, long id) {
+        Liveness liveness = null;
         boolean fresh = false;
         boolean onlyExpired = true;
         boolean freshCompleteList = false;
         for (Directory directory : directories) {
-            Say authority = directory.authority(now);
-            Life reported = directory.livenessById.get(id);
-            freshCompleteList |= authority == Say.FRESH && directory.complete;
+            ListAuthority authority = directory.authority(now);
+            Liveness reported = directory.livenessById.get(id);
+            freshCompleteList |= authority == ListAuthority.FRESH && directory.complete;
             if (reported != null) {
                 liveness = liveness == null ? reported : liveness.join(reported);
-                fresh |= authority == Say.FRESH;
-                onlyExpired &= authority == Say.EXPIRED;
+                fresh |= authority == ListAuthority.FRESH;
+                onlyExpired &= authority == ListAuthority.EXPIRED;
             }
         }
         if (liveness == null) {
             return null;
         }
-        Why reason =
+        Reason reason =
                 liveness.left()
-                        ? Why.LEFT
-                        : liveness.silent()
-                                ? Why.SILENT
+                        ? Reason.LEFT
+                        : liveness.isSilent()
+                                ? Reason.SILENT
                                 : onlyExpired && freshCompleteList
-                                        ? Why.OUTLIVED
-                                        : liveness.drains()
-                                                ? Why.DRAINS
-                                                : fresh ? Why.LISTED : Why.LIST_OLD;
-        Phase phase = reason == Why.OUTLIVED ? Phase.GONE : liveness.phase();
+                                        ? Reason.OUTLIVED
+                                        : liveness.draining()
+                                                ? Reason.DRAINS
+                                                : fresh ? Reason.LISTED : Reason.LIST_OLD;
+        Phase phase = reason == Reason.OUTLIVED ? Phase.GONE : liveness.phase();
         Start start = starts.get(id);
         long startedAt =
-                start != null && start.startNumber == liveness.start() ? start.startedAt : 0;
-        return new Belief(
+                start != null && start.startNumber == liveness.startNumber() ? start.startedAt : 0;
+        return new RosterEntry(
                 new Exchange(id, liveness.number(), phase, startedAt), liveness.address(), reason);
     }
 
@@ -481,36 +488,36 @@
      * The entry of a DNS address. It counts only while no directory lists an active exchange with
      * its number, and never at an address that a directory has reported gone.
      */
-    private Belief mergeDns(long now, long id) {
+    private RosterEntry mergeDns(long now, long id) {
         for (Map.Entry<Integer, DnsRecord> each : dnsRecords.entrySet()) {
             DnsRecord dnsRecord = each.getValue();
             if (dnsId(dnsRecord) != id) {
                 continue;
             }
-            Why reason = Why.DNS_ONLY;
+            Reason reason = Reason.DNS_ONLY;
             for (Map.Entry<Integer, DnsRecord> other : dnsRecords.entrySet()) {
                 // A router serves one number: an address of two numbers comes from a wildcard or a
                 // mistake, and its owner is unknown.
                 if (!other.getKey().equals(each.getKey())
                         && other.getValue().currentAddress.equals(dnsRecord.currentAddress)) {
-                    reason = Why.DNS_SHARED;
+                    reason = Reason.DNS_SHARED;
                 }
             }
             for (Directory directory : directories) {
-                for (Map.Entry<Long, Life> line : directory.livenessById.entrySet()) {
-                    Belief listed =
+                for (Map.Entry<Long, Liveness> line : directory.livenessById.entrySet()) {
+                    RosterEntry listed =
                             line.getValue().number() == each.getKey()
                                     ? mergeLists(now, line.getKey())
                                     : null;
                     if (listed != null
                             && (listed.exchange().phase() != Phase.GONE
-                                    || listed.address().equals(dnsRecord.currentAddress))) {
-                        reason = Why.DNS_YIELDS;
+                                    || listed.routerAddress().equals(dnsRecord.currentAddress))) {
+                        reason = Reason.DNS_YIELDS;
                     }
                 }
             }
-            Phase phase = reason == Why.DNS_ONLY ? Phase.READY : Phase.GONE;
-            return new Belief(
+            Phase phase = reason == Reason.DNS_ONLY ? Phase.READY : Phase.GONE;
+            return new RosterEntry(
                     new Exchange(
                             id,
                             each.getKey(),
@@ -523,12 +530,12 @@
     }
 
     /** The entry of one exchange instance, or null if it is not in the roster. */
-    public Belief entry(long id) {
+    public RosterEntry entry(long id) {
         return entries.get(id);
     }
 
     /** All entries, including those of exchanges that are gone but still remembered. */
-    public Collection<Belief> beliefs() {
+    public Collection<RosterEntry> entries() {
         return entries.values();
     }
 
@@ -543,23 +550,23 @@
     }
 
     /** How much the list of a directory counts at {@code now}. */
-    public Say say(long now, int source) {
+    public ListAuthority listAuthority(long now, int source) {
         return directories.get(source).authority(now);
     }
 
     /** Everything that directories have reported, for the store and for diagnosis. */
-    public List<Said> said() {
-        List<Said> reports = new ArrayList<>();
+    public List<SourceReport> reports() {
+        List<SourceReport> reports = new ArrayList<>();
         for (Directory directory : directories) {
             directory.livenessById.forEach(
                     (id, liveness) -> {
                         Start start = starts.get(id);
                         reports.add(
-                                new Said(
+                                new SourceReport(
                                         directory.name,
                                         id,
                                         liveness,
-                                        start != null && start.startNumber == liveness.start()
+                                        start != null && start.startNumber == liveness.startNumber()
                                                 ? start.startedAt
                                                 : 0,
                                         directory.renewedAt));
--- a/src/main/java/coralcove/sources/Belief.java
+++ b/src/main/java/coralcove/sources/RosterEntry.java
@@ -6,12 +6,12 @@
  * One entry of the roster.
  *
  * @param exchange the exchange and its state, as reported to the routing policy
- * @param address address of its router
- * @param why reason for the state
+ * @param routerAddress address of its router
+ * @param reason reason for the state
  */
-public record Belief(Exchange exchange, String address, Why why) {
+public record RosterEntry(Exchange exchange, String routerAddress, Reason reason) {
     /** What the state of a roster entry rests on. The names appear in the log. */
-    public enum Why {
+    public enum Reason {
         /** A list that is being renewed names the exchange. */
         LISTED,
         /** Only lists that are no longer renewed name it; the router keeps using it. */
--- a/src/main/java/coralcove/sources/store/RosterStore.java
+++ b/src/main/java/coralcove/sources/store/RosterStore.java
@@ -1,6 +1,6 @@
 package coralcove.sources.store;
 
-import coralcove.sources.Life;
+import coralcove.sources.Liveness;
 import coralcove.sources.Roster;
 import coralcove.store.EntryStore;
 import java.nio.charset.StandardCharsets;
@@ -29,8 +29,9 @@
 
     private static final int FIELDS = 13;
 
-    private final EntryStore<String, Roster.Said> store;
-    private final AtomicReference<List<Roster.Said>> pendingReports = new AtomicReference<>();
+    private final EntryStore<String, Roster.SourceReport> store;
+    private final AtomicReference<List<Roster.SourceReport>> pendingReports =
+            new AtomicReference<>();
     private final Thread writer = new Thread(this::writePeriodically, "roster-store");
 
     /** Opens or creates the store; {@code warnings} receives what could not be read or written. */
@@ -54,20 +55,20 @@
          *
          * @return the number of stored reports used
          */
-        int resume(List<Roster.Said> stored, Consumer<List<Roster.Said>> sink);
+        int restore(List<Roster.SourceReport> stored, Consumer<List<Roster.SourceReport>> sink);
     }
 
     /** Restores a router from the store at {@code path} and stores its reports until it exits. */
-    public static void keep(Path path, String node, RestorableRouter router) {
+    public static void restoreAndStore(Path path, String node, RestorableRouter router) {
         Logger log = LoggerFactory.getLogger(node);
         RosterStore store = new RosterStore(path, warning -> log.warn("roster: {}", warning));
-        int restored = router.resume(store.read(), store::save);
+        int restored = router.restore(store.read(), store::save);
         store.start();
         log.info("roster: {} entries restored from the previous run", restored);
     }
 
     /** All valid entries; must be called before {@link #start}. */
-    public List<Roster.Said> read() {
+    public List<Roster.SourceReport> read() {
         return store.read();
     }
 
@@ -78,7 +79,7 @@
     }
 
     /** Sets what the store is to hold from now on. Called on the router's thread; never blocks. */
-    public void save(List<Roster.Said> reports) {
+    public void save(List<Roster.SourceReport> reports) {
         pendingReports.set(reports);
     }
 
@@ -94,34 +95,34 @@
     }
 
     private void flush() {
-        List<Roster.Said> reports = pendingReports.getAndSet(null);
+        List<Roster.SourceReport> reports = pendingReports.getAndSet(null);
         if (reports != null) {
             store.replace(reports);
         }
     }
 
-    private static byte[] encode(Roster.Said report) {
-        Life liveness = report.life();
+    private static byte[] encode(Roster.SourceReport report) {
+        Liveness liveness = report.liveness();
         String text =
                 String.join(
                         " ",
                         FORMAT_VERSION,
                         report.source(),
                         Long.toString(report.id()),
-                        Long.toString(liveness.start()),
-                        Long.toString(liveness.beat()),
-                        Boolean.toString(liveness.drains()),
-                        Long.toString(liveness.quiet()),
+                        Long.toString(liveness.startNumber()),
+                        Long.toString(liveness.heartbeat()),
+                        Boolean.toString(liveness.draining()),
+                        Long.toString(liveness.silentAfter()),
                         Boolean.toString(liveness.left()),
                         Integer.toString(liveness.number()),
                         liveness.address(),
-                        Long.toString(report.since()),
-                        Long.toString(report.renewed()));
+                        Long.toString(report.startedAt()),
+                        Long.toString(report.renewedAt()));
         return (text + " " + checksum(text)).getBytes(StandardCharsets.UTF_8);
     }
 
     /** Null if the entry has another format version or a wrong checksum. */
-    private static Roster.Said decode(byte[] entry) {
+    private static Roster.SourceReport decode(byte[] entry) {
         String text = new String(entry, StandardCharsets.UTF_8);
         String[] fields = text.split(" ");
         int checksumSeparator = text.lastIndexOf(' ');
@@ -130,8 +131,8 @@
                 || !fields[12].equals(checksum(text.substring(0, checksumSeparator)))) {
             return null;
         }
-        Life liveness =
-                new Life(
+        Liveness liveness =
+                new Liveness(
                         Long.parseLong(fields[3]),
                         Long.parseLong(fields[4]),
                         Boolean.parseBoolean(fields[5]),
@@ -139,7 +140,7 @@
                         Boolean.parseBoolean(fields[7]),
                         Integer.parseInt(fields[8]),
                         fields[9]);
-        return new Roster.Said(
+        return new Roster.SourceReport(
                 fields[1],
                 Long.parseLong(fields[2]),
                 liveness,
--- a/src/test/java/coralcove/bench/EdgeFootprint.java
+++ b/src/test/java/coralcove/bench/EdgeFootprint.java
@@ -195,6 +195,6 @@
         long heapAfter = usedHeap();
         System.out.printf(
                 "%d established sessions (two dialogs each): %d bytes per session%n",
-                benchmark.core.sessions(), (heapAfter - heapBefore) / count);
+                benchmark.core.activeSessionCount(), (heapAfter - heapBefore) / count);
     }
 }
--- a/src/test/java/coralcove/config/TomlTest.java
+++ b/src/test/java/coralcove/config/TomlTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import coralcove.TraceFiles;
-import coralcove.edge.EdgeFile;
+import coralcove.edge.EdgeSettingsFile;
 import coralcove.exchange.ExchangeFile;
 import coralcove.rehearsal.DayFile;
 import java.io.IOException;
@@ -71,7 +71,7 @@
                     "edge.toml",
                     edge.replace(change[0], change[1])
                             .replace("limit_ms = 9000", "limit_ms = 5000"),
-                    toml -> EdgeFile.of(toml).policy());
+                    toml -> EdgeSettingsFile.of(toml).policy());
         }
         String exchange = Files.readString(Path.of("deploy/examples/exchange-0.toml"));
         recordResult(
@@ -100,8 +100,8 @@
                         servers = "127.0.0.1:53, ns.example:5353"
                         budget_ms = 200
                         """;
-        EdgeFile file = EdgeFile.of(TomlSettings.from("edge.toml", edge));
-        assertThat(file.store()).hasToString("planner-0.store");
+        EdgeSettingsFile file = EdgeSettingsFile.of(TomlSettings.from("edge.toml", edge));
+        assertThat(file.plannerStore()).hasToString("planner-0.store");
         assertThat(file.planner().port()).isEqualTo(15970);
         assertThat(file.numbers().resolver().servers()).hasSize(2);
         assertThat(file.numbers().porting().budget()).isEqualTo(200_000);
--- a/src/test/java/coralcove/edge/EdgeCoreHarness.java
+++ b/src/test/java/coralcove/edge/EdgeCoreHarness.java
@@ -188,8 +188,8 @@
 
     /** Accepts dialled numbers from now on; queries to the portability server are traced. */
     EdgeCoreHarness enableNumbers(int maxTables, NumberTable first, Porting.Settings settings) {
-        core.numbers(
-                new NumberDesk(
+        core.attachNumberAnalysis(
+                new NumberAnalysisContext(
                         maxTables,
                         first,
                         settings,
@@ -210,7 +210,7 @@
     EdgeCoreHarness portabilityAnswers(
             String number, Porting.Outcome outcome, String routingNumber) {
         note(number + " " + outcome + " " + routingNumber);
-        core.ported(
+        core.portabilityAnswered(
                 now, Digits.pack(number), outcome, Digits.pack(routingNumber), 60_000_000, this);
         return this;
     }
@@ -218,7 +218,7 @@
     /** Puts a number table in service. */
     EdgeCoreHarness replaceTable(NumberTable table) {
         note("table " + table.version());
-        core.replace(now, table, this);
+        core.replaceNumberTable(now, table, this);
         return this;
     }
 
--- a/src/test/java/coralcove/edge/EdgeCoreTest.java
+++ b/src/test/java/coralcove/edge/EdgeCoreTest.java
@@ -167,11 +167,11 @@
     void rejectsNewSessionsOnceStoppedAndAnswersThoseAccepted() {
         harness.policyDecides(RoutingDecision.send(101, 900_000), RoutingDecision.refuse(0))
                 .call("a", 1, 3_000_000);
-        harness.core.stop();
+        harness.core.stopAccepting();
         harness.call("b", 1, 3_000_000)
-                .note("idle " + harness.core.idle())
+                .note("idle " + harness.core.isIdle())
                 .answerInvite(486, "Reason", "Q.850;cause=17")
-                .note("idle " + harness.core.idle())
+                .note("idle " + harness.core.isIdle())
                 .assertTrace("edge-stopping");
     }
 
--- a/src/test/java/coralcove/edge/EdgeNumbersTest.java
+++ b/src/test/java/coralcove/edge/EdgeNumbersTest.java
@@ -51,7 +51,7 @@
                 .dial("a", "+8115", 3_000_000);
         assertThat(harness.lastInviteHeader("X-Far-End")).isEqualTo("1");
         harness.answerInvite(200).advance(20).bye("a");
-        assertThat(harness.core.sessions()).isZero();
+        assertThat(harness.core.activeSessionCount()).isZero();
         harness.note("to the own lines")
                 .dial("b", "+8155", 3_000_000)
                 .note("refused: changed, none, not listed, incomplete")
--- a/src/test/java/coralcove/rehearsal/DirectoryDaysTest.java
+++ b/src/test/java/coralcove/rehearsal/DirectoryDaysTest.java
@@ -189,7 +189,7 @@
                                 .filter(
                                         core ->
                                                 core.roster()
-                                                        .say(network.now(), 0)
+                                                        .listAuthority(network.now(), 0)
                                                         .name()
                                                         .equals("FRESH"))
                                 .count())
--- a/src/test/java/coralcove/sources/LivenessTest.java
+++ b/src/test/java/coralcove/sources/LivenessTest.java
@@ -17,7 +17,7 @@
  */
 class LivenessTest {
     @Provide
-    Arbitrary<Life> livenessValues() {
+    Arbitrary<Liveness> livenessValues() {
         Arbitrary<Long> smallNumbers = Arbitraries.longs().between(0, 3);
         return Combinators.combine(
                         smallNumbers,
@@ -27,14 +27,14 @@
                         Arbitraries.of(true, false),
                         Arbitraries.integers().between(1, 2),
                         Arbitraries.of("udp:a:1", "tcp:b:2"))
-                .as(Life::new);
+                .as(Liveness::new);
     }
 
     @Property
     void orderAndDuplicationDoNotMatter(
-            @ForAll("livenessValues") Life a,
-            @ForAll("livenessValues") Life b,
-            @ForAll("livenessValues") Life c) {
+            @ForAll("livenessValues") Liveness a,
+            @ForAll("livenessValues") Liveness b,
+            @ForAll("livenessValues") Liveness c) {
         assertThat(a.join(b)).isEqualTo(b.join(a));
         assertThat(a.join(b).join(c)).isEqualTo(a.join(b.join(c)));
         assertThat(a.join(a)).isEqualTo(a);
@@ -43,45 +43,48 @@
 
     @Property
     void onlyANewerStartReversesADrainOrADeparture(
-            @ForAll("livenessValues") Life a, @ForAll("livenessValues") Life b) {
-        Life joined = a.join(b);
-        if (b.start() <= a.start()) {
-            assertThat(!a.drains() || joined.drains()).isTrue();
+            @ForAll("livenessValues") Liveness a, @ForAll("livenessValues") Liveness b) {
+        Liveness joined = a.join(b);
+        if (b.startNumber() <= a.startNumber()) {
+            assertThat(!a.draining() || joined.draining()).isTrue();
             assertThat(!a.left() || joined.left()).isTrue();
-            assertThat(!a.drains() && !a.left() || joined.phase() != Phase.READY).isTrue();
+            assertThat(!a.draining() && !a.left() || joined.phase() != Phase.READY).isTrue();
         }
     }
 
     @Property
     void onlyALaterHeartbeatReversesSilence(
-            @ForAll("livenessValues") Life a, @ForAll("livenessValues") Life b) {
-        Life joined = a.join(b);
-        if (a.silent() && !joined.silent()) {
-            assertThat(b.start() > a.start() || b.beat() > a.quiet()).isTrue();
+            @ForAll("livenessValues") Liveness a, @ForAll("livenessValues") Liveness b) {
+        Liveness joined = a.join(b);
+        if (a.isSilent() && !joined.isSilent()) {
+            assertThat(b.startNumber() > a.startNumber() || b.heartbeat() > a.silentAfter())
+                    .isTrue();
         }
     }
 
     @Property
     void theRosterDoesNotDependOnTheOrderOfLines(
-            @ForAll List<@net.jqwik.api.From("livenessValues") Life> reports) {
-        List<Life> reversed = new java.util.ArrayList<>(reports);
+            @ForAll List<@net.jqwik.api.From("livenessValues") Liveness> reports) {
+        List<Liveness> reversed = new java.util.ArrayList<>(reports);
         java.util.Collections.reverse(reversed);
         assertThat(rosterEntryAfter(reversed)).isEqualTo(rosterEntryAfter(reports));
     }
 
-    private static String rosterEntryAfter(List<Life> reports) {
+    private static String rosterEntryAfter(List<Liveness> reports) {
         Roster roster = new Roster(List.of("d"));
         long version = 1;
-        for (Life liveness : reports) {
+        for (Liveness liveness : reports) {
             roster.applyListing(
                     1000,
                     0,
-                    new Listing(
+                    new DirectoryListing(
                             "e",
                             version,
-                            Listing.Kind.CHANGES,
+                            DirectoryListing.Kind.CHANGES,
                             version,
-                            List.of(new Listing.Line(7, liveness, Listing.LONG_AGO))));
+                            List.of(
+                                    new DirectoryListing.Entry(
+                                            7, liveness, DirectoryListing.LONG_AGO))));
             roster.pollChanges(1000);
             version++;
         }
--- a/src/test/java/coralcove/sources/RosterTest.java
+++ b/src/test/java/coralcove/sources/RosterTest.java
@@ -42,7 +42,7 @@
     private RosterTest traceChanges(String event) {
         trace.append(now / 1_000_000).append(" s  ").append(event).append('\n');
         for (Exchange exchange : roster.pollChanges(now)) {
-            Belief entry = roster.entry(exchange.id());
+            RosterEntry entry = roster.entry(exchange.id());
             trace.append("      ")
                     .append(exchange.id())
                     .append(" of ")
@@ -56,7 +56,7 @@
                     .append(
                             entry == null
                                     ? " forgotten"
-                                    : " " + entry.why() + " at " + entry.address())
+                                    : " " + entry.reason() + " at " + entry.routerAddress())
                     .append('\n');
         }
         return this;
@@ -190,7 +190,7 @@
                 "epoch a version 1 whole\n"
                         + READY_LINE
                         + "102 2 draining 7 3 - udp:b:1\n103 3 ready 7 3 1000000 udp:c:1\n");
-        List<Roster.Said> stored = roster.said();
+        List<Roster.SourceReport> stored = roster.reports();
         roster = new Roster(List.of("d0", "d1"));
         now += 60_000_000;
         assertThat(roster.restore(now, stored)).isEqualTo(3);
@@ -203,23 +203,30 @@
     @Test
     void aClockSetBackDuringARestartMakesNothingWarmOrFresh() {
         receiveListing(0, "epoch a version 1 whole\n103 3 ready 7 3 1000 udp:c:1\n");
-        List<Roster.Said> stored = roster.said();
+        List<Roster.SourceReport> stored = roster.reports();
         roster = new Roster(List.of("d0"));
         now = 500_000;
         roster.restore(now, stored);
         traceChanges("starts again an hour earlier").assertTrace("roster-clock");
-        assertThat(roster.say(now, 0)).isEqualTo(Roster.Say.STALE);
+        assertThat(roster.listAuthority(now, 0)).isEqualTo(Roster.ListAuthority.STALE);
     }
 
     @Test
     void aListAboveTheLimitIsRejectedAsAWhole() {
-        List<Listing.Line> lines = new ArrayList<>();
+        List<DirectoryListing.Entry> lines = new ArrayList<>();
         for (int i = 0; i <= Roster.MAX_INSTANCES_PER_SOURCE; i++) {
             lines.add(
-                    new Listing.Line(
-                            i + 1, Life.runs(1, 1, i % 65_536, "udp:a:1"), Listing.LONG_AGO));
+                    new DirectoryListing.Entry(
+                            i + 1,
+                            Liveness.running(1, 1, i % 65_536, "udp:a:1"),
+                            DirectoryListing.LONG_AGO));
         }
-        assertThat(roster.applyListing(now, 0, new Listing("a", 1, Listing.Kind.WHOLE, 0, lines)))
+        assertThat(
+                        roster.applyListing(
+                                now,
+                                0,
+                                new DirectoryListing(
+                                        "a", 1, DirectoryListing.Kind.WHOLE, 0, lines)))
                 .isEqualTo(Roster.ListingRejection.TOO_LONG);
         assertThat(roster.pollChanges(now)).isEmpty();
     }
--- a/src/test/java/coralcove/sources/store/RosterStoreTest.java
+++ b/src/test/java/coralcove/sources/store/RosterStoreTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import coralcove.sources.Life;
+import coralcove.sources.Liveness;
 import coralcove.sources.Roster;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -15,11 +15,11 @@
 class RosterStoreTest {
     private final List<String> warnings = new ArrayList<>();
 
-    private static Roster.Said report(long id, long beat) {
-        return new Roster.Said(
+    private static Roster.SourceReport report(long id, long beat) {
+        return new Roster.SourceReport(
                 "udp:d:3",
                 id,
-                new Life(7, beat, id == 2, Life.HEARD, false, (int) id, "udp:a:1"),
+                new Liveness(7, beat, id == 2, Liveness.NOT_SILENT, false, (int) id, "udp:a:1"),
                 5,
                 1000 + beat);
     }
