--- a/src/main/java/coralcove/cli/Commands.java
+++ b/src/main/java/coralcove/cli/Commands.java
@@ -21,7 +21,7 @@
 import coralcove.exchange.ExchangeFile;
 import coralcove.exchange.ExchangeSettings;
 import coralcove.exchange.Stats;
-import coralcove.experiment.Program;
+import coralcove.experiment.ProgramVersion;
 import coralcove.judge.Judge;
 import coralcove.judge.Verdict;
 import coralcove.network.LiveNetwork;
@@ -29,13 +29,13 @@
 import coralcove.numbers.NumberTable;
 import coralcove.numbers.file.TableReader;
 import coralcove.numbers.file.TableWatch;
-import coralcove.planner.EdgeLink;
-import coralcove.planner.FactsOut;
-import coralcove.planner.PlanShelf;
+import coralcove.planner.EdgeLinkCore;
+import coralcove.planner.GroupLoadQueue;
 import coralcove.planner.PlannerCore;
-import coralcove.planner.store.GroupStore;
-import coralcove.planner.transport.EdgePort;
-import coralcove.planner.transport.PlannerPort;
+import coralcove.planner.UnsavedPlans;
+import coralcove.planner.store.PlannerStores;
+import coralcove.planner.transport.EdgeLinkServer;
+import coralcove.planner.transport.PlannerClient;
 import coralcove.portability.PortabilityService;
 import coralcove.portability.RouterLocators;
 import coralcove.rehearsal.BenchDay;
@@ -71,7 +71,7 @@
 @Command(
         name = "coralcove",
         mixinStandardHelpOptions = true,
-        version = "coralcove " + Program.VERSION,
+        version = "coralcove " + ProgramVersion.RELEASE,
         description =
                 "A call router for a private voice network, with simulated peers and rehearsals.",
         subcommands = {
@@ -173,7 +173,7 @@
             Hop self,
             Core core,
             EdgeSettingsFile file,
-            EdgeLink link)
+            EdgeLinkCore link)
             throws BadConfig {
         NumberAnalysisSettings numbers = file == null ? null : file.numbers();
         AtomicBoolean stop = new AtomicBoolean();
@@ -216,8 +216,8 @@
         }
         if (link != null && core instanceof EdgeCore edge) {
             try {
-                EdgePort port =
-                        new EdgePort(
+                EdgeLinkServer port =
+                        new EdgeLinkServer(
                                 name,
                                 file.planner().host(),
                                 file.planner().port(),
@@ -296,7 +296,7 @@
         void serve(TomlSettings toml) throws BadConfig {
             EdgeSettingsFile file = EdgeSettingsFile.of(toml);
             Settings module = file.settings().policySettings();
-            FactsOut facts = new FactsOut(PlannerCore.MOST_GROUPS);
+            GroupLoadQueue facts = new GroupLoadQueue(PlannerCore.MAX_GROUPS);
             PlannedTargetSource keeper = new PlannedTargetSource(module, facts::add);
             EdgeCore core =
                     new EdgeCore(
@@ -315,10 +315,10 @@
                         (entries, store) ->
                                 core.restoreRoster(LiveNetwork.clock(), entries, store));
             }
-            EdgeLink link =
+            EdgeLinkCore link =
                     file.planner() == null
                             ? null
-                            : new EdgeLink(
+                            : new EdgeLinkCore(
                                     module,
                                     keeper,
                                     facts,
@@ -345,13 +345,14 @@
         if (file.planStore() == null) {
             return plan -> {};
         }
-        PlanShelf pendingPlans = new PlanShelf();
+        UnsavedPlans pendingPlans = new UnsavedPlans();
         var log = LoggerFactory.getLogger("edge-" + file.settings().number());
         EntryStore<Integer, Plan> store =
-                GroupStore.plans(file.planStore(), message -> log.warn("plans: {}", message));
+                PlannerStores.openPlanStore(
+                        file.planStore(), message -> log.warn("plans: {}", message));
         List<Plan> stored = store.read();
         int groups =
-                PlanShelf.resume(
+                UnsavedPlans.restore(
                         LiveNetwork.clock(), file.settings().policySettings(), keeper, stored);
         log.info(
                 "plans: {} of {} stored groups resumed, version {}",
@@ -373,7 +374,7 @@
                         "plans");
         writer.setDaemon(true);
         writer.start();
-        return pendingPlans::taken;
+        return pendingPlans::add;
     }
 
     @Command(
@@ -405,15 +406,15 @@
             EntryStore<Integer, GroupLoad> store =
                     file.plannerStore() == null
                             ? null
-                            : GroupStore.facts(
+                            : PlannerStores.openLoadStore(
                                     file.plannerStore(),
                                     message ->
                                             LoggerFactory.getLogger(name)
                                                     .warn("store: {}", message));
-            PlannerPort port =
-                    new PlannerPort(
+            PlannerClient port =
+                    new PlannerClient(
                             name, file.planner().host(), file.planner().port(), core, store);
-            Runtime.getRuntime().addShutdownHook(new Thread(port::end));
+            Runtime.getRuntime().addShutdownHook(new Thread(port::shutDown));
             System.err.println(
                     "coralcove: planner-"
                             + file.settings().number()
--- a/src/main/java/coralcove/cli/ExperimentCommand.java
+++ b/src/main/java/coralcove/cli/ExperimentCommand.java
@@ -4,13 +4,13 @@
 import com.fasterxml.jackson.dataformat.toml.TomlMapper;
 import coralcove.config.BadConfig;
 import coralcove.emulator.Calibration;
+import coralcove.experiment.ExperimentPlan;
+import coralcove.experiment.ExperimentRunner;
+import coralcove.experiment.GoalSearch;
 import coralcove.experiment.Outcome;
-import coralcove.experiment.Plan;
-import coralcove.experiment.Program;
+import coralcove.experiment.ProgramVersion;
 import coralcove.experiment.Report;
 import coralcove.experiment.ResultStore;
-import coralcove.experiment.Runner;
-import coralcove.experiment.Search;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -71,8 +71,8 @@
         @Option(names = "--mix", description = "use results of other program versions too")
         boolean mix;
 
-        Plan plan() throws BadConfig {
-            return Plan.read(file);
+        ExperimentPlan plan() throws BadConfig {
+            return ExperimentPlan.read(file);
         }
 
         ResultStore store() throws IOException {
@@ -95,10 +95,10 @@
         }
 
         /** Results of the plan's runs, without runs that have none. */
-        static List<Outcome> outcomes(Plan plan, ResultStore store) {
+        static List<Outcome> outcomes(ExperimentPlan plan, ResultStore store) {
             List<Outcome> found = new ArrayList<>();
-            for (Plan.Run run : plan.runs(plan.firstSeed(), plan.seeds())) {
-                if (store.done(run, true)) {
+            for (ExperimentPlan.Run run : plan.runs(plan.firstSeed(), plan.seeds())) {
+                if (store.isDone(run, true)) {
                     found.add(store.get(run));
                 }
             }
@@ -124,16 +124,17 @@
         @Option(names = "--quiet", description = "do not print each run")
         private boolean quiet;
 
-        Runner runner(Plan plan, ResultStore store, String version) {
-            return new Runner(
+        ExperimentRunner runner(ExperimentPlan plan, ResultStore store, String version) {
+            return new ExperimentRunner(
                     plan,
                     store,
                     version,
                     Math.max(1, workers),
                     heap,
-                    new Runner.Progress() {
+                    new ExperimentRunner.Progress() {
                         @Override
-                        public void ran(Plan.Run run, ObjectNode result, String error, int left) {
+                        public void runEnded(
+                                ExperimentPlan.Run run, ObjectNode result, String error, int left) {
                             if (!quiet || result == null) {
                                 System.err.printf(
                                         Locale.ROOT,
@@ -151,7 +152,7 @@
                         }
 
                         @Override
-                        public void decided(String what) {
+                        public void endedEarly(String what) {
                             System.err.println(what);
                         }
                     });
@@ -168,8 +169,8 @@
 
         @Override
         public Integer call() throws Exception {
-            Plan plan = plan();
-            String version = Program.version();
+            ExperimentPlan plan = plan();
+            String version = ProgramVersion.current();
             try (ResultStore store = store()) {
                 requireSameVersion(store, version);
                 int seeds = runner(plan, store, version).run(retry);
@@ -199,7 +200,7 @@
     static final class ReportCommand extends PlanCommand {
         @Override
         public Integer call() throws Exception {
-            Plan plan = plan();
+            ExperimentPlan plan = plan();
             try (ResultStore store = store()) {
                 if (!mix && store.versions().size() > 1) {
                     throw new IOException(
@@ -282,22 +283,22 @@
 
         @Override
         public Integer call() throws Exception {
-            Plan plan = plan();
+            ExperimentPlan plan = plan();
             if (plan.goal() == null) {
                 throw plan.toml()
                         .table("goal")
                         .invalid("share", "is missing: a search needs a goal");
             }
-            String version = Program.version();
+            String version = ProgramVersion.current();
             try (ResultStore store = new ResultStore(out.resolve("search.mv"))) {
                 requireSameVersion(store, version);
-                Runner runner = runner(plan, store, version);
-                List<Plan.Run> bases = plan.runs(plan.firstSeed(), plan.seeds());
+                ExperimentRunner runner = runner(plan, store, version);
+                List<ExperimentPlan.Run> bases = plan.runs(plan.firstSeed(), plan.seeds());
                 if (troubles) {
                     smallestDay(plan, runner, store, bases);
                 } else {
-                    Search.Edge edge =
-                            Search.edge(
+                    GoalSearch.Threshold edge =
+                            GoalSearch.findThreshold(
                                     from,
                                     to,
                                     tolerance,
@@ -307,7 +308,11 @@
                                                     runner,
                                                     store,
                                                     bases.stream()
-                                                            .map(run -> plan.with(run, key, value))
+                                                            .map(
+                                                                    run ->
+                                                                            plan.variant(
+                                                                                    run, key,
+                                                                                    value))
                                                             .toList()));
                     System.out.printf(
                             Locale.ROOT,
@@ -315,9 +320,9 @@
                                     + " runs%n",
                             plan.name(),
                             key,
-                            edge.holds(),
-                            edge.breaks(),
-                            edge.why(),
+                            edge.lastHolding(),
+                            edge.firstBreaking(),
+                            edge.reason(),
                             edge.trials(),
                             bases.size());
                 }
@@ -329,20 +334,27 @@
 
         /** The reason why these runs miss the goal, or an empty string if they meet it. */
         private static String reasonGoalIsMissed(
-                Plan plan, Runner runner, ResultStore store, List<Plan.Run> runs) {
+                ExperimentPlan plan,
+                ExperimentRunner runner,
+                ResultStore store,
+                List<ExperimentPlan.Run> runs) {
             try {
-                runner.play(runs);
+                runner.executeMissing(runs);
             } catch (IOException e) {
                 throw new java.io.UncheckedIOException(e);
             }
-            return plan.goal().missed(runs.stream().map(store::get).toList());
+            return plan.goal().violation(runs.stream().map(store::get).toList());
         }
 
-        private void smallestDay(Plan plan, Runner runner, ResultStore store, List<Plan.Run> bases)
+        private void smallestDay(
+                ExperimentPlan plan,
+                ExperimentRunner runner,
+                ResultStore store,
+                List<ExperimentPlan.Run> bases)
                 throws IOException {
             int count = bases.get(0).day().withArray("trouble").size();
             List<Integer> smallest =
-                    Search.smallest(
+                    GoalSearch.minimalSubset(
                             IntStream.range(0, count).boxed().toList(),
                             kept -> {
                                 String reason =
@@ -351,7 +363,7 @@
                                                 runner,
                                                 store,
                                                 bases.stream()
-                                                        .map(run -> plan.with(run, kept))
+                                                        .map(run -> plan.variant(run, kept))
                                                         .toList());
                                 System.err.println(
                                         "troubles "
@@ -363,7 +375,8 @@
             Path file = out.resolve("smallest-day.toml");
             Files.writeString(
                     file,
-                    new TomlMapper().writeValueAsString(plan.with(bases.get(0), smallest).day()));
+                    new TomlMapper()
+                            .writeValueAsString(plan.variant(bases.get(0), smallest).day()));
             System.out.println(
                     plan.name()
                             + ": troubles "
--- a/src/main/java/coralcove/cli/PairCommand.java
+++ b/src/main/java/coralcove/cli/PairCommand.java
@@ -2,7 +2,7 @@
 
 import coralcove.config.TomlSettings;
 import coralcove.edge.EdgeSettingsFile;
-import coralcove.planner.Restarts;
+import coralcove.planner.RestartBackoff;
 import java.io.File;
 import java.io.IOException;
 import java.nio.file.Path;
@@ -61,14 +61,14 @@
             throw toml.table("planner").invalid("listen", "is missing: this router has no planner");
         }
         Process edge = start("edge");
-        Restarts backoff = new Restarts(new SplittableRandom());
+        RestartBackoff backoff = new RestartBackoff(new SplittableRandom());
         Process[] planner = {null};
         Runtime.getRuntime().addShutdownHook(new Thread(() -> stop(edge, planner)));
         long startAt = 0;
         while (edge.isAlive()) {
             long now = System.nanoTime() / 1000;
             if (planner[0] != null && !planner[0].isAlive()) {
-                startAt = backoff.ended(now);
+                startAt = backoff.restartTimeAfterExit(now);
                 System.err.println(
                         "coralcove: planner ended with "
                                 + planner[0].exitValue()
--- a/src/main/java/coralcove/edge/EdgeCore.java
+++ b/src/main/java/coralcove/edge/EdgeCore.java
@@ -12,7 +12,7 @@
 import coralcove.numbers.NumberTable;
 import coralcove.numbers.Porting;
 import coralcove.numbers.Search;
-import coralcove.planner.EdgeLink;
+import coralcove.planner.EdgeLinkCore;
 import coralcove.protocol.CallHeaders;
 import coralcove.protocol.FailureResponse;
 import coralcove.protocol.InviteOutcomes;
@@ -124,8 +124,8 @@
     private long wakeAt;
     private boolean stopping;
     private NumberAnalysisContext numberAnalysis;
-    private EdgeLink plannerLink;
-    private EdgeLink.Out plannerLinkOut;
+    private EdgeLinkCore plannerLink;
+    private EdgeLinkCore.Actions plannerLinkOut;
 
     public EdgeCore(EdgeSettings settings, CallRouter policy) {
         super(settings.listenAddress(), settings.startTag());
@@ -386,7 +386,7 @@
     // ---- the planner
 
     /** Ticks the link to a planner from now on. Must be called once, on the router's own thread. */
-    public void attachPlanner(long now, EdgeLink link, EdgeLink.Out out) {
+    public void attachPlanner(long now, EdgeLinkCore link, EdgeLinkCore.Actions out) {
         plannerLink = link;
         plannerLinkOut = out;
         timers.set(now, this::tickPlannerLink);
@@ -394,7 +394,7 @@
 
     private void tickPlannerLink(long now, Out out) {
         plannerLink.tick(now, plannerLinkOut);
-        timers.set(now + EdgeLink.every(), this::tickPlannerLink);
+        timers.set(now + EdgeLinkCore.tickIntervalMicros(), this::tickPlannerLink);
     }
 
     // ---- dialled numbers
--- a/src/main/java/coralcove/experiment/Plan.java
+++ b/src/main/java/coralcove/experiment/ExperimentPlan.java
@@ -20,7 +20,7 @@
  * levels is run with each seed, so that all policies serve the same callers. It determines the runs
  * and their order; its only I/O is reading its files.
  */
-public final class Plan {
+public final class ExperimentPlan {
     /** Greatest number of runs; a plan with more is taken for a mistake. */
     private static final int MAX_RUNS = 200_000;
 
@@ -54,7 +54,7 @@
          * Returns why the outcomes miss the goal, or an empty string if they reach it. A run that
          * failed or broke rules misses it; otherwise the means over all runs decide.
          */
-        public String missed(List<Outcome> outcomes) {
+        public String violation(List<Outcome> outcomes) {
             for (Outcome outcome : outcomes) {
                 if (outcome.failed()) {
                     return outcome.id() + ": the run failed: " + outcome.error();
@@ -117,11 +117,11 @@
      * Reads a plan and the day that it names, and checks that each combination of levels makes a
      * valid day.
      */
-    public static Plan read(Path path) throws BadConfig {
-        return new Plan(TomlSettings.read(path), path.toAbsolutePath().getParent());
+    public static ExperimentPlan read(Path path) throws BadConfig {
+        return new ExperimentPlan(TomlSettings.read(path), path.toAbsolutePath().getParent());
     }
 
-    Plan(TomlSettings toml, Path folder) throws BadConfig {
+    ExperimentPlan(TomlSettings toml, Path folder) throws BadConfig {
         this.toml = toml;
         TomlSettings.Table experiment = toml.table("experiment");
         name = experiment.text("name");
@@ -383,7 +383,7 @@
     }
 
     /** Returns the run with one value of its day changed, for a search over any key of the day. */
-    public Run with(Run run, String key, double value) {
+    public Run variant(Run run, String key, double value) {
         ObjectNode changedDay = run.day.deepCopy();
         setValue(changedDay, key, changedDay.numberNode(value));
         return createVariant(run, key, Double.toString(value), changedDay);
@@ -394,7 +394,7 @@
      *
      * @param kept indexes of the faults that remain
      */
-    public Run with(Run run, List<Integer> kept) {
+    public Run variant(Run run, List<Integer> kept) {
         ObjectNode changedDay = run.day.deepCopy();
         ArrayNode all = run.day.withArray("trouble");
         ArrayNode remaining = changedDay.putArray("trouble");
--- a/src/main/java/coralcove/experiment/Runner.java
+++ b/src/main/java/coralcove/experiment/ExperimentRunner.java
@@ -12,7 +12,7 @@
  * seeds are needed is decided after each block of seeds, from complete blocks only, so that the
  * results do not depend on the number of workers or on interruptions.
  */
-public final class Runner {
+public final class ExperimentRunner {
     /** Seeds of each block after the first one, which has the minimum number of seeds. */
     private static final int SEEDS_PER_BLOCK = 4;
 
@@ -22,10 +22,10 @@
     /** Receives progress events. */
     public interface Progress {
         /** A run has ended: {@code result} is null if it failed, and {@code left} are to do. */
-        void ran(Plan.Run run, ObjectNode result, String error, int left);
+        void runEnded(ExperimentPlan.Run run, ObjectNode result, String error, int left);
 
         /** The experiment ended before all seeds were run, for the reason given. */
-        void decided(String reason);
+        void endedEarly(String reason);
     }
 
     /** The result store has reached its maximum size. */
@@ -42,7 +42,7 @@
         }
     }
 
-    private final Plan plan;
+    private final ExperimentPlan plan;
     private final ResultStore store;
     private final String version;
     private final int workers;
@@ -56,8 +56,8 @@
      * @param workers number of worker processes
      * @param workerHeapMb heap of each worker, MB
      */
-    public Runner(
-            Plan plan,
+    public ExperimentRunner(
+            ExperimentPlan plan,
             ResultStore store,
             String version,
             int workers,
@@ -77,7 +77,7 @@
      * @param retryFailed whether runs that failed before are executed again
      */
     public int run(boolean retryFailed) throws IOException {
-        Plan.StoppingRule rule = plan.stoppingRule();
+        ExperimentPlan.StoppingRule rule = plan.stoppingRule();
         int seedsDone = 0;
         while (seedsDone < plan.seeds()) {
             int block =
@@ -88,11 +88,11 @@
                                     : seedsDone == 0 ? rule.minSeeds() : SEEDS_PER_BLOCK);
             executeAll(
                     plan.runs(plan.firstSeed() + seedsDone, block).stream()
-                            .filter(run -> !store.done(run, !retryFailed))
+                            .filter(run -> !store.isDone(run, !retryFailed))
                             .toList());
             seedsDone += block;
             if (rule != null && seedsDone < plan.seeds() && differencesKnown(rule, seedsDone)) {
-                progress.decided(
+                progress.endedEarly(
                         "stopped after "
                                 + seedsDone
                                 + " seeds: each difference from "
@@ -109,9 +109,9 @@
      * Whether the difference of each level from the base level is known to the required half width,
      * for each combination of the other factors.
      */
-    private boolean differencesKnown(Plan.StoppingRule rule, int seeds) {
+    private boolean differencesKnown(ExperimentPlan.StoppingRule rule, int seeds) {
         List<Outcome> outcomes = new ArrayList<>();
-        for (Plan.Run run : plan.runs(plan.firstSeed(), seeds)) {
+        for (ExperimentPlan.Run run : plan.runs(plan.firstSeed(), seeds)) {
             outcomes.add(store.get(run));
         }
         for (PairedDifferences pair :
@@ -125,12 +125,12 @@
     }
 
     /** Executes those of the runs that have no stored outcome; failed runs are not retried. */
-    public void play(List<Plan.Run> runs) throws IOException {
-        executeAll(runs.stream().filter(run -> !store.done(run, true)).toList());
+    public void executeMissing(List<ExperimentPlan.Run> runs) throws IOException {
+        executeAll(runs.stream().filter(run -> !store.isDone(run, true)).toList());
     }
 
-    private void executeAll(List<Plan.Run> runs) throws IOException {
-        Iterator<Plan.Run> pending = runs.iterator();
+    private void executeAll(List<ExperimentPlan.Run> runs) throws IOException {
+        Iterator<ExperimentPlan.Run> pending = runs.iterator();
         int[] remaining = {runs.size()};
         AtomicBoolean stopped = new AtomicBoolean();
         List<IOException> ioFailures = new ArrayList<>();
@@ -174,13 +174,14 @@
         }
     }
 
-    private void executeRuns(Iterator<Plan.Run> pending, int[] remaining, AtomicBoolean stopped)
+    private void executeRuns(
+            Iterator<ExperimentPlan.Run> pending, int[] remaining, AtomicBoolean stopped)
             throws IOException {
         Worker worker = null;
         int startFailures = 0;
         try {
             while (!stopped.get()) {
-                Plan.Run run;
+                ExperimentPlan.Run run;
                 synchronized (pending) {
                     if (!pending.hasNext()) {
                         return;
@@ -205,7 +206,7 @@
                 synchronized (pending) {
                     store.put(run, version, result, error);
                     remaining[0]--;
-                    progress.ran(run, result, error, remaining[0]);
+                    progress.runEnded(run, result, error, remaining[0]);
                     if (store.sizeBytes() > plan.maxResultBytes()) {
                         throw new ResultStoreFullException(
                                 store.sizeBytes(), plan.maxResultBytes());
--- a/src/main/java/coralcove/experiment/Search.java
+++ b/src/main/java/coralcove/experiment/GoalSearch.java
@@ -9,21 +9,21 @@
  * Finds the smallest change that breaks a goal, by choosing the trials to make. No I/O: the caller
  * executes the trials.
  */
-public final class Search {
+public final class GoalSearch {
     /** Greatest number of trials of one search: 40 bisections exceed any tolerance. */
     private static final int MAX_TRIALS = 40;
 
     /**
      * Result of a bisection.
      *
-     * @param holds the last value found at which the goal holds
-     * @param breaks the first value found at which it breaks
-     * @param why why it breaks there
+     * @param lastHolding the last value found at which the goal holds
+     * @param firstBreaking the first value found at which it breaks
+     * @param reason why it breaks there
      * @param trials number of trials made
      */
-    public record Edge(double holds, double breaks, String why, int trials) {}
+    public record Threshold(double lastHolding, double firstBreaking, String reason, int trials) {}
 
-    private Search() {}
+    private GoalSearch() {}
 
     /**
      * Bisects the range from {@code from}, where the goal holds, to {@code to}, where it breaks,
@@ -32,7 +32,7 @@
      * @param trial returns why the goal breaks at a value, or an empty string if it holds
      * @throws IllegalArgumentException if the goal breaks at {@code from} or holds at {@code to}
      */
-    public static Edge edge(
+    public static Threshold findThreshold(
             double from, double to, double tolerance, DoubleFunction<String> trial) {
         String reason = trial.apply(from);
         if (!reason.isEmpty()) {
@@ -57,7 +57,7 @@
                 reason = reasonAtMiddle;
             }
         }
-        return new Edge(holds, breaks, reason, trials);
+        return new Threshold(holds, breaks, reason, trials);
     }
 
     /**
@@ -69,7 +69,7 @@
      *     called at most once for each subset
      * @throws IllegalArgumentException if the goal holds with all elements
      */
-    public static <T> List<T> smallest(List<T> all, Function<List<T>, Boolean> breaks) {
+    public static <T> List<T> minimalSubset(List<T> all, Function<List<T>, Boolean> breaks) {
         List<T> subset = new ArrayList<>(all);
         java.util.Map<List<T>, Boolean> results = new java.util.HashMap<>();
         Function<List<T>, Boolean> cachedBreaks =
--- a/src/main/java/coralcove/experiment/Program.java
+++ b/src/main/java/coralcove/experiment/ProgramVersion.java
@@ -9,21 +9,21 @@
 import java.util.zip.CRC32C;
 
 /** Identifies this build of the program, so that results of different builds are not mixed. */
-public final class Program {
+public final class ProgramVersion {
     /** Release number. */
-    public static final String VERSION = "0.2.0";
+    public static final String RELEASE = "0.2.0";
 
-    private Program() {}
+    private ProgramVersion() {}
 
     /**
      * Returns the release number and a checksum of the running code: of the JAR, or of all class
      * files where the build was not packaged.
      */
-    public static String version() {
+    public static String current() {
         try {
             Path source =
                     Path.of(
-                            Program.class
+                            ProgramVersion.class
                                     .getProtectionDomain()
                                     .getCodeSource()
                                     .getLocation()
@@ -36,9 +36,9 @@
             for (Path file : files) {
                 checksum.update(Files.readAllBytes(file));
             }
-            return VERSION + "+" + String.format("%08x", checksum.getValue());
+            return RELEASE + "+" + String.format("%08x", checksum.getValue());
         } catch (java.net.URISyntaxException e) {
-            return VERSION;
+            return RELEASE;
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
--- a/src/main/java/coralcove/experiment/Report.java
+++ b/src/main/java/coralcove/experiment/Report.java
@@ -27,7 +27,7 @@
     private record Table(
             String title, String note, List<String> headers, List<List<String>> rows) {}
 
-    private final Plan plan;
+    private final ExperimentPlan plan;
     private final List<Outcome> outcomes;
     private final Map<Map<String, String>, List<Outcome>> outcomesByLevels = new LinkedHashMap<>();
 
@@ -40,11 +40,11 @@
     private final long failedCount;
 
     /** Creates the report of a plan from the outcomes of its runs. */
-    public Report(Plan plan, List<Outcome> outcomes) throws IOException {
+    public Report(ExperimentPlan plan, List<Outcome> outcomes) throws IOException {
         this.plan = plan;
         this.outcomes = outcomes;
         failedCount = outcomes.stream().filter(Outcome::failed).count();
-        for (Plan.Run run : plan.runs(plan.firstSeed(), 1)) {
+        for (ExperimentPlan.Run run : plan.runs(plan.firstSeed(), 1)) {
             outcomesByLevels.put(run.levels(), new ArrayList<>());
         }
         outcomes.stream()
@@ -158,9 +158,12 @@
         if (plan.stoppingRule() != null) {
             return new Baseline(plan.stoppingRule().factorKey(), plan.stoppingRule().baseLevel());
         }
-        Plan.Factor factor = null;
-        for (Plan.Factor each : plan.factors()) {
-            factor = factor != null && factor.key().equals(Plan.POLICY_KEY) ? factor : each;
+        ExperimentPlan.Factor factor = null;
+        for (ExperimentPlan.Factor each : plan.factors()) {
+            factor =
+                    factor != null && factor.key().equals(ExperimentPlan.POLICY_KEY)
+                            ? factor
+                            : each;
         }
         return factor == null ? null : new Baseline(factor.key(), factor.levels().get(0).asText());
     }
@@ -284,7 +287,7 @@
      * Returns the factor of the x axis: the first with several levels that are all numbers, or
      * null.
      */
-    private Plan.Factor xAxisFactor() {
+    private ExperimentPlan.Factor xAxisFactor() {
         return plan.factors().stream()
                 .filter(
                         factor ->
@@ -296,7 +299,7 @@
     }
 
     private void addCharts() throws IOException {
-        Plan.Factor xAxis = xAxisFactor();
+        ExperimentPlan.Factor xAxis = xAxisFactor();
         if (xAxis != null) {
             charts.put(
                     "value-served",
@@ -327,7 +330,7 @@
         charts.put("loss", Charts.bars("What loss is made of", "share of the value offered", bars));
     }
 
-    private Map<String, List<Charts.Point>> lines(Plan.Factor xAxis, String metric) {
+    private Map<String, List<Charts.Point>> lines(ExperimentPlan.Factor xAxis, String metric) {
         Map<String, List<Charts.Point>> lines = new LinkedHashMap<>();
         outcomesByLevels.forEach(
                 (levels, runs) -> {
--- a/src/main/java/coralcove/experiment/ResultStore.java
+++ b/src/main/java/coralcove/experiment/ResultStore.java
@@ -52,7 +52,7 @@
     }
 
     /** Returns a checksum of a run's input: its policy, seed and day. */
-    static String inputDigest(Plan.Run run) {
+    static String inputDigest(ExperimentPlan.Run run) {
         CRC32C checksum = new CRC32C();
         checksum.update(
                 (run.policy() + "\n" + run.seed() + "\n" + run.day())
@@ -74,7 +74,7 @@
      *
      * @param includeFailed whether a failed run counts as done
      */
-    public boolean done(Plan.Run run, boolean includeFailed) {
+    public boolean isDone(ExperimentPlan.Run run, boolean includeFailed) {
         String text = runs.get(run.id());
         if (text == null) {
             return false;
@@ -85,7 +85,7 @@
     }
 
     /** Returns the outcome of a run, or null if there is none; the input may have changed. */
-    public Outcome get(Plan.Run run) {
+    public Outcome get(ExperimentPlan.Run run) {
         String text = runs.get(run.id());
         return text == null ? null : outcome(run.id(), parse(text));
     }
@@ -96,7 +96,7 @@
      * @param result the metrics, or null for a failed run
      * @param error why the run failed
      */
-    public void put(Plan.Run run, String version, ObjectNode result, String error) {
+    public void put(ExperimentPlan.Run run, String version, ObjectNode result, String error) {
         ObjectNode entry = JSON.createObjectNode();
         entry.put("version", version).put("digest", inputDigest(run)).put("seed", run.seed());
         ObjectNode levels = entry.putObject("levels");
--- a/src/main/java/coralcove/experiment/Worker.java
+++ b/src/main/java/coralcove/experiment/Worker.java
@@ -104,7 +104,7 @@
      * @param boundRequired whether the upper bound of the run's demand is computed
      * @param timeoutSeconds time after which the process is killed
      */
-    ObjectNode execute(Plan.Run run, boolean boundRequired, double timeoutSeconds)
+    ObjectNode execute(ExperimentPlan.Run run, boolean boundRequired, double timeoutSeconds)
             throws RunFailedException {
         ObjectNode request = JSON.createObjectNode();
         request.put("seed", run.seed()).put("policy", run.policy()).put("bound", boundRequired);
--- a/src/main/java/coralcove/planner/EdgeLink.java
+++ b/src/main/java/coralcove/planner/EdgeLinkCore.java
@@ -12,9 +12,9 @@
  * sends it group loads and receives its plans. A planner affects sessions only through {@link
  * PlannedTargetSource}, however it behaves or fails.
  */
-public final class EdgeLink {
+public final class EdgeLinkCore {
     /** Actions of the link on its connections and its log. */
-    public interface Out {
+    public interface Actions {
         /** Sends bytes on a connection. */
         void send(long connection, byte[] bytes);
 
@@ -65,7 +65,7 @@
 
     private final Settings settings;
     private final PlannedTargetSource plannedTargets;
-    private final FactsOut loadQueue;
+    private final GroupLoadQueue loadQueue;
     private final long startTag;
     private final Consumer<Plan> planAccepted;
     private final Map<Long, Peer> peers = new TreeMap<>();
@@ -78,19 +78,19 @@
     private long nextHeartbeatAt;
 
     /** Creates a link; {@code startTag} distinguishes this start of the edge from others. */
-    public EdgeLink(
+    public EdgeLinkCore(
             Settings settings,
             PlannedTargetSource plannedTargets,
-            FactsOut loadQueue,
+            GroupLoadQueue loadQueue,
             long startTag) {
         this(settings, plannedTargets, loadQueue, startTag, plan -> {});
     }
 
     /** Creates a link that passes each plan that comes into force to {@code planAccepted}. */
-    public EdgeLink(
+    public EdgeLinkCore(
             Settings settings,
             PlannedTargetSource plannedTargets,
-            FactsOut loadQueue,
+            GroupLoadQueue loadQueue,
             long startTag,
             Consumer<Plan> planAccepted) {
         this.planAccepted = planAccepted;
@@ -114,7 +114,7 @@
     }
 
     /** A connection has been opened to the edge. */
-    public void opened(long now, long connection, Out actions) {
+    public void connectionOpened(long now, long connection, Actions actions) {
         long unidentified = peers.size() - (plannerConnection >= 0 ? 1 : 0);
         if (unidentified >= MAX_UNIDENTIFIED) {
             count("too-many");
@@ -125,7 +125,7 @@
     }
 
     /** A connection has been closed by the other end or has failed. */
-    public void closed(long now, long connection, Out actions) {
+    public void connectionClosed(long now, long connection, Actions actions) {
         peers.remove(connection);
         if (connection == plannerConnection) {
             plannerConnection = NO_CONNECTION;
@@ -134,7 +134,7 @@
     }
 
     /** Bytes have been received on a connection. */
-    public void read(long now, long connection, byte[] bytes, Out actions) {
+    public void bytesReceived(long now, long connection, byte[] bytes, Actions actions) {
         Peer peer = peers.get(connection);
         if (peer == null) {
             return;
@@ -153,7 +153,7 @@
         }
     }
 
-    private void handle(long now, long connection, Frame frame, Out actions) {
+    private void handle(long now, long connection, Frame frame, Actions actions) {
         if (frame instanceof Frame.Hello hello) {
             handleHello(now, connection, hello, actions);
         } else if (connection != plannerConnection) {
@@ -179,7 +179,7 @@
         }
     }
 
-    private void handleHello(long now, long connection, Frame.Hello hello, Out actions) {
+    private void handleHello(long now, long connection, Frame.Hello hello, Actions actions) {
         String rejection =
                 !hello.fromPlanner()
                         ? "not a planner"
@@ -219,7 +219,7 @@
     /**
      * Closes silent connections, sends queued loads and heartbeats; called at each tick interval.
      */
-    public void tick(long now, Out actions) {
+    public void tick(long now, Actions actions) {
         for (long connection : java.util.List.copyOf(peers.keySet())) {
             // A connection that stalls without closing is useless, and would block a planner that
             // works from being accepted.
@@ -245,18 +245,18 @@
     }
 
     /** µs between two calls of {@link #tick}. */
-    public static long every() {
+    public static long tickIntervalMicros() {
         return SEND_INTERVAL_MICROS;
     }
 
-    private void drop(long connection, String reason, Out actions) {
+    private void drop(long connection, String reason, Actions actions) {
         peers.remove(connection);
         actions.close(connection);
         actions.log(connection == plannerConnection ? "planner-gone" : "peer-dropped", reason);
         plannerConnection = connection == plannerConnection ? NO_CONNECTION : plannerConnection;
     }
 
-    private static void send(long connection, Frame frame, Out actions) {
+    private static void send(long connection, Frame frame, Actions actions) {
         actions.send(connection, frame.encode());
     }
 
--- a/src/main/java/coralcove/planner/FactsOut.java
+++ b/src/main/java/coralcove/planner/GroupLoadQueue.java
@@ -13,7 +13,7 @@
  * receives the newest loads when it reads again. The number of groups is bounded; beyond the bound
  * the entry that was updated least recently is dropped.
  */
-public final class FactsOut {
+public final class GroupLoadQueue {
     private final int maxGroups;
     private final Map<Integer, GroupLoad> queued = new LinkedHashMap<>();
 
@@ -27,7 +27,7 @@
     private long replaced;
 
     /** Creates a queue for at most {@code maxGroups} groups. */
-    public FactsOut(int maxGroups) {
+    public GroupLoadQueue(int maxGroups) {
         this.maxGroups = maxGroups;
     }
 
--- a/src/main/java/coralcove/planner/PlannerCore.java
+++ b/src/main/java/coralcove/planner/PlannerCore.java
@@ -18,7 +18,7 @@
  */
 public final class PlannerCore {
     /** Actions of the planner on its connection and its log. */
-    public interface Out {
+    public interface Actions {
         /** Starts to connect to the edge. */
         void connect();
 
@@ -51,20 +51,20 @@
     private static final long HEARTBEAT_INTERVAL_MICROS = 1_000_000;
 
     /** Greatest number of groups whose loads are stored. */
-    public static final int MOST_GROUPS = 4096;
+    public static final int MAX_GROUPS = 4096;
 
     private static final long NEVER = Long.MIN_VALUE;
 
     /** State of the connection to the edge. */
     private enum State {
         /** Not connected; the next attempt is scheduled. */
-        APART,
+        DISCONNECTED,
         /** An attempt to connect is under way. */
         CONNECTING,
         /** Connected; the hello has been sent. */
-        GREETING,
+        HANDSHAKING,
         /** The edge has accepted the hello. */
-        AGREED
+        ESTABLISHED
     }
 
     private final Settings settings;
@@ -77,7 +77,7 @@
     private final LoadForecast forecast;
 
     private Frame.FrameDecoder decoder = new Frame.FrameDecoder();
-    private State state = State.APART;
+    private State state = State.DISCONNECTED;
     private long nextConnectAt;
     private long reconnectDelay = INITIAL_RECONNECT_DELAY_MICROS;
     private long lastReceivedAt;
@@ -116,15 +116,15 @@
         for (int i = 0; i < widths.length; i++) {
             widths[i] = settings.services().get(i / 2).circuits();
         }
-        schedule = new PlanningSchedule(widths, MOST_GROUPS);
+        schedule = new PlanningSchedule(widths, MAX_GROUPS);
         long[] holdTimes = new long[widths.length];
         Arrays.setAll(holdTimes, i -> settings.services().get(i / 2).holdTime());
-        forecast = forecastLoads ? new LoadForecast(holdTimes, MOST_GROUPS) : null;
+        forecast = forecastLoads ? new LoadForecast(holdTimes, MAX_GROUPS) : null;
     }
 
     /** Whether the edge has accepted this planner. */
     public boolean handshakeComplete() {
-        return state == State.AGREED;
+        return state == State.ESTABLISHED;
     }
 
     /** Returns the number of plans that the edge accepted and the number that it rejected. */
@@ -151,8 +151,8 @@
     }
 
     /** The connection to the edge has been established. */
-    public void connected(long now, Out actions) {
-        state = State.GREETING;
+    public void connected(long now, Actions actions) {
+        state = State.HANDSHAKING;
         decoder = new Frame.FrameDecoder();
         lastReceivedAt = now;
         actions.send(
@@ -166,39 +166,39 @@
     }
 
     /** The connection has ended or could not be established. */
-    public void closed(long now, Out actions) {
-        if (state == State.APART) {
+    public void connectionClosed(long now, Actions actions) {
+        if (state == State.DISCONNECTED) {
             return;
         }
-        state = State.APART;
+        state = State.DISCONNECTED;
         nextConnectAt = now + reconnectDelay / 2 + random.nextLong(reconnectDelay);
         reconnectDelay = Math.min(MAX_RECONNECT_DELAY_MICROS, 2 * reconnectDelay);
         actions.log("edge-gone", "next try in " + (nextConnectAt - now) / 1000 + " ms");
     }
 
     /** Bytes have been received from the edge. */
-    public void read(long now, byte[] bytes, Out actions) {
-        if (state == State.APART) {
+    public void bytesReceived(long now, byte[] bytes, Actions actions) {
+        if (state == State.DISCONNECTED) {
             return;
         }
         lastReceivedAt = now;
         try {
             for (byte[] frame : decoder.feed(bytes)) {
                 handle(now, Frame.decode(frame), actions);
-                if (state == State.APART) {
+                if (state == State.DISCONNECTED) {
                     return;
                 }
             }
         } catch (Frame.MalformedFrameException e) {
             actions.log("bad-frame", e.getMessage());
             actions.close();
-            closed(now, actions);
+            connectionClosed(now, actions);
         }
     }
 
-    private void handle(long now, Frame frame, Out actions) {
+    private void handle(long now, Frame frame, Actions actions) {
         if (frame instanceof Frame.Hello hello) {
-            state = State.AGREED;
+            state = State.ESTABLISHED;
             reconnectDelay = INITIAL_RECONNECT_DELAY_MICROS;
             // The edge rejects versions that are not newer, so a restarted planner continues from
             // the version in force.
@@ -212,7 +212,7 @@
             reconnectDelay = MAX_RECONNECT_DELAY_MICROS;
             actions.log("turned-away", rejected.reason());
             actions.close();
-            closed(now, actions);
+            connectionClosed(now, actions);
         } else if (frame instanceof Frame.GroupLoads loads) {
             for (GroupLoad load : loads.groups()) {
                 if (schedule.add(load) && load.measuredAt() >= newestLoadAt) {
@@ -231,21 +231,21 @@
     }
 
     /** Connects, plans and checks time-outs as needed; called at each tick interval. */
-    public void tick(long now, Out actions) {
-        if (state == State.APART && now >= nextConnectAt) {
+    public void tick(long now, Actions actions) {
+        if (state == State.DISCONNECTED && now >= nextConnectAt) {
             state = State.CONNECTING;
             lastReceivedAt = now;
             actions.connect();
             return;
         }
-        if (state != State.APART && now - lastReceivedAt >= SILENCE_TIMEOUT_MICROS) {
+        if (state != State.DISCONNECTED && now - lastReceivedAt >= SILENCE_TIMEOUT_MICROS) {
             actions.log(
                     "silent", "no word from the edge for " + SILENCE_TIMEOUT_MICROS / 1000 + " ms");
             actions.close();
-            closed(now, actions);
+            connectionClosed(now, actions);
             return;
         }
-        if (state != State.AGREED) {
+        if (state != State.ESTABLISHED) {
             return;
         }
         // The edge's time is unknown until it has sent a load: by stored loads alone, old ones
@@ -260,7 +260,7 @@
         }
     }
 
-    private void plan(long now, Out actions) {
+    private void plan(long now, Actions actions) {
         // The edge's time as far as it is known, so that a step of the local clock does not change
         // the age of loads.
         long edgeNow = newestLoadAt + (now - newestLoadReceivedAt);
@@ -279,7 +279,7 @@
     }
 
     /** µs between two calls of {@link #tick}. */
-    public static long every() {
+    public static long tickIntervalMicros() {
         return ROUND_INTERVAL_MICROS;
     }
 }
--- a/src/main/java/coralcove/planner/Restarts.java
+++ b/src/main/java/coralcove/planner/RestartBackoff.java
@@ -7,7 +7,7 @@
  * its start, and is randomized so that the planners of many routers do not restart at the same
  * time. The edge keeps running meanwhile. No clock of its own.
  */
-public final class Restarts {
+public final class RestartBackoff {
     /** µs: the first restart delay. */
     private static final long INITIAL_DELAY_MICROS = 200_000;
 
@@ -23,7 +23,7 @@
     private long startCount;
 
     /** Creates a back-off that randomizes its delays by {@code random}. */
-    public Restarts(RandomGenerator random) {
+    public RestartBackoff(RandomGenerator random) {
         this.random = random;
     }
 
@@ -37,7 +37,7 @@
      * Records that the planner process ended at {@code now}, µs, and returns the time at which to
      * start it again: after half to one and a half times the current delay.
      */
-    public long ended(long now) {
+    public long restartTimeAfterExit(long now) {
         if (now - startedAt >= STABLE_AFTER_MICROS) {
             delay = INITIAL_DELAY_MICROS;
         }
--- a/src/main/java/coralcove/planner/PlanShelf.java
+++ b/src/main/java/coralcove/planner/UnsavedPlans.java
@@ -15,11 +15,11 @@
  * newer plan of a group replaces an older one, so that a slow disk costs no memory. Thread-safe:
  * the router's thread adds plans and the store's thread drains them.
  */
-public final class PlanShelf {
+public final class UnsavedPlans {
     private final Map<Integer, Plan> pendingByGroup = new LinkedHashMap<>();
 
     /** Adds the groups of a plan that has come into force. */
-    public synchronized void taken(Plan plan) {
+    public synchronized void add(Plan plan) {
         for (GroupTargets group : plan.groups()) {
             pendingByGroup.put(
                     group.number(), new Plan(plan.router(), plan.version(), List.of(group)));
@@ -39,7 +39,7 @@
      * are those whose loads were measured after {@code now}, as after a clock was set back: their
      * age is unknown.
      */
-    public static int resume(
+    public static int restore(
             long now, Settings settings, PlannedTargetSource keeper, List<Plan> stored) {
         TreeMap<Long, List<GroupTargets>> groupsByVersion = new TreeMap<>();
         for (Plan plan : stored) {
--- a/src/main/java/coralcove/planner/store/GroupStore.java
+++ b/src/main/java/coralcove/planner/store/PlannerStores.java
@@ -14,14 +14,15 @@
  * Opens the disk stores of a planner's group loads and of an edge's plans. Each holds one entry per
  * trunk group, encoded as a frame of the link with its version and checksum.
  */
-public final class GroupStore {
-    private GroupStore() {}
+public final class PlannerStores {
+    private PlannerStores() {}
 
     /**
      * Opens or creates the store of a planner's group loads. Whatever is discarded is reported to
      * {@code warnings} with the reason.
      */
-    public static EntryStore<Integer, GroupLoad> facts(Path path, Consumer<String> warnings) {
+    public static EntryStore<Integer, GroupLoad> openLoadStore(
+            Path path, Consumer<String> warnings) {
         return new EntryStore<>(
                 path,
                 new EntryStore.Format<>(
@@ -43,7 +44,7 @@
      * Opens or creates the store of an edge's plans, one group in each. Whatever is discarded is
      * reported to {@code warnings} with the reason.
      */
-    public static EntryStore<Integer, Plan> plans(Path path, Consumer<String> warnings) {
+    public static EntryStore<Integer, Plan> openPlanStore(Path path, Consumer<String> warnings) {
         return new EntryStore<>(
                 path,
                 new EntryStore.Format<>(
--- a/src/main/java/coralcove/planner/transport/EdgePort.java
+++ b/src/main/java/coralcove/planner/transport/EdgeLinkServer.java
@@ -1,7 +1,7 @@
 package coralcove.planner.transport;
 
 import coralcove.mina.MinaSupport;
-import coralcove.planner.EdgeLink;
+import coralcove.planner.EdgeLinkCore;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.Map;
@@ -18,7 +18,7 @@
  * The edge's end of the planner link on Apache MINA: listens for the planner and passes all events
  * to the thread that owns the link.
  */
-public final class EdgePort implements EdgeLink.Out, AutoCloseable {
+public final class EdgeLinkServer implements EdgeLinkCore.Actions, AutoCloseable {
     /** Runs an action on the thread that owns the link. */
     public interface LinkExecutor {
         /** Schedules {@code action}, which receives the current time in µs. */
@@ -35,7 +35,8 @@
      * @param name name of the logger
      * @throws IOException if the port cannot be listened on; the message names the address
      */
-    public EdgePort(String name, String host, int port, EdgeLink link, LinkExecutor executor)
+    public EdgeLinkServer(
+            String name, String host, int port, EdgeLinkCore link, LinkExecutor executor)
             throws IOException {
         log = LoggerFactory.getLogger(name);
         acceptor.setReuseAddress(true);
@@ -45,19 +46,28 @@
                     @Override
                     public void sessionOpened(IoSession session) {
                         connections.put(session.getId(), session);
-                        executor.run(now -> link.opened(now, session.getId(), EdgePort.this));
+                        executor.run(
+                                now ->
+                                        link.connectionOpened(
+                                                now, session.getId(), EdgeLinkServer.this));
                     }
 
                     @Override
                     public void messageReceived(IoSession session, Object message) {
                         byte[] bytes = MinaSupport.toBytes(message);
-                        executor.run(now -> link.read(now, session.getId(), bytes, EdgePort.this));
+                        executor.run(
+                                now ->
+                                        link.bytesReceived(
+                                                now, session.getId(), bytes, EdgeLinkServer.this));
                     }
 
                     @Override
                     public void sessionClosed(IoSession session) {
                         connections.remove(session.getId());
-                        executor.run(now -> link.closed(now, session.getId(), EdgePort.this));
+                        executor.run(
+                                now ->
+                                        link.connectionClosed(
+                                                now, session.getId(), EdgeLinkServer.this));
                     }
 
                     @Override
--- a/src/main/java/coralcove/planner/transport/PlannerPort.java
+++ b/src/main/java/coralcove/planner/transport/PlannerClient.java
@@ -22,7 +22,7 @@
  * The planner's end of the link on Apache MINA: connects to the edge and runs the planner on a
  * thread of its own.
  */
-public final class PlannerPort implements PlannerCore.Out {
+public final class PlannerClient implements PlannerCore.Actions {
     private static final int CONNECT_TIMEOUT_MILLIS = 2000;
 
     /**
@@ -45,9 +45,9 @@
      * @param name name of the logger and the thread
      * @param host host of the edge
      * @param port port on which the edge listens for its planner
-     * @param store store of the received loads, or null for none; closed by {@link #end}
+     * @param store store of the received loads, or null for none; closed by {@link #shutDown}
      */
-    public PlannerPort(
+    public PlannerClient(
             String name,
             String host,
             int port,
@@ -68,7 +68,7 @@
                         execute(
                                 now -> {
                                     if (source == session) {
-                                        core.read(now, bytes, PlannerPort.this);
+                                        core.bytesReceived(now, bytes, PlannerClient.this);
                                     }
                                 });
                     }
@@ -79,7 +79,7 @@
                                 now -> {
                                     if (source == session) {
                                         session = null;
-                                        core.closed(now, PlannerPort.this);
+                                        core.connectionClosed(now, PlannerClient.this);
                                     }
                                 });
                     }
@@ -100,7 +100,7 @@
         executor.scheduleAtFixedRate(
                 () -> runSafely(now -> core.tick(now, this)),
                 0,
-                PlannerCore.every(),
+                PlannerCore.tickIntervalMicros(),
                 TimeUnit.MICROSECONDS);
     }
 
@@ -134,7 +134,7 @@
                                             session = connection.getSession();
                                             core.connected(now, this);
                                         } else {
-                                            core.closed(now, this);
+                                            core.connectionClosed(now, this);
                                         }
                                     });
                         });
@@ -156,7 +156,7 @@
     }
 
     /** Shuts the planner down and closes its store. */
-    public void end() {
+    public void shutDown() {
         executor.shutdownNow();
         if (store != null) {
             store.close();
--- a/src/main/java/coralcove/rehearsal/RouterPlanner.java
+++ b/src/main/java/coralcove/rehearsal/RouterPlanner.java
@@ -3,11 +3,11 @@
 import coralcove.PlannedTargetSource;
 import coralcove.Settings;
 import coralcove.network.Network;
-import coralcove.planner.EdgeLink;
-import coralcove.planner.FactsOut;
+import coralcove.planner.EdgeLinkCore;
+import coralcove.planner.GroupLoadQueue;
 import coralcove.planner.PlannerCore;
-import coralcove.planner.transport.EdgePort;
-import coralcove.planner.transport.PlannerPort;
+import coralcove.planner.transport.EdgeLinkServer;
+import coralcove.planner.transport.PlannerClient;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.util.SplittableRandom;
@@ -18,9 +18,9 @@
  */
 abstract class RouterPlanner {
     final Settings settings;
-    final FactsOut facts = new FactsOut(PlannerCore.MOST_GROUPS);
+    final GroupLoadQueue facts = new GroupLoadQueue(PlannerCore.MAX_GROUPS);
     final PlannedTargetSource plannedTargets;
-    final EdgeLink link;
+    final EdgeLinkCore link;
     private final SplittableRandom random;
     private final boolean planAhead;
     private long startCount;
@@ -29,7 +29,7 @@
         this.settings = settings;
         this.planAhead = planAhead;
         plannedTargets = new PlannedTargetSource(settings, facts::add);
-        link = new EdgeLink(settings, plannedTargets, facts, seed);
+        link = new EdgeLinkCore(settings, plannedTargets, facts, seed);
         random = new SplittableRandom(seed);
     }
 
@@ -39,7 +39,7 @@
     }
 
     /** Opens the edge's end of the connection; called once the edge runs. */
-    abstract EdgeLink.Out openEdgeOutput();
+    abstract EdgeLinkCore.Actions openEdgeOutput();
 
     /** Kills the planner process, if it runs. */
     abstract void kill();
@@ -59,12 +59,12 @@
             boolean planAhead,
             int port) {
         return new RouterPlanner(settings, seed, planAhead) {
-            private PlannerPort planner;
+            private PlannerClient planner;
 
             @Override
-            EdgeLink.Out openEdgeOutput() {
+            EdgeLinkCore.Actions openEdgeOutput() {
                 try {
-                    return new EdgePort(
+                    return new EdgeLinkServer(
                             node,
                             "127.0.0.1",
                             port,
@@ -78,7 +78,7 @@
             @Override
             void kill() {
                 if (planner != null) {
-                    planner.end();
+                    planner.shutDown();
                     planner = null;
                 }
             }
@@ -86,7 +86,7 @@
             @Override
             void start() {
                 planner =
-                        new PlannerPort(
+                        new PlannerClient(
                                 "planner-" + settings.localNumber(),
                                 "127.0.0.1",
                                 port,
@@ -109,7 +109,8 @@
      * A planner in virtual time. Bytes stay in order in each direction; the end of a connection is
      * notified after them.
      */
-    private static final class VirtualPlanner extends RouterPlanner implements EdgeLink.Out {
+    private static final class VirtualPlanner extends RouterPlanner
+            implements EdgeLinkCore.Actions {
         /** One-way delay on loopback. */
         private static final long LOOPBACK_DELAY_US = 50;
 
@@ -127,7 +128,7 @@
         }
 
         @Override
-        EdgeLink.Out openEdgeOutput() {
+        EdgeLinkCore.Actions openEdgeOutput() {
             return this;
         }
 
@@ -167,7 +168,7 @@
                     network.now() + delay,
                     () -> {
                         if (target != null && target.alive && target.connection == connection) {
-                            target.core.read(network.now(), bytes, target);
+                            target.core.bytesReceived(network.now(), bytes, target);
                         }
                     });
         }
@@ -181,7 +182,7 @@
                         if (target != null && target.connection == connection) {
                             target.connection = -1;
                             if (target.alive) {
-                                target.core.closed(network.now(), target);
+                                target.core.connectionClosed(network.now(), target);
                             }
                         }
                     });
@@ -195,7 +196,7 @@
         @Override
         public void log(String event, String detail) {}
 
-        private final class PlannerProcess implements PlannerCore.Out {
+        private final class PlannerProcess implements PlannerCore.Actions {
             private final PlannerCore core = newCore();
             private boolean alive = true;
             private long connection = -1;
@@ -203,7 +204,9 @@
             void tickPeriodically() {
                 if (alive) {
                     core.tick(network.now(), this);
-                    network.at(network.now() + PlannerCore.every(), this::tickPeriodically);
+                    network.at(
+                            network.now() + PlannerCore.tickIntervalMicros(),
+                            this::tickPeriodically);
                 }
             }
 
@@ -218,7 +221,7 @@
                                 network.on(
                                         node,
                                         (now, out) ->
-                                                link.opened(
+                                                link.connectionOpened(
                                                         now, newConnection, VirtualPlanner.this));
                                 core.connected(network.now(), this);
                             }
@@ -228,14 +231,17 @@
             @Override
             public void send(byte[] bytes) {
                 long targetConnection = connection;
-                runOnEdge(now -> link.read(now, targetConnection, bytes, VirtualPlanner.this));
+                runOnEdge(
+                        now ->
+                                link.bytesReceived(
+                                        now, targetConnection, bytes, VirtualPlanner.this));
             }
 
             @Override
             public void close() {
                 long closedConnection = connection;
                 connection = -1;
-                runOnEdge(now -> link.closed(now, closedConnection, VirtualPlanner.this));
+                runOnEdge(now -> link.connectionClosed(now, closedConnection, VirtualPlanner.this));
             }
 
             @Override
--- a/src/main/java/coralcove/rehearsal/ScenarioRun.java
+++ b/src/main/java/coralcove/rehearsal/ScenarioRun.java
@@ -18,7 +18,7 @@
 import coralcove.network.Network;
 import coralcove.network.VirtualNetwork;
 import coralcove.numbers.NumberTable;
-import coralcove.planner.EdgeLink;
+import coralcove.planner.EdgeLinkCore;
 import coralcove.portability.PortabilityService;
 import coralcove.sip.Hop;
 import coralcove.sip.Out;
@@ -370,7 +370,7 @@
             if (previous != null) {
                 previous.kill();
             }
-            EdgeLink.Out edgeOutput = planner.openEdgeOutput();
+            EdgeLinkCore.Actions edgeOutput = planner.openEdgeOutput();
             network.on(name, (now, out) -> core.attachPlanner(now, planner.link, edgeOutput));
             planner.start();
         }
--- a/src/test/java/coralcove/experiment/ExperimentTest.java
+++ b/src/test/java/coralcove/experiment/ExperimentTest.java
@@ -81,17 +81,17 @@
             levels = ["none", "one"]
             """;
 
-    private static Plan plan(Path folder, String text) throws BadConfig, IOException {
+    private static ExperimentPlan plan(Path folder, String text) throws BadConfig, IOException {
         Files.writeString(folder.resolve("tiny.toml"), DAY);
-        return new Plan(TomlSettings.from("plan.toml", text), folder);
+        return new ExperimentPlan(TomlSettings.from("plan.toml", text), folder);
     }
 
-    private static final class RecordingProgress implements Runner.Progress {
+    private static final class RecordingProgress implements ExperimentRunner.Progress {
         final List<String> lines = new ArrayList<>();
         int failAfter = Integer.MAX_VALUE;
 
         @Override
-        public void ran(Plan.Run run, ObjectNode result, String error, int left) {
+        public void runEnded(ExperimentPlan.Run run, ObjectNode result, String error, int left) {
             lines.add(run.id() + (result == null ? " FAILED " + error : ""));
             if (lines.size() >= failAfter) {
                 throw new IllegalStateException("killed");
@@ -99,7 +99,7 @@
         }
 
         @Override
-        public void decided(String reason) {
+        public void endedEarly(String reason) {
             lines.add(reason);
         }
     }
@@ -118,10 +118,10 @@
         // Baseline policies only, so that the expected report does not change with the decisions of
         // the main routing policy.
         String text = PLAN.replace("\"choice\"", "\"reserved\"");
-        Plan plan = plan(folder, text);
+        ExperimentPlan plan = plan(folder, text);
         byte[] expected;
         try (ResultStore store = new ResultStore(folder.resolve("one/results.mv"))) {
-            new Runner(plan, store, "v1", 1, 256, new RecordingProgress()).run(false);
+            new ExperimentRunner(plan, store, "v1", 1, 256, new RecordingProgress()).run(false);
             expected = exportBytes(store, folder);
             assertThat(store.outcomes()).hasSize(12).noneMatch(Outcome::failed);
             assertThat(new Report(plan, store.outcomes()).text())
@@ -131,20 +131,26 @@
         RecordingProgress progress = new RecordingProgress();
         progress.failAfter = 5;
         try (ResultStore store = new ResultStore(interrupted)) {
-            assertThatThrownBy(() -> new Runner(plan, store, "v1", 3, 256, progress).run(false))
+            assertThatThrownBy(
+                            () ->
+                                    new ExperimentRunner(plan, store, "v1", 3, 256, progress)
+                                            .run(false))
                     .hasMessage("killed");
         }
         try (ResultStore store = new ResultStore(interrupted)) {
             int stored = store.outcomes().size();
             assertThat(stored).isBetween(5, 7);
             RecordingProgress resumed = new RecordingProgress();
-            new Runner(plan, store, "v1", 3, 256, resumed).run(false);
+            new ExperimentRunner(plan, store, "v1", 3, 256, resumed).run(false);
             assertThat(resumed.lines).hasSize(12 - stored);
             assertThat(exportBytes(store, folder)).isEqualTo(expected);
             // Runs whose day has changed have no results yet.
-            Plan changedPlan =
+            ExperimentPlan changedPlan =
                     plan(folder, text.replace("at_s = 5, len_s = 6", "at_s = 5, len_s = 5"));
-            assertThat(changedPlan.runs(1, 3).stream().filter(run -> store.done(run, true)).count())
+            assertThat(
+                            changedPlan.runs(1, 3).stream()
+                                    .filter(run -> store.isDone(run, true))
+                                    .count())
                     .isEqualTo(6);
         }
     }
@@ -155,7 +161,7 @@
      */
     @Test
     void runThatExceedsItsTimeoutIsAbortedAndReported(@TempDir Path folder) throws Exception {
-        Plan plan =
+        ExperimentPlan plan =
                 plan(
                         folder,
                         PLAN.replace("seeds = 3", "seeds = 1")
@@ -167,7 +173,7 @@
                                 + "levels = [8, 3000]\n");
         try (ResultStore store = new ResultStore(folder.resolve("results.mv"))) {
             RecordingProgress progress = new RecordingProgress();
-            new Runner(plan, store, "v1", 2, 512, progress).run(false);
+            new ExperimentRunner(plan, store, "v1", 2, 512, progress).run(false);
             assertThat(progress.lines).hasSize(2);
             assertThat(progress.lines)
                     .anyMatch(
@@ -179,9 +185,9 @@
                     .contains("Failed runs")
                     .contains("not done after 0.5 s");
             RecordingProgress secondPass = new RecordingProgress();
-            new Runner(plan, store, "v1", 2, 512, secondPass).run(false);
+            new ExperimentRunner(plan, store, "v1", 2, 512, secondPass).run(false);
             assertThat(secondPass.lines).isEmpty();
-            new Runner(plan, store, "v1", 1, 512, secondPass).run(true);
+            new ExperimentRunner(plan, store, "v1", 1, 512, secondPass).run(true);
             assertThat(secondPass.lines).anyMatch(line -> line.contains("sessions_per_s=3000"));
         }
     }
@@ -193,10 +199,11 @@
                 PLAN.replace("seeds = 3", "seeds = 40")
                         + "[stop]\nfactor = \"policy\"\nbase = \"choice\"\n"
                         + "half_width = 0.2\nleast_seeds = 3\n";
-        Plan plan = plan(folder, text);
+        ExperimentPlan plan = plan(folder, text);
         RecordingProgress progress = new RecordingProgress();
         try (ResultStore store = new ResultStore(folder.resolve("results.mv"))) {
-            assertThat(new Runner(plan, store, "v1", 4, 256, progress).run(false)).isEqualTo(3);
+            assertThat(new ExperimentRunner(plan, store, "v1", 4, 256, progress).run(false))
+                    .isEqualTo(3);
             assertThat(store.outcomes()).hasSize(12);
         }
         assertThat(progress.lines)
@@ -206,14 +213,20 @@
 
     @Test
     void fullStoreEndsTheExperiment(@TempDir Path folder) throws Exception {
-        Plan plan = plan(folder, PLAN.replace("seeds = 3", "seeds = 3\nmost_mb = 1"));
+        ExperimentPlan plan = plan(folder, PLAN.replace("seeds = 3", "seeds = 3\nmost_mb = 1"));
         try (ResultStore store = new ResultStore(folder.resolve("results.mv"))) {
             store.put(plan.runs(1, 1).get(0), "v1", null, "x".repeat(2_000_000));
             assertThatThrownBy(
                             () ->
-                                    new Runner(plan, store, "v1", 1, 256, new RecordingProgress())
+                                    new ExperimentRunner(
+                                                    plan,
+                                                    store,
+                                                    "v1",
+                                                    1,
+                                                    256,
+                                                    new RecordingProgress())
                                             .run(false))
-                    .isInstanceOf(Runner.ResultStoreFullException.class)
+                    .isInstanceOf(ExperimentRunner.ResultStoreFullException.class)
                     .hasMessageContaining("of at most 1000000 (most_mb): nothing more is run");
         }
     }
@@ -291,7 +304,7 @@
 
     @Test
     void reportWithoutResultsSaysNoData(@TempDir Path folder) throws Exception {
-        Plan plan = plan(folder, PLAN);
+        ExperimentPlan plan = plan(folder, PLAN);
         Report report = new Report(plan, List.of());
         assertThat(report.text()).contains("no data");
         report.write(folder.resolve("report"));
--- a/src/test/java/coralcove/experiment/SearchTest.java
+++ b/src/test/java/coralcove/experiment/SearchTest.java
@@ -15,19 +15,22 @@
 class SearchTest {
     @Test
     void findsTheThresholdByBisection() {
-        Search.Edge threshold = Search.edge(0.5, 2, 0.01, value -> value > 1.2345 ? "over" : "");
-        assertThat(threshold.holds()).isLessThanOrEqualTo(1.2345);
-        assertThat(threshold.breaks())
+        GoalSearch.Threshold threshold =
+                GoalSearch.findThreshold(0.5, 2, 0.01, value -> value > 1.2345 ? "over" : "");
+        assertThat(threshold.lastHolding()).isLessThanOrEqualTo(1.2345);
+        assertThat(threshold.firstBreaking())
                 .isGreaterThan(1.2345)
-                .isCloseTo(threshold.holds(), within(0.01));
-        assertThat(threshold.why()).isEqualTo("over");
+                .isCloseTo(threshold.lastHolding(), within(0.01));
+        assertThat(threshold.reason()).isEqualTo("over");
         assertThat(threshold.trials()).isEqualTo(10);
         // A descending range works as well, and the number of trials is bounded.
-        assertThat(Search.edge(2, 0.5, 0, value -> value < 1.1 ? "under" : "").trials())
+        assertThat(
+                        GoalSearch.findThreshold(2, 0.5, 0, value -> value < 1.1 ? "under" : "")
+                                .trials())
                 .isEqualTo(40);
-        assertThatThrownBy(() -> Search.edge(0.5, 2, 0.1, value -> ""))
+        assertThatThrownBy(() -> GoalSearch.findThreshold(0.5, 2, 0.1, value -> ""))
                 .hasMessage("the goal still holds at 2.0");
-        assertThatThrownBy(() -> Search.edge(0.5, 2, 0.1, value -> "no"))
+        assertThatThrownBy(() -> GoalSearch.findThreshold(0.5, 2, 0.1, value -> "no"))
                 .hasMessage("the goal breaks at 0.5 already: no");
     }
 
@@ -44,7 +47,7 @@
             }
             List<List<Integer>> tried = new ArrayList<>();
             List<Integer> smallest =
-                    Search.smallest(
+                    GoalSearch.minimalSubset(
                             all,
                             subset -> {
                                 tried.add(subset);
@@ -53,8 +56,8 @@
             assertThat(smallest).containsExactlyElementsOf(breaking.stream().sorted().toList());
             assertThat(tried).doesNotHaveDuplicates();
         }
-        assertThat(Search.smallest(List.of(1, 2), subset -> true)).isEmpty();
-        assertThatThrownBy(() -> Search.smallest(List.of(1, 2), subset -> false))
+        assertThat(GoalSearch.minimalSubset(List.of(1, 2), subset -> true)).isEmpty();
+        assertThatThrownBy(() -> GoalSearch.minimalSubset(List.of(1, 2), subset -> false))
                 .hasMessage("the goal holds with all 2");
     }
 
--- a/src/test/java/coralcove/planner/PlannerLinkTest.java
+++ b/src/test/java/coralcove/planner/PlannerLinkTest.java
@@ -63,9 +63,9 @@
                                         : Long.compare(a.order, b.order));
         final SplittableRandom random = new SplittableRandom(5);
         final Map<Long, PlannerProcess> openConnections = new LinkedHashMap<>();
-        FactsOut queue = new FactsOut(1000);
+        GroupLoadQueue queue = new GroupLoadQueue(1000);
         PlannedTargetSource plannedTargets = new PlannedTargetSource(settings(7), queue::add);
-        EdgeLink edge = new EdgeLink(settings(7), plannedTargets, queue, 1);
+        EdgeLinkCore edge = new EdgeLinkCore(settings(7), plannedTargets, queue, 1);
         boolean edgeUp = true;
         long latency = 500;
 
@@ -76,8 +76,8 @@
         long now;
         long nextOrder;
 
-        final EdgeLink.Out edgeActions =
-                new EdgeLink.Out() {
+        final EdgeLinkCore.Actions edgeActions =
+                new EdgeLinkCore.Actions() {
                     @Override
                     public void send(long connection, byte[] bytes) {
                         PlannerProcess process = openConnections.get(connection);
@@ -88,7 +88,7 @@
                                     () -> {
                                         process.pendingBytes -= bytes.length;
                                         if (process.connection == connection && process.alive) {
-                                            process.core.read(
+                                            process.core.bytesReceived(
                                                     now + process.clockOffset, bytes, process);
                                         }
                                     });
@@ -122,7 +122,7 @@
                 };
 
         /** A simulated planner process, with its end of the connection. */
-        final class PlannerProcess implements PlannerCore.Out {
+        final class PlannerProcess implements PlannerCore.Actions {
             final String name;
             final PlannerCore core;
             boolean alive = true;
@@ -141,14 +141,14 @@
             void tick() {
                 if (alive) {
                     core.tick(now + clockOffset, this);
-                    schedule(now + PlannerCore.every(), this::tick);
+                    schedule(now + PlannerCore.tickIntervalMicros(), this::tick);
                 }
             }
 
             void disconnected() {
                 connection = -1;
                 if (alive) {
-                    core.closed(now + clockOffset, this);
+                    core.connectionClosed(now + clockOffset, this);
                 }
             }
 
@@ -172,7 +172,7 @@
                             long opened = ++lastConnection;
                             connection = opened;
                             openConnections.put(opened, this);
-                            edge.opened(now, opened, edgeActions);
+                            edge.connectionOpened(now, opened, edgeActions);
                             if (connection == opened) {
                                 core.connected(now + clockOffset, this);
                             }
@@ -186,7 +186,7 @@
                         arrivalTime(),
                         () -> {
                             if (openConnections.get(target) == this && edgeUp) {
-                                edge.read(now, target, bytes, edgeActions);
+                                edge.bytesReceived(now, target, bytes, edgeActions);
                             }
                         });
             }
@@ -196,7 +196,7 @@
                 long closing = connection;
                 connection = -1;
                 if (openConnections.remove(closing, this)) {
-                    schedule(now + latency, () -> edge.closed(now, closing, edgeActions));
+                    schedule(now + latency, () -> edge.connectionClosed(now, closing, edgeActions));
                 }
             }
 
@@ -218,9 +218,9 @@
 
         /** Replaces the edge by one without plans; it accepts connections once edgeUp is set. */
         void resetEdge(Consumer<Plan> planAccepted) {
-            queue = new FactsOut(1000);
+            queue = new GroupLoadQueue(1000);
             plannedTargets = new PlannedTargetSource(settings(7), queue::add);
-            edge = new EdgeLink(settings(7), plannedTargets, queue, 2, planAccepted);
+            edge = new EdgeLinkCore(settings(7), plannedTargets, queue, 2, planAccepted);
         }
 
         long arrivalTime() {
@@ -243,7 +243,7 @@
             if (edgeUp) {
                 edge.tick(now, edgeActions);
             }
-            schedule(now + EdgeLink.every(), this::tickEdge);
+            schedule(now + EdgeLinkCore.tickIntervalMicros(), this::tickEdge);
         }
 
         /** Schedules the load updates of the edge until the given time: each group every 5 s. */
@@ -374,14 +374,14 @@
     @Test
     void restartedEdgeUsesItsStoredPlans() {
         LinkSimulation simulation = new LinkSimulation();
-        PlanShelf unsavedPlans = new PlanShelf();
+        UnsavedPlans unsavedPlans = new UnsavedPlans();
         simulation.edge =
-                new EdgeLink(
+                new EdgeLinkCore(
                         settings(7),
                         simulation.plannedTargets,
                         simulation.queue,
                         1,
-                        unsavedPlans::taken);
+                        unsavedPlans::add);
         simulation.scheduleLoadUpdates(100_000_000);
         LinkSimulation.PlannerProcess process = simulation.new PlannerProcess("planner", 7, 11);
         simulation.advance(10).recordFreshness("before");
@@ -390,9 +390,9 @@
         assertThat(unsavedPlans.drain()).isEmpty();
         long version = simulation.plannedTargets.version();
         simulation.crashEdge(process);
-        simulation.advance(12).resetEdge(unsavedPlans::taken);
+        simulation.advance(12).resetEdge(unsavedPlans::add);
         simulation.record(
-                PlanShelf.resume(simulation.now, settings(7), simulation.plannedTargets, stored)
+                UnsavedPlans.restore(simulation.now, settings(7), simulation.plannedTargets, stored)
                         + " groups resumed");
         assertThat(simulation.plannedTargets.version()).isEqualTo(version);
         simulation.edgeUp = true;
@@ -404,16 +404,16 @@
         // Plans of another router, plans older than a minute, and plans from the future after the
         // clock was set back are not restored.
         PlannedTargetSource otherRouter = new PlannedTargetSource(settings(8), load -> {});
-        assertThat(PlanShelf.resume(simulation.now, settings(8), otherRouter, stored)).isZero();
+        assertThat(UnsavedPlans.restore(simulation.now, settings(8), otherRouter, stored)).isZero();
         assertThat(
-                        PlanShelf.resume(
+                        UnsavedPlans.restore(
                                 simulation.now + 60_000_000,
                                 settings(7),
                                 new PlannedTargetSource(settings(7), load -> {}),
                                 stored))
                 .isZero();
         assertThat(
-                        PlanShelf.resume(
+                        UnsavedPlans.restore(
                                 1_000_000,
                                 settings(7),
                                 new PlannedTargetSource(settings(7), load -> {}),
--- a/src/test/java/coralcove/planner/RestartBackoffTest.java
+++ b/src/test/java/coralcove/planner/RestartBackoffTest.java
@@ -11,19 +11,19 @@
      */
     @Test
     void delayGrowsAfterShortRunsAndIsResetAfterALongRun() {
-        Restarts backoff = new Restarts(new SplittableRandom(1));
+        RestartBackoff backoff = new RestartBackoff(new SplittableRandom(1));
         long now = 0;
         long delay = 200_000;
         for (int i = 0; i < 12; i++) {
             backoff.started(now);
-            long restartAt = backoff.ended(now + 1000);
+            long restartAt = backoff.restartTimeAfterExit(now + 1000);
             assertThat(restartAt - now - 1000).isBetween(delay / 2, delay / 2 + delay);
             delay = Math.min(30_000_000, 2 * delay);
             now = restartAt;
         }
         assertThat(delay).isEqualTo(30_000_000);
         backoff.started(now);
-        assertThat(backoff.ended(now + 20_000_000) - now - 20_000_000)
+        assertThat(backoff.restartTimeAfterExit(now + 20_000_000) - now - 20_000_000)
                 .isBetween(100_000L, 300_000L);
         assertThat(backoff.startCount()).isEqualTo(13);
     }
@@ -31,10 +31,10 @@
     /** Two planners that end at the same time are not restarted at the same time. */
     @Test
     void delayIsRandomized() {
-        Restarts first = new Restarts(new SplittableRandom(1));
-        Restarts second = new Restarts(new SplittableRandom(2));
+        RestartBackoff first = new RestartBackoff(new SplittableRandom(1));
+        RestartBackoff second = new RestartBackoff(new SplittableRandom(2));
         first.started(0);
         second.started(0);
-        assertThat(first.ended(5)).isNotEqualTo(second.ended(5));
+        assertThat(first.restartTimeAfterExit(5)).isNotEqualTo(second.restartTimeAfterExit(5));
     }
 }
--- a/src/test/java/coralcove/planner/store/GroupStoreTest.java
+++ b/src/test/java/coralcove/planner/store/GroupStoreTest.java
@@ -32,7 +32,8 @@
     }
 
     private List<GroupLoad> reopenAndRead(Path path) {
-        try (EntryStore<Integer, GroupLoad> store = GroupStore.facts(path, warnings::add)) {
+        try (EntryStore<Integer, GroupLoad> store =
+                PlannerStores.openLoadStore(path, warnings::add)) {
             return store.read();
         }
     }
@@ -40,7 +41,8 @@
     @Test
     void readsBackTheNewestLoadOfEachGroup(@TempDir Path folder) {
         Path path = folder.resolve("facts");
-        try (EntryStore<Integer, GroupLoad> store = GroupStore.facts(path, warnings::add)) {
+        try (EntryStore<Integer, GroupLoad> store =
+                PlannerStores.openLoadStore(path, warnings::add)) {
             store.write(loads(0, 50, 1));
             store.write(loads(10, 20, 2));
         }
@@ -56,7 +58,8 @@
     void killLeavesTheLastCompleteCommit(@TempDir Path folder) throws Exception {
         Path path = folder.resolve("facts");
         Path killed = folder.resolve("killed");
-        try (EntryStore<Integer, GroupLoad> store = GroupStore.facts(path, warnings::add)) {
+        try (EntryStore<Integer, GroupLoad> store =
+                PlannerStores.openLoadStore(path, warnings::add)) {
             store.write(loads(0, 50, 1));
             store.write(loads(0, 50, 2));
             Files.copy(path, killed);
@@ -73,7 +76,8 @@
     @Test
     void truncatedOrCorruptStoreReturnsOnlyValidEntries(@TempDir Path folder) throws Exception {
         Path path = folder.resolve("facts");
-        try (EntryStore<Integer, GroupLoad> store = GroupStore.facts(path, warnings::add)) {
+        try (EntryStore<Integer, GroupLoad> store =
+                PlannerStores.openLoadStore(path, warnings::add)) {
             for (int i = 1; i <= 30; i++) {
                 store.write(loads(0, 40, i));
             }
@@ -106,7 +110,8 @@
             withWarnings += warnings.isEmpty() ? 0 : 1;
             assertThat(read.size() == 40 || !warnings.isEmpty() || read.isEmpty()).isTrue();
             // The store works afterwards, whatever was found.
-            try (EntryStore<Integer, GroupLoad> store = GroupStore.facts(corrupt, warnings::add)) {
+            try (EntryStore<Integer, GroupLoad> store =
+                    PlannerStores.openLoadStore(corrupt, warnings::add)) {
                 store.write(loads(0, 5, 99));
                 assertThat(store.read()).hasSizeGreaterThanOrEqualTo(5);
             }
@@ -118,7 +123,8 @@
     @Test
     void entriesOfAnotherVersionAreSkippedAndCounted(@TempDir Path folder) {
         Path path = folder.resolve("facts");
-        try (EntryStore<Integer, GroupLoad> store = GroupStore.facts(path, warnings::add)) {
+        try (EntryStore<Integer, GroupLoad> store =
+                PlannerStores.openLoadStore(path, warnings::add)) {
             store.write(loads(0, 5, 1));
         }
         try (MVStore raw = new MVStore.Builder().fileName(path.toString()).open()) {
@@ -136,7 +142,7 @@
         Path file = folder.resolve("file");
         Files.writeString(file, "x");
         try (EntryStore<Integer, GroupLoad> store =
-                GroupStore.facts(file.resolve("facts"), warnings::add)) {
+                PlannerStores.openLoadStore(file.resolve("facts"), warnings::add)) {
             store.write(loads(0, 5, 1));
             assertThat(store.isUsable()).isFalse();
             assertThat(store.read()).isEmpty();
@@ -165,7 +171,7 @@
                                             new boolean[] {true, false},
                                             new double[] {0, 0}))));
         }
-        try (EntryStore<Integer, Plan> store = GroupStore.plans(path, warnings::add)) {
+        try (EntryStore<Integer, Plan> store = PlannerStores.openPlanStore(path, warnings::add)) {
             store.write(plans);
         }
         try (MVStore raw = new MVStore.Builder().fileName(path.toString()).open()) {
@@ -173,7 +179,7 @@
             entry[20] ^= 1;
             raw.<Integer, byte[]>openMap("plans").put(4, entry);
         }
-        try (EntryStore<Integer, Plan> store = GroupStore.plans(path, warnings::add)) {
+        try (EntryStore<Integer, Plan> store = PlannerStores.openPlanStore(path, warnings::add)) {
             assertThat(store.read()).hasSize(19).noneMatch(plan -> plan.version() == 104);
             assertThat(store.skippedCount()).isEqualTo(1);
         }
