--- a/src/main/java/coralcove/cli/Commands.java
+++ b/src/main/java/coralcove/cli/Commands.java
@@ -202,7 +202,7 @@
             }
         }
         try {
-            network.add(name, self, core, false);
+            network.addNode(name, self, core, false);
         } catch (UncheckedIOException e) {
             throw toml.table(table).invalid("listen", e.getCause().getMessage());
         }
@@ -222,8 +222,9 @@
                                 file.planner().host(),
                                 file.planner().port(),
                                 link,
-                                action -> network.on(name, (now, out) -> action.accept(now)));
-                network.on(name, (now, out) -> edge.attachPlanner(now, link, port));
+                                action ->
+                                        network.runOnNode(name, (now, out) -> action.accept(now)));
+                network.runOnNode(name, (now, out) -> edge.attachPlanner(now, link, port));
             } catch (IOException e) {
                 throw toml.table("planner").invalid("listen", e.getMessage());
             }
@@ -257,7 +258,7 @@
                 nextPollAt = network.now() + TABLE_POLL_INTERVAL_MICROS;
                 NumberTable next = watch.next();
                 if (next != null) {
-                    network.on(
+                    network.runOnNode(
                             name,
                             (now, out) -> ((EdgeCore) core).replaceNumberTable(now, next, out));
                 }
@@ -265,7 +266,7 @@
             if (stop.get() && core instanceof EdgeCore edge) {
                 boolean first = !stopLogged;
                 stopLogged = true;
-                network.on(
+                network.runOnNode(
                         name,
                         (now, out) -> {
                             if (first) {
@@ -313,7 +314,8 @@
                         file.rosterStore(),
                         "edge-" + file.settings().number(),
                         (entries, store) ->
-                                core.restoreRoster(LiveNetwork.clock(), entries, store));
+                                core.restoreRoster(
+                                        LiveNetwork.currentTimeMicros(), entries, store));
             }
             EdgeLinkCore link =
                     file.planner() == null
@@ -353,7 +355,10 @@
         List<Plan> stored = store.read();
         int groups =
                 UnsavedPlans.restore(
-                        LiveNetwork.clock(), file.settings().policySettings(), keeper, stored);
+                        LiveNetwork.currentTimeMicros(),
+                        file.settings().policySettings(),
+                        keeper,
+                        stored);
         log.info(
                 "plans: {} of {} stored groups resumed, version {}",
                 groups,
@@ -435,7 +440,7 @@
         @Override
         void serve(TomlSettings toml) throws BadConfig {
             ExchangeFile file = ExchangeFile.of(toml);
-            long now = LiveNetwork.clock();
+            long now = LiveNetwork.currentTimeMicros();
             ExchangeSettings settings =
                     file.cold() ? file.settings().startedAt(now) : file.settings();
             List<Arrival> arrivals =
--- a/src/main/java/coralcove/cli/SourcesCommand.java
+++ b/src/main/java/coralcove/cli/SourcesCommand.java
@@ -85,7 +85,7 @@
                         router.startTag());
         SourceQueryCore core = new SourceQueryCore(settings);
         try (LiveNetwork network = new LiveNetwork(null)) {
-            network.add("sources", settings.listenAddress(), core, false);
+            network.addNode("sources", settings.listenAddress(), core, false);
             if (file.dns() != null) {
                 RouterLocators.connect(
                         network,
@@ -96,7 +96,7 @@
             }
             network.run(network.now() + wait * 1000L);
             CompletableFuture<Snapshot> result = new CompletableFuture<>();
-            network.on(
+            network.runOnNode(
                     "sources",
                     (now, out) -> {
                         List<Roster.ListAuthority> authorities = new ArrayList<>();
--- a/src/main/java/coralcove/dns/DnsMessage.java
+++ b/src/main/java/coralcove/dns/DnsMessage.java
@@ -163,7 +163,7 @@
     }
 
     /** Decodes a message of one question of class IN. */
-    public static DnsMessage decode(byte[] bytes) throws BadDns {
+    public static DnsMessage decode(byte[] bytes) throws MalformedDnsException {
         Reader in = new Reader(bytes);
         int id = in.uint16();
         int flags = in.uint16();
@@ -172,15 +172,16 @@
         int authority = in.uint16();
         int additional = in.uint16();
         if (questions != 1) {
-            throw new BadDns("message with " + questions + " questions");
+            throw new MalformedDnsException("message with " + questions + " questions");
         }
         if (answers + authority + additional > MAX_RECORDS) {
-            throw new BadDns("message with " + (answers + authority + additional) + " records");
+            throw new MalformedDnsException(
+                    "message with " + (answers + authority + additional) + " records");
         }
         String name = in.name();
         int type = in.uint16();
         if (in.uint16() != CLASS_IN) {
-            throw new BadDns("question class is not IN");
+            throw new MalformedDnsException("question class is not IN");
         }
         return new DnsMessage(
                 id,
@@ -202,14 +203,14 @@
             this.bytes = bytes;
         }
 
-        int uint8() throws BadDns {
+        int uint8() throws MalformedDnsException {
             if (position >= bytes.length) {
-                throw new BadDns("message truncated at byte " + position);
+                throw new MalformedDnsException("message truncated at byte " + position);
             }
             return bytes[position++] & 255;
         }
 
-        int uint16() throws BadDns {
+        int uint16() throws MalformedDnsException {
             return uint8() << 8 | uint8();
         }
 
@@ -217,7 +218,7 @@
          * Reads a name. A compression pointer must point before the start of the name or the
          * previous pointer target, so that pointers cannot form a loop.
          */
-        String name() throws BadDns {
+        String name() throws MalformedDnsException {
             StringBuilder name = new StringBuilder();
             int endOfName = -1;
             int lowestPosition = position;
@@ -229,7 +230,7 @@
                 if (length >= 0xc0) {
                     int target = (length & 0x3f) << 8 | uint8();
                     if (target >= lowestPosition) {
-                        throw new BadDns(
+                        throw new MalformedDnsException(
                                 "compression pointer to byte "
                                         + target
                                         + " does not point backwards");
@@ -240,11 +241,12 @@
                     continue;
                 }
                 if (length > MAX_LABEL_LENGTH || position + length > bytes.length) {
-                    throw new BadDns(
+                    throw new MalformedDnsException(
                             "label of " + length + " bytes at byte " + position + " is too long");
                 }
                 if (name.length() + length + 1 > MAX_NAME_LENGTH) {
-                    throw new BadDns("name longer than " + MAX_NAME_LENGTH + " bytes");
+                    throw new MalformedDnsException(
+                            "name longer than " + MAX_NAME_LENGTH + " bytes");
                 }
                 name.append(name.length() == 0 ? "" : ".");
                 name.append(
@@ -257,7 +259,7 @@
         }
 
         /** Reads record data; compressed names in it are expanded. */
-        byte[] recordData(int type, int length) throws BadDns {
+        byte[] recordData(int type, int length) throws MalformedDnsException {
             int end = position + length;
             int nameOffset = type == SRV ? 6 : 0;
             if (type != CNAME && type != SRV || length < nameOffset + 1) {
@@ -269,7 +271,7 @@
             position += nameOffset;
             byte[] name = uncompressedName(name());
             if (position != end) {
-                throw new BadDns(
+                throw new MalformedDnsException(
                         "name in record data of "
                                 + length
                                 + " bytes ends "
@@ -281,7 +283,7 @@
             return data;
         }
 
-        List<ResourceRecord> resourceRecords(int count) throws BadDns {
+        List<ResourceRecord> resourceRecords(int count) throws MalformedDnsException {
             List<ResourceRecord> records = new ArrayList<>(count);
             for (int i = 0; i < count; i++) {
                 String name = name();
@@ -290,7 +292,7 @@
                 long ttl = (long) uint16() << 16 | uint16();
                 int length = uint16();
                 if (position + length > bytes.length) {
-                    throw new BadDns(
+                    throw new MalformedDnsException(
                             "record data of "
                                     + length
                                     + " bytes exceeds the remaining "
@@ -305,7 +307,7 @@
     }
 
     /** Decodes an uncompressed name in record data, beginning at byte {@code offset}. */
-    public static String uncompressedName(byte[] data, int offset) throws BadDns {
+    public static String uncompressedName(byte[] data, int offset) throws MalformedDnsException {
         Reader in = new Reader(data);
         in.position = offset;
         return in.name();
--- a/src/main/java/coralcove/dns/Enum.java
+++ b/src/main/java/coralcove/dns/EnumRecords.java
@@ -8,17 +8,17 @@
  * ENUM: the domain name of a telephone number (RFC 6116 section 3.2), and the routing number that
  * its records give if the number was ported.
  */
-public final class Enum {
+public final class EnumRecords {
     /**
      * Result of a portability query: the digits of the routing number, or "" if the number was not
      * ported; {@code life} is the TTL in seconds.
      */
     public record Ported(String routing, long life) {}
 
-    private Enum() {}
+    private EnumRecords() {}
 
     /** The domain name of a number: "5.4.3.2.1.e164.arpa" for "12345". */
-    public static String name(String digits, String suffix) {
+    public static String domainName(String digits, String suffix) {
         StringBuilder name = new StringBuilder(2 * digits.length() + suffix.length());
         for (int i = digits.length() - 1; i >= 0; i--) {
             name.append(digits.charAt(i)).append('.');
@@ -40,7 +40,8 @@
      * parameter is the routing number, prefixed with its context if it is not global (RFC 4694
      * section 4). Without such a record the number was not ported.
      */
-    public static Ported ported(DnsMessage answer, String digits) throws BadDns {
+    public static Ported readPortability(DnsMessage answer, String digits)
+            throws MalformedDnsException {
         record Candidate(NaptrRecord naptr, long ttl) {}
         List<Candidate> candidates = new java.util.ArrayList<>();
         for (DnsMessage.ResourceRecord resource : answer.answers()) {
@@ -64,7 +65,7 @@
         return new Ported("", candidates.isEmpty() ? answer.negativeTtl() : candidates.get(0).ttl);
     }
 
-    private static String routingNumber(String uri) throws BadDns {
+    private static String routingNumber(String uri) throws MalformedDnsException {
         String number = "";
         String context = "";
         for (String parameter : uri.toLowerCase(Locale.ROOT).split(";")) {
@@ -74,7 +75,7 @@
         String digits = (number.startsWith("+") ? "" : context) + number;
         digits = digits.replaceAll("[+().-]", "");
         if (!digits.matches("\\d{0,15}")) {
-            throw new BadDns("routing number " + number);
+            throw new MalformedDnsException("routing number " + number);
         }
         return digits;
     }
--- a/src/main/java/coralcove/dns/LookupCache.java
+++ b/src/main/java/coralcove/dns/LookupCache.java
@@ -211,7 +211,7 @@
         String target;
         try {
             target = DnsMessage.uncompressedName(result.records.get(0).data(), 0);
-        } catch (BadDns e) {
+        } catch (MalformedDnsException e) {
             target = "";
         }
         if (aliasCount >= MAX_CNAME_CHAIN || target.isEmpty() || target.equals(name)) {
@@ -254,7 +254,7 @@
         List<LookupListener> waiting = entry.listeners;
         entry.listeners = null;
         waitingCount -= waiting.size();
-        DnsMessage response = result.answer();
+        DnsMessage response = result.response();
         if (response == null) {
             entry.failedAt = now;
             entry.failure = result.failure();
@@ -321,7 +321,7 @@
             ttl = Math.min(ttl, alias.ttl());
             try {
                 current = DnsMessage.uncompressedName(alias.data(), 0);
-            } catch (BadDns e) {
+            } catch (MalformedDnsException e) {
                 break;
             }
         }
--- a/src/main/java/coralcove/dns/BadDns.java
+++ b/src/main/java/coralcove/dns/MalformedDnsException.java
@@ -1,10 +1,10 @@
 package coralcove.dns;
 
 /** Thrown for bytes that are not a valid DNS message or record; the message gives the reason. */
-public final class BadDns extends Exception {
+public final class MalformedDnsException extends Exception {
     private static final long serialVersionUID = 1;
 
-    BadDns(String reason) {
+    MalformedDnsException(String reason) {
         super(reason);
     }
 }
--- a/src/main/java/coralcove/dns/NaptrRecord.java
+++ b/src/main/java/coralcove/dns/NaptrRecord.java
@@ -42,9 +42,10 @@
     }
 
     /** Decodes record data. Flags and service are converted to lower case. */
-    public static NaptrRecord decode(byte[] data) throws BadDns {
+    public static NaptrRecord decode(byte[] data) throws MalformedDnsException {
         if (data.length < 7) {
-            throw new BadDns("NAPTR record of " + data.length + " bytes is too short");
+            throw new MalformedDnsException(
+                    "NAPTR record of " + data.length + " bytes is too short");
         }
         int order = (data[0] & 255) << 8 | data[1] & 255;
         int preference = (data[2] & 255) << 8 | data[3] & 255;
@@ -53,7 +54,7 @@
         for (int i = 0; i < texts.length; i++) {
             int length = position < data.length ? data[position] & 255 : -1;
             if (length < 0 || position + 1 + length > data.length) {
-                throw new BadDns("text in NAPTR record exceeds its end");
+                throw new MalformedDnsException("text in NAPTR record exceeds its end");
             }
             texts[i] = new String(data, position + 1, length, StandardCharsets.UTF_8);
             position += 1 + length;
--- a/src/main/java/coralcove/dns/Resolver.java
+++ b/src/main/java/coralcove/dns/Resolver.java
@@ -33,7 +33,7 @@
      * How a query ended: a response, possibly without records, or null and the reason of the
      * failure.
      */
-    public record Result(DnsMessage answer, String failure) {}
+    public record Result(DnsMessage response, String failure) {}
 
     /** What the resolver asks its owner to do. */
     public interface Actions {
@@ -238,7 +238,7 @@
         DnsMessage response;
         try {
             response = DnsMessage.decode(bytes);
-        } catch (BadDns e) {
+        } catch (MalformedDnsException e) {
             // Only somebody who saw the query knows its id and port, so the server itself is
             // faulty; the next one may not be.
             increment("malformed");
--- a/src/main/java/coralcove/dns/Locator.java
+++ b/src/main/java/coralcove/dns/ServiceLocator.java
@@ -18,14 +18,14 @@
  * is given the addresses of the best priority that has any; whether they are believed is decided
  * elsewhere.
  */
-public final class Locator {
+public final class ServiceLocator {
     /** Receives the addresses that were found. */
-    public interface Out {
+    public interface Listener {
         /**
          * The addresses of a number's router, none if the service is not available; {@code stale}:
          * no server responds and these are expired.
          */
-        void located(long now, int number, List<String> addresses, boolean stale);
+        void addressesFound(long now, int number, List<String> addresses, boolean stale);
 
         /** An event for the log. */
         void log(String event, String detail);
@@ -175,7 +175,7 @@
         private void complete(long now, List<String> addresses) {
             // An empty result is no proof that there is no address if one of the queries failed.
             if (!addresses.isEmpty() || !failed) {
-                listener.located(now, watchedName.number, addresses, stale);
+                listener.addressesFound(now, watchedName.number, addresses, stale);
             }
             scheduleRefresh(
                     now,
@@ -187,7 +187,7 @@
     private final LookupCache cache = new LookupCache();
     private final LookupCache.QuerySender querySender;
     private final RandomGenerator random;
-    private final Out listener;
+    private final Listener listener;
     private final String transport;
     private final List<WatchedName> watchedNames = new ArrayList<>();
     private final TreeMap<Long, List<WatchedName>> queryTimes = new TreeMap<>();
@@ -196,13 +196,13 @@
      * Watches the service names of {@code numbers}. {@code transport} is udp or tcp; {@code names}
      * gives the domain name of a number, without the service prefix.
      */
-    public Locator(
+    public ServiceLocator(
             List<Integer> numbers,
             IntFunction<String> names,
             String transport,
             RandomGenerator random,
             LookupCache.QuerySender querySender,
-            Out listener) {
+            Listener listener) {
         this.querySender = querySender;
         this.random = random;
         this.listener = listener;
@@ -245,12 +245,12 @@
     }
 
     /** Time of the next call to {@link #tick}, Long.MAX_VALUE if none is needed. */
-    public long due() {
+    public long nextTickAt() {
         return queryTimes.isEmpty() ? Long.MAX_VALUE : queryTimes.firstKey();
     }
 
     /** The result of a query that was passed to the query sender. */
-    public void answered(long now, String name, int type, Resolver.Result result) {
+    public void queryCompleted(long now, String name, int type, Resolver.Result result) {
         cache.queryCompleted(now, name, type, result);
     }
 
@@ -264,14 +264,14 @@
         for (ResourceRecord record : result.records()) {
             try {
                 records.add(SrvRecord.decode(record.data()));
-            } catch (BadDns e) {
+            } catch (MalformedDnsException e) {
                 listener.log("dns-bad", watchedName.name + ": " + e.getMessage());
             }
         }
         boolean unavailable =
                 records.isEmpty() || records.size() == 1 && records.get(0).target().isEmpty();
         if (unavailable) {
-            listener.located(
+            listener.addressesFound(
                     now,
                     watchedName.number,
                     List.of(),
@@ -298,7 +298,7 @@
     }
 
     /** Counters of the cache, by name. */
-    public Map<String, Long> counts() {
+    public Map<String, Long> counters() {
         return cache.counters();
     }
 }
--- a/src/main/java/coralcove/dns/ServiceZone.java
+++ b/src/main/java/coralcove/dns/ServiceZone.java
@@ -12,7 +12,7 @@
  * Zone of a simulated name server: SRV records, the addresses of their targets, and aliases
  * (CNAME).
  */
-public final class ServiceZone implements DnsStandIn.Zone {
+public final class ServiceZone implements SimulatedDnsServer.Zone {
     private final String domain;
     private final long ttl;
     private final Map<String, List<ResourceRecord>> records = new ConcurrentHashMap<>();
@@ -31,12 +31,12 @@
     }
 
     /** Adds an SRV record. */
-    public ServiceZone srv(String name, int priority, int weight, String target, int port) {
+    public ServiceZone addSrv(String name, int priority, int weight, String target, int port) {
         return add(name, DnsMessage.SRV, new SrvRecord(priority, weight, port, target).encode());
     }
 
     /** Adds an A record (4 bytes) or an AAAA record (16 bytes). */
-    public ServiceZone a(String name, int... bytes) {
+    public ServiceZone addAddress(String name, int... bytes) {
         byte[] data = new byte[bytes.length];
         for (int i = 0; i < bytes.length; i++) {
             data[i] = (byte) bytes[i];
@@ -50,7 +50,7 @@
     }
 
     /** Replaces all records of a name by one SRV record. */
-    public ServiceZone only(String name, String target, int port) {
+    public ServiceZone replaceWithSrv(String name, String target, int port) {
         records.put(
                 name,
                 List.of(
@@ -63,7 +63,7 @@
     }
 
     /** Removes all records of a name. */
-    public ServiceZone remove(String name) {
+    public ServiceZone removeAll(String name) {
         records.remove(name);
         return this;
     }
@@ -93,7 +93,7 @@
                 name =
                         DnsMessage.uncompressedName(
                                 recordsOf(name, DnsMessage.CNAME).get(0).data(), 0);
-            } catch (BadDns e) {
+            } catch (MalformedDnsException e) {
                 throw new IllegalStateException("malformed record in the zone of this server", e);
             }
         }
@@ -115,7 +115,7 @@
                     String target = SrvRecord.decode(resource.data()).target();
                     additional.addAll(recordsOf(target, DnsMessage.A));
                     additional.addAll(recordsOf(target, DnsMessage.AAAA));
-                } catch (BadDns e) {
+                } catch (MalformedDnsException e) {
                     throw new IllegalStateException(
                             "malformed record in the zone of this server", e);
                 }
--- a/src/main/java/coralcove/dns/DnsStandIn.java
+++ b/src/main/java/coralcove/dns/SimulatedDnsServer.java
@@ -9,7 +9,7 @@
  * A simulated name server, which answers from its zone and can be made to misbehave. It has no
  * sockets and no clock: it is given a query and returns the packets to send, with their delays.
  */
-public final class DnsStandIn {
+public final class SimulatedDnsServer {
     /** How the server misbehaves. */
     public enum Fault {
         /** Answers correctly. */
@@ -17,7 +17,7 @@
         /** Delays each response by the delay given with the fault. */
         SLOW,
         /** Does not respond. */
-        DEAD,
+        UNRESPONSIVE,
         /** Truncates responses over UDP; answers over TCP. */
         TRUNCATED_DATAGRAMS,
         /** Sends a record length or record count that exceeds the message. */
@@ -31,7 +31,7 @@
         /** Sends a name that is a compression pointer to itself. */
         COMPRESSION_LOOP,
         /** Truncates responses over UDP and does not respond over TCP. */
-        CUTS_ALL
+        TRUNCATED_WITHOUT_TCP
     }
 
     /** A packet to be sent after {@code delay} µs. */
@@ -51,7 +51,7 @@
     private long queryCount;
 
     /** {@code typicalDelay} is the mean response delay in µs. */
-    public DnsStandIn(Zone zone, long typicalDelay, RandomGenerator random) {
+    public SimulatedDnsServer(Zone zone, long typicalDelay, RandomGenerator random) {
         this.zone = zone;
         this.typicalDelay = typicalDelay;
         this.random = random;
@@ -61,7 +61,7 @@
      * A portability server. {@code routingNumbers} maps a number to the digits of its routing
      * number, or to null if it was not ported; {@code ttl} in seconds.
      */
-    public DnsStandIn(
+    public SimulatedDnsServer(
             String suffix,
             UnaryOperator<String> routingNumbers,
             long ttl,
@@ -71,7 +71,7 @@
     }
 
     /** From now on misbehaves like {@code fault}; {@code delay} (µs) applies to SLOW. */
-    public void misbehave(Fault fault, long delay) {
+    public void injectFault(Fault fault, long delay) {
         this.fault = fault;
         faultDelay = delay;
     }
@@ -90,7 +90,7 @@
         DnsMessage query;
         try {
             query = DnsMessage.decode(bytes);
-        } catch (BadDns e) {
+        } catch (MalformedDnsException e) {
             return List.of();
         }
         long responseDelay = Math.max(1, (long) (typicalDelay * (0.5 + random.nextDouble())));
@@ -99,13 +99,13 @@
         switch (fault) {
             case NONE -> packets.add(new Packet(responseDelay, response.encode()));
             case SLOW -> packets.add(new Packet(responseDelay + faultDelay, response.encode()));
-            case DEAD -> {}
+            case UNRESPONSIVE -> {}
             case TRUNCATED_DATAGRAMS ->
                     packets.add(
                             new Packet(
                                     responseDelay,
                                     (stream ? response : response.asTruncated()).encode()));
-            case CUTS_ALL -> {
+            case TRUNCATED_WITHOUT_TCP -> {
                 // Truncated over UDP; the TCP query that follows is not answered.
                 if (!stream) {
                     packets.add(new Packet(responseDelay, response.asTruncated().encode()));
@@ -162,7 +162,7 @@
 
     private static DnsMessage portabilityAnswer(
             DnsMessage query, String suffix, UnaryOperator<String> routingNumbers, long ttl) {
-        String digits = Enum.digitsOf(query.questionName(), suffix);
+        String digits = EnumRecords.digitsOf(query.questionName(), suffix);
         String routingNumber =
                 digits == null || query.questionType() != DnsMessage.NAPTR
                         ? null
--- a/src/main/java/coralcove/dns/SrvRecord.java
+++ b/src/main/java/coralcove/dns/SrvRecord.java
@@ -12,9 +12,9 @@
  */
 public record SrvRecord(int priority, int weight, int port, String target) {
     /** Decodes record data without name compression. */
-    public static SrvRecord decode(byte[] data) throws BadDns {
+    public static SrvRecord decode(byte[] data) throws MalformedDnsException {
         if (data.length < 7) {
-            throw new BadDns("SRV record of " + data.length + " bytes is too short");
+            throw new MalformedDnsException("SRV record of " + data.length + " bytes is too short");
         }
         return new SrvRecord(
                 uint16(data, 0),
--- a/src/main/java/coralcove/dns/transport/DnsClient.java
+++ b/src/main/java/coralcove/dns/transport/DnsClient.java
@@ -1,6 +1,6 @@
 package coralcove.dns.transport;
 
-import coralcove.dns.Questions;
+import coralcove.dns.DnsQueryClient;
 import coralcove.dns.Resolver;
 import coralcove.mina.MinaSupport;
 import java.net.InetSocketAddress;
@@ -23,7 +23,7 @@
  * The resolver on Apache MINA. One thread owns it and calls back with results. Its UDP sockets are
  * connected, use ports chosen by the system, and are replaced from time to time.
  */
-public final class DnsClient implements Questions, AutoCloseable {
+public final class DnsClient implements DnsQueryClient, AutoCloseable {
     /**
      * Number of queries after which a socket is replaced, since a port that is used for long can be
      * guessed.
@@ -79,7 +79,7 @@
      * #close} nothing is sent.
      */
     @Override
-    public void ask(String name, int type, Consumer<Resolver.Result> callback) {
+    public void query(String name, int type, Consumer<Resolver.Result> callback) {
         execute(() -> resolver.query(now(), name, type, callback, actions));
     }
 
--- a/src/main/java/coralcove/dns/transport/DnsServer.java
+++ b/src/main/java/coralcove/dns/transport/DnsServer.java
@@ -1,6 +1,6 @@
 package coralcove.dns.transport;
 
-import coralcove.dns.DnsStandIn;
+import coralcove.dns.SimulatedDnsServer;
 import coralcove.mina.MinaSupport;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -18,7 +18,7 @@
  * server.
  */
 public final class DnsServer implements AutoCloseable {
-    private final DnsStandIn server;
+    private final SimulatedDnsServer server;
     private final ScheduledExecutorService thread;
     private final NioDatagramAcceptor datagrams = new NioDatagramAcceptor();
     private final NioSocketAcceptor streams = new NioSocketAcceptor(1);
@@ -26,7 +26,7 @@
     /**
      * Listens on UDP and TCP; if the port is in use, throws an IOException that names the address.
      */
-    public DnsServer(String host, int port, DnsStandIn server) throws IOException {
+    public DnsServer(String host, int port, SimulatedDnsServer server) throws IOException {
         this.server = server;
         thread =
                 Executors.newSingleThreadScheduledExecutor(
@@ -49,8 +49,8 @@
     }
 
     /** From now on misbehaves like {@code fault}; {@code delay} (µs) applies to SLOW. */
-    public void misbehave(DnsStandIn.Fault fault, long delay) {
-        thread.execute(() -> server.misbehave(fault, delay));
+    public void injectFault(SimulatedDnsServer.Fault fault, long delay) {
+        thread.execute(() -> server.injectFault(fault, delay));
     }
 
     @Override
--- a/src/main/java/coralcove/edge/DnsDiscoveryCore.java
+++ b/src/main/java/coralcove/edge/DnsDiscoveryCore.java
@@ -1,6 +1,6 @@
 package coralcove.edge;
 
-import coralcove.dns.Questions;
+import coralcove.dns.DnsQueryClient;
 import coralcove.sip.Out;
 import java.util.function.Consumer;
 
@@ -13,7 +13,7 @@
     void startDnsDiscovery(
             long now,
             LocatorSettings settings,
-            Questions questions,
+            DnsQueryClient questions,
             Consumer<LocatorResult> results);
 
     /** The result of a DNS query. */
--- a/src/main/java/coralcove/edge/EdgeCore.java
+++ b/src/main/java/coralcove/edge/EdgeCore.java
@@ -8,7 +8,7 @@
 import coralcove.RejectionCause;
 import coralcove.RoutingDecision;
 import coralcove.Session;
-import coralcove.dns.Questions;
+import coralcove.dns.DnsQueryClient;
 import coralcove.numbers.NumberTable;
 import coralcove.numbers.Porting;
 import coralcove.numbers.Search;
@@ -155,7 +155,7 @@
     public void startDnsDiscovery(
             long now,
             LocatorSettings locatorSettings,
-            Questions questions,
+            DnsQueryClient questions,
             Consumer<LocatorResult> results) {
         rosterManager.startDnsDiscovery(now, locatorSettings, questions, results);
     }
--- a/src/main/java/coralcove/edge/RosterManager.java
+++ b/src/main/java/coralcove/edge/RosterManager.java
@@ -2,8 +2,8 @@
 
 import coralcove.Exchange;
 import coralcove.config.AddressSettings;
-import coralcove.dns.Locator;
-import coralcove.dns.Questions;
+import coralcove.dns.DnsQueryClient;
+import coralcove.dns.ServiceLocator;
 import coralcove.protocol.ExchangeListFormat;
 import coralcove.sip.Hop;
 import coralcove.sip.Out;
@@ -29,7 +29,7 @@
  * directories and DNS report to the {@link Roster}, and changes of the roster to its listener. The
  * routing policy decides when a directory is subscribed to again.
  */
-final class RosterManager implements Subscriber.User, Locator.Out {
+final class RosterManager implements Subscriber.User, ServiceLocator.Listener {
     static final String EXCHANGES_EVENT = "exchanges";
     static final String TRUNK_GROUPS_EVENT = "trunk-groups";
 
@@ -78,7 +78,7 @@
     private Consumer<List<Roster.SourceReport>> reportSink;
 
     private Timers.Timer authorityTimer;
-    private Locator locator;
+    private ServiceLocator locator;
     private Timers.Timer locatorTimer;
     private final List<String> locatorLogLines = new ArrayList<>();
 
@@ -236,16 +236,16 @@
     void startDnsDiscovery(
             long now,
             LocatorSettings locatorSettings,
-            Questions questions,
+            DnsQueryClient questions,
             Consumer<LocatorResult> results) {
         locator =
-                new Locator(
+                new ServiceLocator(
                         locatorSettings.numbers(),
                         locatorSettings::name,
                         locatorSettings.transport(),
                         locatorSettings.random(),
                         (name, type) ->
-                                questions.ask(
+                                questions.query(
                                         name,
                                         type,
                                         result ->
@@ -263,7 +263,7 @@
 
     /** The result of a DNS query. */
     void dnsAnswered(long now, LocatorResult result, Out out) {
-        locator.answered(now, result.name(), result.type(), result.result());
+        locator.queryCompleted(now, result.name(), result.type(), result.result());
         finishLocatorStep(now, out);
     }
 
@@ -271,7 +271,7 @@
         locatorLogLines.forEach(line -> out.log("dns", "", line));
         locatorLogLines.clear();
         timers.cancel(locatorTimer);
-        long deadline = locator.due();
+        long deadline = locator.nextTickAt();
         locatorTimer =
                 deadline == Long.MAX_VALUE
                         ? null
@@ -280,7 +280,7 @@
     }
 
     @Override
-    public void located(long now, int number, List<String> addresses, boolean stale) {
+    public void addressesFound(long now, int number, List<String> addresses, boolean stale) {
         // If DNS gave this router's address for another number, an INVITE to that number would loop
         // back here. IPv6 is supported over TCP only.
         roster.applyDnsAnswer(
--- a/src/main/java/coralcove/edge/SourceQueryCore.java
+++ b/src/main/java/coralcove/edge/SourceQueryCore.java
@@ -1,7 +1,7 @@
 package coralcove.edge;
 
 import coralcove.Exchange;
-import coralcove.dns.Questions;
+import coralcove.dns.DnsQueryClient;
 import coralcove.sip.Hop;
 import coralcove.sip.Out;
 import coralcove.sip.SipMessage;
@@ -41,7 +41,7 @@
     public void startDnsDiscovery(
             long now,
             LocatorSettings settings,
-            Questions questions,
+            DnsQueryClient questions,
             Consumer<LocatorResult> results) {
         rosterManager.startDnsDiscovery(now, settings, questions, results);
     }
--- a/src/main/java/coralcove/judge/Judge.java
+++ b/src/main/java/coralcove/judge/Judge.java
@@ -23,7 +23,7 @@
  * sent, with its time in µs. Call routers are the nodes named {@code edge-N}. Pending sessions end
  * with {@link #killed} or with the end of the capture.
  */
-public final class Judge implements Network.Tap, Witness {
+public final class Judge implements Network.MessageObserver, Witness {
     /** Highest service accepted in a header; the settings of the routers are not known here. */
     private static final int MAX_SERVICES = 1000;
 
@@ -237,7 +237,7 @@
     }
 
     @Override
-    public void message(long now, String node, boolean out, Hop peer, byte[] bytes) {
+    public void onMessage(long now, String node, boolean out, Hop peer, byte[] bytes) {
         SipMessage message;
         try {
             message = SipParser.parse(bytes, 0, bytes.length);
@@ -248,7 +248,7 @@
         read(now, node, out, peer, message);
     }
 
-    /** Same as {@link #message}, for a message that is already parsed. */
+    /** Same as {@link #onMessage}, for a message that is already parsed. */
     public void read(long now, String node, boolean out, Hop peer, SipMessage message) {
         switch (message.cseqMethod()) {
             case "INVITE" -> {
@@ -296,7 +296,7 @@
      * sent.
      */
     @Override
-    public void broken(long now, String node, Hop peer, boolean refused) {
+    public void onStreamFailure(long now, String node, Hop peer, boolean refused) {
         for (SentInvite sent : invitesByStream.getOrDefault(node + peer, Set.of())) {
             if (sent.endedAt == Long.MAX_VALUE) {
                 sent.endedAt = now;
--- a/src/main/java/coralcove/network/InputQueue.java
+++ b/src/main/java/coralcove/network/InputQueue.java
@@ -19,7 +19,7 @@
     record Input(
             Hop source,
             byte[] bytes,
-            Network.Act action,
+            Network.NodeAction action,
             OverloadControl.Kind kind,
             long receivedAt) {}
 
@@ -69,7 +69,7 @@
     }
 
     /** Queues an action. Actions are few and are never dropped. */
-    synchronized void addAction(Network.Act action, long now) {
+    synchronized void addAction(Network.NodeAction action, long now) {
         responses.add(new Input(null, null, action, OverloadControl.Kind.ANSWER, now));
         notifyAll();
     }
--- a/src/main/java/coralcove/network/LiveNetwork.java
+++ b/src/main/java/coralcove/network/LiveNetwork.java
@@ -1,6 +1,6 @@
 package coralcove.network;
 
-import coralcove.network.VirtualNetwork.Weather;
+import coralcove.network.VirtualNetwork.NetworkConditions;
 import coralcove.overload.OverloadControl;
 import coralcove.sip.BadMessage;
 import coralcove.sip.Core;
@@ -126,7 +126,7 @@
             }
         }
 
-        private void submit(Act action) {
+        private void submit(NodeAction action) {
             inputQueue.addAction(action, now());
         }
 
@@ -134,7 +134,7 @@
         public void read(Hop source, byte[] bytes) {
             long receivedAt = now();
             if (observed && observer != null && alive) {
-                observer.message(receivedAt, name, false, source, bytes);
+                observer.onMessage(receivedAt, name, false, source, bytes);
             }
             inputQueue.offerMessage(source, bytes, receivedAt);
         }
@@ -142,7 +142,7 @@
         @Override
         public void broken(Hop peer, boolean refused) {
             if (observed && observer != null && alive) {
-                observer.broken(now(), name, peer, refused);
+                observer.onStreamFailure(now(), name, peer, refused);
             }
             submit((now, out) -> core.broken(now, peer, refused, out));
         }
@@ -159,7 +159,7 @@
             }
             byte[] bytes = message.bytes();
             if (observed && observer != null) {
-                observer.message(now(), name, true, destination, bytes);
+                observer.onMessage(now(), name, true, destination, bytes);
             }
             String targetName = namesByPort.get(destination.port());
             if (targetName != null && partitions.isPartitioned(name, targetName)) {
@@ -198,8 +198,8 @@
         }
     }
 
-    private final Tap observer;
-    private final Weather conditions;
+    private final MessageObserver observer;
+    private final NetworkConditions conditions;
     private final long seed;
     private final Map<String, Node> nodes = new ConcurrentHashMap<>();
     private final Map<Integer, String> namesByPort = new ConcurrentHashMap<>();
@@ -213,32 +213,32 @@
     private long nextSequence;
 
     /** A network without faults. {@code observer} is called on many threads and may be null. */
-    public LiveNetwork(Tap observer) {
-        this(observer, Weather.FAIR, 1);
+    public LiveNetwork(MessageObserver observer) {
+        this(observer, NetworkConditions.FAULT_FREE, 1);
     }
 
     /**
      * A network that loses and duplicates datagrams and resets streams with the probabilities of
      * {@code conditions}; its delays are not used.
      */
-    public LiveNetwork(Tap observer, Weather conditions, long seed) {
+    public LiveNetwork(MessageObserver observer, NetworkConditions conditions, long seed) {
         this.observer = observer;
         this.conditions = conditions;
         this.seed = seed;
     }
 
     /** Time in µs since the epoch, by a clock that never goes back. */
-    public static long clock() {
+    public static long currentTimeMicros() {
         return CLOCK_OFFSET_US + System.nanoTime() / 1000;
     }
 
     @Override
     public long now() {
-        return clock();
+        return currentTimeMicros();
     }
 
     @Override
-    public void add(String name, Hop self, Core core, boolean observed) {
+    public void addNode(String name, Hop self, Core core, boolean observed) {
         try {
             Node node = new Node(name, self, core, observed);
             nodes.put(name, node);
@@ -250,7 +250,7 @@
     }
 
     @Override
-    public void kill(String name) {
+    public void killNode(String name) {
         Node node = nodes.remove(name);
         if (node != null) {
             node.shutDown();
@@ -258,7 +258,7 @@
     }
 
     @Override
-    public void on(String name, Act action) {
+    public void runOnNode(String name, NodeAction action) {
         Node node = nodes.get(name);
         if (node != null) {
             node.submit(action);
@@ -266,17 +266,17 @@
     }
 
     @Override
-    public void cut(String one, String other, boolean partitioned) {
+    public void setPartitioned(String one, String other, boolean partitioned) {
         partitions.setPartitioned(one, other, partitioned);
     }
 
     /** Number of messages dropped because a node's input queue was full. */
-    public long dropped() {
+    public long droppedInputs() {
         return nodes.values().stream().mapToLong(node -> node.inputQueue.dropped()).sum();
     }
 
     @Override
-    public void at(long time, Runnable action) {
+    public void schedule(long time, Runnable action) {
         scheduledActions.add(new ScheduledAction(time, nextSequence++, action));
     }
 
@@ -299,6 +299,6 @@
 
     @Override
     public void close() {
-        nodes.keySet().forEach(this::kill);
+        nodes.keySet().forEach(this::killNode);
     }
 }
--- a/src/main/java/coralcove/network/Network.java
+++ b/src/main/java/coralcove/network/Network.java
@@ -11,53 +11,53 @@
  */
 public interface Network {
     /** An action on a core, run on the core's own thread. */
-    interface Act {
+    interface NodeAction {
         void run(long now, Out out);
     }
 
     /** Observes every message that an observed node sends or receives. Times are in µs. */
-    interface Tap {
+    interface MessageObserver {
         /** A message was sent ({@code out}) to {@code peer} or received from it. */
-        void message(long now, String node, boolean out, Hop peer, byte[] bytes);
+        void onMessage(long now, String node, boolean out, Hop peer, byte[] bytes);
 
         /**
          * The same for networks that pass message objects without encoding them. The message must
          * not be retained.
          */
-        default void message(long now, String node, boolean out, Hop peer, SipMessage message) {
-            message(now, node, out, peer, message.bytes());
+        default void onMessage(long now, String node, boolean out, Hop peer, SipMessage message) {
+            onMessage(now, node, out, peer, message.bytes());
         }
 
         /** A stream of an observed node broke, or could not be opened ({@code refused}). */
-        void broken(long now, String node, Hop peer, boolean refused);
+        void onStreamFailure(long now, String node, Hop peer, boolean refused);
     }
 
     /**
      * Starts a core as the node {@code name}, reachable over UDP and TCP at {@code self}. If {@code
      * observed}, the observer is informed of its messages.
      */
-    void add(String name, Hop self, Core core, boolean observed);
+    void addNode(String name, Hop self, Core core, boolean observed);
 
     /**
      * Ends a node abruptly, as killing its process would: it sends nothing more, and messages for
      * it are lost.
      */
-    void kill(String name);
+    void killNode(String name);
 
     /**
      * Runs {@code action} on the thread of the node {@code name}; does nothing if there is no such
      * node.
      */
-    void on(String name, Act action);
+    void runOnNode(String name, NodeAction action);
 
     /**
      * Starts a network partition between two nodes in both directions, or ends it if {@code
      * partitioned} is false.
      */
-    void cut(String one, String other, boolean partitioned);
+    void setPartitioned(String one, String other, boolean partitioned);
 
     /** Runs {@code action} at {@code time} (µs), outside any core. */
-    void at(long time, Runnable action);
+    void schedule(long time, Runnable action);
 
     /** The current time in µs. */
     long now();
--- a/src/main/java/coralcove/network/VirtualDns.java
+++ b/src/main/java/coralcove/network/VirtualDnsClient.java
@@ -1,23 +1,23 @@
 package coralcove.network;
 
-import coralcove.dns.DnsStandIn;
-import coralcove.dns.Questions;
+import coralcove.dns.DnsQueryClient;
 import coralcove.dns.Resolver;
+import coralcove.dns.SimulatedDnsServer;
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
 
 /**
  * One node's resolver in virtual time, connected to a simulated server over a network without loss.
  */
-public final class VirtualDns implements Questions, Resolver.Actions {
+public final class VirtualDnsClient implements DnsQueryClient, Resolver.Actions {
     private final Network network;
-    private final DnsStandIn server;
+    private final SimulatedDnsServer server;
     private final Resolver resolver;
     private long nextTickAt = Long.MAX_VALUE;
 
-    public VirtualDns(
+    public VirtualDnsClient(
             Network network,
-            DnsStandIn server,
+            SimulatedDnsServer server,
             Resolver.Settings settings,
             RandomGenerator random) {
         this.network = network;
@@ -26,7 +26,7 @@
     }
 
     @Override
-    public void ask(String name, int type, Consumer<Resolver.Result> callback) {
+    public void query(String name, int type, Consumer<Resolver.Result> callback) {
         resolver.query(network.now(), name, type, callback, this);
         scheduleTick();
     }
@@ -35,7 +35,7 @@
         long nextTick = resolver.nextTickAt();
         if (nextTick < nextTickAt) {
             nextTickAt = nextTick;
-            network.at(
+            network.schedule(
                     nextTick,
                     () -> {
                         nextTickAt = Long.MAX_VALUE;
@@ -50,7 +50,7 @@
         server.handleQuery(bytes, false)
                 .forEach(
                         packet ->
-                                network.at(
+                                network.schedule(
                                         network.now() + packet.delay(),
                                         () -> {
                                             resolver.datagramReceived(
@@ -68,7 +68,7 @@
         server.handleQuery(bytes, true)
                 .forEach(
                         packet ->
-                                network.at(
+                                network.schedule(
                                         network.now() + packet.delay(),
                                         () -> {
                                             resolver.streamMessageReceived(
--- a/src/main/java/coralcove/network/VirtualNetwork.java
+++ b/src/main/java/coralcove/network/VirtualNetwork.java
@@ -25,7 +25,7 @@
      * stream message that the stream breaks ({@code reset}). The site of a node is the part of its
      * name after the first hyphen.
      */
-    public record Weather(
+    public record NetworkConditions(
             long sameSiteDelay,
             long sameZoneDelay,
             long crossZoneDelay,
@@ -35,7 +35,8 @@
             double reordered,
             double reset) {
         /** Conditions without faults. */
-        public static final Weather FAIR = new Weather(100, 1000, 3000, 0.1, 0, 0, 0, 0);
+        public static final NetworkConditions FAULT_FREE =
+                new NetworkConditions(100, 1000, 3000, 0.1, 0, 0, 0, 0);
     }
 
     /** Maximum extra delay of a reordered or duplicated datagram. */
@@ -81,7 +82,7 @@
         @Override
         public void log(String event, String session, String detail) {
             if (logListener != null) {
-                logListener.line(now, name, event, session, detail);
+                logListener.onLogLine(now, name, event, session, detail);
             }
         }
     }
@@ -90,15 +91,15 @@
     private record Packet(byte[] bytes, SipMessage message) {}
 
     /** Receives every log line of the nodes. */
-    public interface Log {
+    public interface LogListener {
         /** A node logged an event at {@code now} (µs). */
-        void line(long now, String node, String event, String session, String detail);
+        void onLogLine(long now, String node, String event, String session, String detail);
     }
 
-    private final Weather conditions;
+    private final NetworkConditions conditions;
     private final RandomGenerator random;
-    private final Tap observer;
-    private final Log logListener;
+    private final MessageObserver observer;
+    private final LogListener logListener;
     private final Map<String, Integer> zones;
     private final LadderQueue<Runnable> events = new LadderQueue<>();
     private final boolean serialized;
@@ -116,10 +117,10 @@
     public VirtualNetwork(
             long start,
             long seed,
-            Weather conditions,
+            NetworkConditions conditions,
             Map<String, Integer> zones,
-            Tap observer,
-            Log logListener) {
+            MessageObserver observer,
+            LogListener logListener) {
         this(start, seed, conditions, zones, observer, logListener, true);
     }
 
@@ -130,10 +131,10 @@
     public VirtualNetwork(
             long start,
             long seed,
-            Weather conditions,
+            NetworkConditions conditions,
             Map<String, Integer> zones,
-            Tap observer,
-            Log logListener,
+            MessageObserver observer,
+            LogListener logListener,
             boolean serialized) {
         this.serialized = serialized;
         now = start;
@@ -145,7 +146,7 @@
     }
 
     @Override
-    public void add(String name, Hop self, Core core, boolean observed) {
+    public void addNode(String name, Hop self, Core core, boolean observed) {
         Node node = new Node(name, self, core, observed, zones.getOrDefault(name, 0));
         nodesByName.put(name, node);
         nodesByPort.put(self.port(), node);
@@ -154,7 +155,7 @@
     }
 
     @Override
-    public void kill(String name) {
+    public void killNode(String name) {
         Node node = nodesByName.remove(name);
         if (node != null) {
             node.alive = false;
@@ -163,7 +164,7 @@
     }
 
     @Override
-    public void on(String name, Act action) {
+    public void runOnNode(String name, NodeAction action) {
         Node node = nodesByName.get(name);
         if (node != null) {
             action.run(now, node);
@@ -172,12 +173,12 @@
     }
 
     @Override
-    public void cut(String one, String other, boolean partitioned) {
+    public void setPartitioned(String one, String other, boolean partitioned) {
         partitions.setPartitioned(one, other, partitioned);
     }
 
     @Override
-    public void at(long time, Runnable action) {
+    public void schedule(long time, Runnable action) {
         events.add(Math.max(now, time), action);
     }
 
@@ -207,7 +208,7 @@
             node.nextWakeUp = wakeUpAt;
             // The wake-up holds the time for which it was scheduled. If it compared with the time
             // read when it runs, outdated wake-ups would schedule further ones and multiply.
-            at(wakeUpAt, () -> wakeUp(node, wakeUpAt));
+            schedule(wakeUpAt, () -> wakeUp(node, wakeUpAt));
         }
     }
 
@@ -224,9 +225,9 @@
 
     private void notifyObserver(String node, boolean out, Hop peer, Packet packet) {
         if (serialized) {
-            observer.message(now, node, out, peer, packet.bytes);
+            observer.onMessage(now, node, out, peer, packet.bytes);
         } else {
-            observer.message(now, node, out, peer, packet.message);
+            observer.onMessage(now, node, out, peer, packet.message);
         }
     }
 
@@ -266,12 +267,12 @@
         long arrival = Math.max(now + delay, lastArrivalByStream.getOrDefault(stream, 0L));
         lastArrivalByStream.put(stream, arrival);
         if (broken) {
-            at(
+            schedule(
                     now + 2 * delay,
                     () -> {
                         if (from.alive) {
                             if (from.observed && observer != null) {
-                                observer.broken(now, from.name, to, refused);
+                                observer.onStreamFailure(now, from.name, to, refused);
                             }
                             from.core.broken(now, to, refused, from);
                             scheduleWakeUp(from);
@@ -294,7 +295,7 @@
 
     private void scheduleDelivery(Node from, Hop to, Packet packet, long arrival) {
         Hop source = from.self.over(to.tcp());
-        at(
+        schedule(
                 arrival,
                 () -> {
                     Node target = nodesByPort.get(to.port());
--- a/src/main/java/coralcove/portability/PortabilityService.java
+++ b/src/main/java/coralcove/portability/PortabilityService.java
@@ -1,17 +1,17 @@
 package coralcove.portability;
 
-import coralcove.dns.BadDns;
 import coralcove.dns.DnsMessage;
-import coralcove.dns.DnsStandIn;
-import coralcove.dns.Enum;
-import coralcove.dns.Questions;
+import coralcove.dns.DnsQueryClient;
+import coralcove.dns.EnumRecords;
+import coralcove.dns.MalformedDnsException;
 import coralcove.dns.Resolver;
+import coralcove.dns.SimulatedDnsServer;
 import coralcove.dns.transport.DnsClient;
 import coralcove.dns.transport.DnsServer;
 import coralcove.edge.EdgeCore;
 import coralcove.edge.NumberAnalysisContext;
 import coralcove.network.Network;
-import coralcove.network.VirtualDns;
+import coralcove.network.VirtualDnsClient;
 import coralcove.numbers.Digits;
 import coralcove.numbers.Porting;
 import java.io.IOException;
@@ -49,7 +49,7 @@
      *
      * @param delay delay of each answer in µs if the fault is SLOW
      */
-    void injectFault(DnsStandIn.Fault fault, long delay);
+    void injectFault(SimulatedDnsServer.Fault fault, long delay);
 
     @Override
     void close();
@@ -64,23 +64,24 @@
         Porting.Outcome outcome = Porting.Outcome.FAILED;
         long routing = 0;
         long lifetime = 0;
-        if (result.answer() != null) {
+        if (result.response() != null) {
             try {
-                Enum.Ported ported = Enum.ported(result.answer(), Digits.text(number));
+                EnumRecords.Ported ported =
+                        EnumRecords.readPortability(result.response(), Digits.text(number));
                 outcome =
                         ported.routing().isEmpty()
                                 ? Porting.Outcome.NOT_MOVED
                                 : Porting.Outcome.MOVED;
                 routing = Digits.pack(ported.routing());
                 lifetime = ported.life() * 1_000_000;
-            } catch (BadDns e) {
+            } catch (MalformedDnsException e) {
                 outcome = Porting.Outcome.FAILED;
             }
         }
         Porting.Outcome finalOutcome = outcome;
         long finalRouting = routing;
         long finalLifetime = lifetime;
-        network.on(
+        network.runOnNode(
                 node,
                 (now, out) ->
                         core.get()
@@ -95,14 +96,14 @@
 
     /** Returns a portability client that uses this resolver; the caller closes the resolver. */
     static NumberAnalysisContext.PortabilityClient clientUsing(
-            Questions client,
+            DnsQueryClient client,
             String suffix,
             Network network,
             String node,
             Supplier<EdgeCore> core) {
         return (now, number) ->
-                client.ask(
-                        Enum.name(Digits.text(number), suffix),
+                client.query(
+                        EnumRecords.domainName(Digits.text(number), suffix),
                         DnsMessage.NAPTR,
                         result -> report(network, node, core, number, result));
     }
@@ -112,8 +113,8 @@
      *
      * @throws IOException if the address cannot be bound
      */
-    static PortabilityService live(Network network, DnsStandIn server, String host, int port)
-            throws IOException {
+    static PortabilityService live(
+            Network network, SimulatedDnsServer server, String host, int port) throws IOException {
         DnsServer dnsServer = new DnsServer(host, port, server);
         List<DnsClient> clients = new ArrayList<>();
         return new PortabilityService() {
@@ -134,8 +135,8 @@
             }
 
             @Override
-            public void injectFault(DnsStandIn.Fault fault, long delay) {
-                dnsServer.misbehave(fault, delay);
+            public void injectFault(SimulatedDnsServer.Fault fault, long delay) {
+                dnsServer.injectFault(fault, delay);
             }
 
             @Override
@@ -147,13 +148,13 @@
     }
 
     /** Returns a portability server in virtual time, over a network without loss. */
-    static PortabilityService virtual(Network network, DnsStandIn server, long seed) {
+    static PortabilityService virtual(Network network, SimulatedDnsServer server, long seed) {
         return new PortabilityService() {
             @Override
             public NumberAnalysisContext.PortabilityClient clientFor(
                     String node, Supplier<EdgeCore> core) {
-                VirtualDns client =
-                        new VirtualDns(
+                VirtualDnsClient client =
+                        new VirtualDnsClient(
                                 network,
                                 server,
                                 new Resolver.Settings(
@@ -167,8 +168,8 @@
             }
 
             @Override
-            public void injectFault(DnsStandIn.Fault fault, long delay) {
-                server.misbehave(fault, delay);
+            public void injectFault(SimulatedDnsServer.Fault fault, long delay) {
+                server.injectFault(fault, delay);
             }
 
             @Override
--- a/src/main/java/coralcove/portability/RouterLocators.java
+++ b/src/main/java/coralcove/portability/RouterLocators.java
@@ -1,6 +1,6 @@
 package coralcove.portability;
 
-import coralcove.dns.Questions;
+import coralcove.dns.DnsQueryClient;
 import coralcove.edge.DnsDiscoveryCore;
 import coralcove.edge.LocatorSettings;
 import coralcove.network.Network;
@@ -18,8 +18,8 @@
             String node,
             DnsDiscoveryCore core,
             LocatorSettings settings,
-            Questions questions) {
-        network.on(
+            DnsQueryClient questions) {
+        network.runOnNode(
                 node,
                 (now, out) ->
                         core.startDnsDiscovery(
@@ -27,7 +27,7 @@
                                 settings,
                                 questions,
                                 result ->
-                                        network.on(
+                                        network.runOnNode(
                                                 node,
                                                 (foundAt, foundOut) ->
                                                         core.dnsAnswered(
--- a/src/main/java/coralcove/rehearsal/BenchDay.java
+++ b/src/main/java/coralcove/rehearsal/BenchDay.java
@@ -5,7 +5,7 @@
 import coralcove.config.BadConfig;
 import coralcove.exchange.ExchangeSettings;
 import coralcove.judge.Rules;
-import coralcove.network.VirtualNetwork.Weather;
+import coralcove.network.VirtualNetwork.NetworkConditions;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -166,8 +166,8 @@
                         tier.path("stated_cold_from").asDouble(),
                         tier.path("stated_cold").asLong(),
                         1e6 / times.setUp() * mean(speeds));
-        Weather networkConditions =
-                new Weather(
+        NetworkConditions networkConditions =
+                new NetworkConditions(
                         LOCAL_DELAY_US,
                         root.path("net").path("same").asLong(),
                         Math.max(1, root.path("net").path("cross").asLong()),
--- a/src/main/java/coralcove/rehearsal/CaptureLine.java
+++ b/src/main/java/coralcove/rehearsal/CaptureLine.java
@@ -56,7 +56,7 @@
      * Replays a capture file to {@code tap}; returns the time of its last line in µs, 0 for an
      * empty file.
      */
-    public static long read(Path path, Network.Tap tap) throws IOException {
+    public static long read(Path path, Network.MessageObserver tap) throws IOException {
         long lastTime = 0;
         int lineNumber = 0;
         try (BufferedReader reader = Files.newBufferedReader(path)) {
@@ -74,7 +74,7 @@
                                     Integer.parseInt(peer.substring(portSeparator + 1)));
                     lastTime = node.get("t").asLong();
                     if (direction.equals("broken") || direction.equals("refused")) {
-                        tap.broken(
+                        tap.onStreamFailure(
                                 lastTime,
                                 node.get("node").asText(),
                                 hop,
@@ -85,7 +85,7 @@
                             node.has("text")
                                     ? node.get("text").asText().getBytes(StandardCharsets.UTF_8)
                                     : Base64.getDecoder().decode(node.get("base64").asText());
-                    tap.message(
+                    tap.onMessage(
                             lastTime,
                             node.get("node").asText(),
                             direction.equals("out"),
--- a/src/main/java/coralcove/rehearsal/Day.java
+++ b/src/main/java/coralcove/rehearsal/Day.java
@@ -4,7 +4,7 @@
 import coralcove.exchange.Arrival;
 import coralcove.exchange.ExchangeSettings;
 import coralcove.judge.Rules;
-import coralcove.network.VirtualNetwork.Weather;
+import coralcove.network.VirtualNetwork.NetworkConditions;
 import coralcove.numbers.Porting;
 import java.util.ArrayList;
 import java.util.List;
@@ -30,7 +30,7 @@
         DirectoryDelays directoryDelays,
         Rules rules,
         RouterLimits routerLimits,
-        Weather networkConditions,
+        NetworkConditions networkConditions,
         String transport,
         List<InjectedFault> faults,
         List<String> unmapped,
--- a/src/main/java/coralcove/rehearsal/DayFile.java
+++ b/src/main/java/coralcove/rehearsal/DayFile.java
@@ -7,7 +7,7 @@
 import coralcove.exchange.Arrival;
 import coralcove.exchange.ExchangeSettings;
 import coralcove.judge.Rules;
-import coralcove.network.VirtualNetwork.Weather;
+import coralcove.network.VirtualNetwork.NetworkConditions;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -144,8 +144,8 @@
         }
         Rules rules = readRules(toml.table("rules"), times);
         TomlSettings.Table net = toml.table("net");
-        Weather networkConditions =
-                new Weather(
+        NetworkConditions networkConditions =
+                new NetworkConditions(
                         net.microsFromMillis("near_ms", 0.001, 1000, 0.1),
                         net.microsFromMillis("same_ms", 0.001, 1000, 1),
                         net.microsFromMillis("cross_ms", 0.001, 1000, 5),
--- a/src/main/java/coralcove/rehearsal/DnsDiscovery.java
+++ b/src/main/java/coralcove/rehearsal/DnsDiscovery.java
@@ -1,15 +1,15 @@
 package coralcove.rehearsal;
 
-import coralcove.dns.DnsStandIn;
-import coralcove.dns.Questions;
+import coralcove.dns.DnsQueryClient;
 import coralcove.dns.Resolver;
 import coralcove.dns.ServiceZone;
+import coralcove.dns.SimulatedDnsServer;
 import coralcove.dns.transport.DnsClient;
 import coralcove.dns.transport.DnsServer;
 import coralcove.edge.EdgeCore;
 import coralcove.edge.LocatorSettings;
 import coralcove.network.Network;
-import coralcove.network.VirtualDns;
+import coralcove.network.VirtualDnsClient;
 import coralcove.portability.RouterLocators;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -37,7 +37,7 @@
     private final int firstPort;
     private final long seed;
     private final ServiceZone zone;
-    private final DnsStandIn nameServer;
+    private final SimulatedDnsServer nameServer;
     private final Resolver.Settings resolverSettings;
     private final List<DnsClient> clients = new ArrayList<>();
     private DnsServer liveServer;
@@ -53,10 +53,10 @@
         this.seed = seed;
         zone = new ServiceZone("hokkaido.example.org", ttl);
         for (int number = 0; number < exchangeCount; number++) {
-            zone.a(hostName(number), 127, 0, 0, 1);
+            zone.addAddress(hostName(number), 127, 0, 0, 1);
             publish(number, firstPort + 2 * number);
         }
-        nameServer = new DnsStandIn(zone, RESPONSE_DELAY_US, new SplittableRandom(seed));
+        nameServer = new SimulatedDnsServer(zone, RESPONSE_DELAY_US, new SplittableRandom(seed));
         resolverSettings =
                 LocatorSettings.resolverSettingsFor(
                         List.of(new Resolver.Server("127.0.0.1", Math.max(1, port))));
@@ -75,15 +75,15 @@
 
     /** Replaces the SRV record of a router. */
     private void publish(int number, int port) {
-        zone.only("_sip._udp." + hostName(number), hostName(number), port);
+        zone.replaceWithSrv("_sip._udp." + hostName(number), hostName(number), port);
     }
 
     /** Attaches DNS discovery to a router that starts as {@code node}. */
     void attach(String node, int number, EdgeCore core) {
-        Questions queryClient;
+        DnsQueryClient queryClient;
         if (liveServer == null) {
             queryClient =
-                    new VirtualDns(
+                    new VirtualDnsClient(
                             network,
                             nameServer,
                             resolverSettings,
@@ -104,11 +104,11 @@
     }
 
     /** Makes the name server fail in the given way, or recover. */
-    void injectFault(DnsStandIn.Fault fault) {
+    void injectFault(SimulatedDnsServer.Fault fault) {
         if (liveServer == null) {
-            nameServer.misbehave(fault, 0);
+            nameServer.injectFault(fault, 0);
         } else {
-            liveServer.misbehave(fault, 0);
+            liveServer.injectFault(fault, 0);
         }
     }
 
--- a/src/main/java/coralcove/rehearsal/Rehearse.java
+++ b/src/main/java/coralcove/rehearsal/Rehearse.java
@@ -1,6 +1,6 @@
 package coralcove.rehearsal;
 
-import coralcove.dns.DnsStandIn;
+import coralcove.dns.SimulatedDnsServer;
 import coralcove.exchange.Stats;
 import coralcove.judge.Judge;
 import coralcove.judge.Witness;
@@ -38,9 +38,9 @@
 
     /** Passes captured messages to the judge, the meter and the file; each is parsed only once. */
     private record CaptureObserver(Judge judge, AddedDelayMeter meter, CaptureWriter file)
-            implements Network.Tap {
+            implements Network.MessageObserver {
         @Override
-        public void message(long now, String node, boolean out, Hop peer, byte[] bytes) {
+        public void onMessage(long now, String node, boolean out, Hop peer, byte[] bytes) {
             try {
                 SipMessage message = SipParser.parse(bytes, 0, bytes.length);
                 judge.read(now, node, out, peer, message);
@@ -48,19 +48,19 @@
             } catch (BadMessage e) {
                 judge.unreadable();
             }
-            file.message(now, node, out, peer, bytes);
+            file.onMessage(now, node, out, peer, bytes);
         }
 
         @Override
-        public void message(long now, String node, boolean out, Hop peer, SipMessage message) {
+        public void onMessage(long now, String node, boolean out, Hop peer, SipMessage message) {
             judge.read(now, node, out, peer, message);
             meter.observe(now, node, out, message);
         }
 
         @Override
-        public void broken(long now, String node, Hop peer, boolean refused) {
-            judge.broken(now, node, peer, refused);
-            file.broken(now, node, peer, refused);
+        public void onStreamFailure(long now, String node, Hop peer, boolean refused) {
+            judge.onStreamFailure(now, node, peer, refused);
+            file.onStreamFailure(now, node, peer, refused);
         }
     }
 
@@ -81,7 +81,7 @@
      * {@code capture} and log lines are passed to {@code log}; both may be null.
      */
     public static Result virtual(
-            Day scenario, long seed, String policy, Path capture, VirtualNetwork.Log log)
+            Day scenario, long seed, String policy, Path capture, VirtualNetwork.LogListener log)
             throws IOException {
         return virtual(scenario, seed, policy, capture, log, true, true);
     }
@@ -96,7 +96,7 @@
             long seed,
             String policy,
             Path capture,
-            VirtualNetwork.Log log,
+            VirtualNetwork.LogListener log,
             boolean text,
             boolean judged)
             throws IOException {
@@ -200,10 +200,12 @@
                 network.close();
                 buffer.close();
             }
-            judge.end(LiveNetwork.clock());
-            if (network.dropped() > 0) {
+            judge.end(LiveNetwork.currentTimeMicros());
+            if (network.droppedInputs() > 0) {
                 System.err.println(
-                        "coralcove: " + network.dropped() + " inputs were dropped at full inboxes");
+                        "coralcove: "
+                                + network.droppedInputs()
+                                + " inputs were dropped at full inboxes");
             }
         }
         return buildResult(
@@ -211,10 +213,10 @@
     }
 
     /** Creates the simulated portability server of a scenario with dialled numbers. */
-    private static DnsStandIn portabilityServer(Day scenario, long seed) {
+    private static SimulatedDnsServer portabilityServer(Day scenario, long seed) {
         Day.NumberPlan numberPlan = scenario.numberPlan();
         DialPlan dialPlan = new DialPlan(scenario.exchanges(), numberPlan);
-        return new DnsStandIn(
+        return new SimulatedDnsServer(
                 PortabilityService.SUFFIX,
                 dialPlan::routingNumber,
                 numberPlan.recordTtl(),
@@ -284,7 +286,7 @@
     /**
      * Writes a capture file in the format of {@link CaptureLine}; without a path it writes nothing.
      */
-    static final class CaptureWriter implements Network.Tap, AutoCloseable {
+    static final class CaptureWriter implements Network.MessageObserver, AutoCloseable {
         private final BufferedWriter out;
 
         private CaptureWriter(BufferedWriter out) {
@@ -296,7 +298,7 @@
         }
 
         @Override
-        public void message(long now, String node, boolean sent, Hop peer, byte[] bytes) {
+        public void onMessage(long now, String node, boolean sent, Hop peer, byte[] bytes) {
             if (out == null) {
                 return;
             }
@@ -309,7 +311,7 @@
         }
 
         @Override
-        public void broken(long now, String node, Hop peer, boolean refused) {
+        public void onStreamFailure(long now, String node, Hop peer, boolean refused) {
             if (out == null) {
                 return;
             }
--- a/src/main/java/coralcove/rehearsal/ReorderingBuffer.java
+++ b/src/main/java/coralcove/rehearsal/ReorderingBuffer.java
@@ -12,7 +12,7 @@
  * order of time. An event is passed on once it is older than {@link #REORDER_WINDOW_US}, when no
  * earlier one is expected any more.
  */
-final class ReorderingBuffer implements Network.Tap, Witness, AutoCloseable {
+final class ReorderingBuffer implements Network.MessageObserver, Witness, AutoCloseable {
     /**
      * Longer than a thread of a loaded machine takes between stamping a message and handing it on.
      */
@@ -32,7 +32,7 @@
             boolean refused,
             Runnable notification) {}
 
-    private final Network.Tap observer;
+    private final Network.MessageObserver observer;
     private final Witness witness;
     private final ConcurrentLinkedQueue<CapturedEvent> incoming = new ConcurrentLinkedQueue<>();
     private final PriorityQueue<CapturedEvent> pending =
@@ -47,25 +47,25 @@
     private long lastDeliveredTime;
     private long lateEvents;
 
-    ReorderingBuffer(Network.Tap observer, Witness witness) {
+    ReorderingBuffer(Network.MessageObserver observer, Witness witness) {
         this.observer = observer;
         this.witness = witness;
         thread.start();
     }
 
     @Override
-    public void message(long now, String node, boolean out, Hop peer, byte[] bytes) {
+    public void onMessage(long now, String node, boolean out, Hop peer, byte[] bytes) {
         incoming.add(new CapturedEvent(now, 0, node, out, peer, bytes, false, null));
     }
 
     @Override
-    public void broken(long now, String node, Hop peer, boolean refused) {
+    public void onStreamFailure(long now, String node, Hop peer, boolean refused) {
         incoming.add(new CapturedEvent(now, 0, node, false, peer, null, refused, null));
     }
 
     @Override
     public void killed(String node) {
-        enqueueNotification(LiveNetwork.clock(), () -> witness.killed(node));
+        enqueueNotification(LiveNetwork.currentTimeMicros(), () -> witness.killed(node));
     }
 
     @Override
@@ -80,7 +80,7 @@
 
     private void run() {
         while (!closed || !incoming.isEmpty()) {
-            deliverUntil(LiveNetwork.clock() - REORDER_WINDOW_US);
+            deliverUntil(LiveNetwork.currentTimeMicros() - REORDER_WINDOW_US);
             try {
                 Thread.sleep(closed ? 0 : 20);
             } catch (InterruptedException e) {
@@ -116,9 +116,9 @@
         if (event.notification != null) {
             event.notification.run();
         } else if (event.bytes == null) {
-            observer.broken(event.time, event.node, event.peer, event.refused);
+            observer.onStreamFailure(event.time, event.node, event.peer, event.refused);
         } else {
-            observer.message(event.time, event.node, event.out, event.peer, event.bytes);
+            observer.onMessage(event.time, event.node, event.out, event.peer, event.bytes);
         }
     }
 
--- a/src/main/java/coralcove/rehearsal/RouterPlanner.java
+++ b/src/main/java/coralcove/rehearsal/RouterPlanner.java
@@ -69,7 +69,7 @@
                             "127.0.0.1",
                             port,
                             link,
-                            action -> network.on(node, (now, out) -> action.accept(now)));
+                            action -> network.runOnNode(node, (now, out) -> action.accept(now)));
                 } catch (IOException e) {
                     throw new UncheckedIOException(e);
                 }
@@ -153,8 +153,9 @@
         }
 
         private void runOnEdge(EdgeAction action) {
-            network.at(
-                    network.now() + delay, () -> network.on(node, (now, out) -> action.run(now)));
+            network.schedule(
+                    network.now() + delay,
+                    () -> network.runOnNode(node, (now, out) -> action.run(now)));
         }
 
         private interface EdgeAction {
@@ -164,7 +165,7 @@
         @Override
         public void send(long connection, byte[] bytes) {
             PlannerProcess target = planner;
-            network.at(
+            network.schedule(
                     network.now() + delay,
                     () -> {
                         if (target != null && target.alive && target.connection == connection) {
@@ -176,7 +177,7 @@
         @Override
         public void close(long connection) {
             PlannerProcess target = planner;
-            network.at(
+            network.schedule(
                     network.now() + delay,
                     () -> {
                         if (target != null && target.connection == connection) {
@@ -204,7 +205,7 @@
             void tickPeriodically() {
                 if (alive) {
                     core.tick(network.now(), this);
-                    network.at(
+                    network.schedule(
                             network.now() + PlannerCore.tickIntervalMicros(),
                             this::tickPeriodically);
                 }
@@ -212,13 +213,13 @@
 
             @Override
             public void connect() {
-                network.at(
+                network.schedule(
                         network.now() + delay,
                         () -> {
                             if (alive) {
                                 long newConnection = ++connectionCount;
                                 connection = newConnection;
-                                network.on(
+                                network.runOnNode(
                                         node,
                                         (now, out) ->
                                                 link.connectionOpened(
--- a/src/main/java/coralcove/rehearsal/ScenarioRun.java
+++ b/src/main/java/coralcove/rehearsal/ScenarioRun.java
@@ -5,7 +5,7 @@
 import coralcove.PlannedTargetSource;
 import coralcove.baseline.RoutingPolicies;
 import coralcove.directory.DirectoryCore;
-import coralcove.dns.DnsStandIn;
+import coralcove.dns.SimulatedDnsServer;
 import coralcove.edge.EdgeCore;
 import coralcove.edge.EdgeSettings;
 import coralcove.edge.NumberAnalysisContext;
@@ -144,7 +144,7 @@
 
     private void addDirectory(int index) {
         Day.DirectoryDelays delays = scenario.directoryDelays();
-        network.add(
+        network.addNode(
                 "directory-" + index,
                 directoryAddress(index),
                 new DirectoryCore(
@@ -189,14 +189,14 @@
             for (long at = scenario.numberPlan().replaceInterval();
                     at < scenario.length();
                     at += scenario.numberPlan().replaceInterval()) {
-                network.at(startTime + at, this::replaceNumberTable);
+                network.schedule(startTime + at, this::replaceNumberTable);
             }
         }
         if (scenario.planners() != null) {
             for (long at = PLAN_AGE_SAMPLING_START_US;
                     at < scenario.length();
                     at += PLAN_AGE_SAMPLING_INTERVAL_US) {
-                network.at(startTime + at, this::recordPlanAges);
+                network.schedule(startTime + at, this::recordPlanAges);
             }
         }
         network.run(startTime + scenario.length() + TAIL_US);
@@ -219,7 +219,7 @@
     private void recordPlanAges() {
         planners.forEach(
                 (number, planner) ->
-                        network.on(
+                        network.runOnNode(
                                 "edge-" + number,
                                 (now, out) -> {
                                     synchronized (planAges) {
@@ -266,7 +266,8 @@
         NumberTable table = dialPlan.table(++tableVersion);
         edges.forEach(
                 (name, core) ->
-                        network.on(name, (now, out) -> core.replaceNumberTable(now, table, out)));
+                        network.runOnNode(
+                                name, (now, out) -> core.replaceNumberTable(now, table, out)));
     }
 
     /** Returns the far ends that the judge accepts for a number dialled at a given time. */
@@ -361,7 +362,7 @@
                 storedReports.getOrDefault(number, List.of()),
                 reports -> storedReports.put(number, reports));
         edges.put(name, core);
-        network.add(name, edgeAddress(number), core, true);
+        network.addNode(name, edgeAddress(number), core, true);
         if (dnsDiscovery != null) {
             dnsDiscovery.attach(name, number, core);
         }
@@ -371,7 +372,8 @@
                 previous.kill();
             }
             EdgeLinkCore.Actions edgeOutput = planner.openEdgeOutput();
-            network.on(name, (now, out) -> core.attachPlanner(now, planner.link, edgeOutput));
+            network.runOnNode(
+                    name, (now, out) -> core.attachPlanner(now, planner.link, edgeOutput));
             planner.start();
         }
     }
@@ -439,7 +441,7 @@
         if (since > 0) {
             witness.started(number, since);
         }
-        network.add("exchange-" + number, exchangeAddress(number), core, false);
+        network.addNode("exchange-" + number, exchangeAddress(number), core, false);
     }
 
     private interface ExchangeAction {
@@ -448,10 +450,10 @@
 
     /** Schedules an action on a simulated exchange; {@code at} counts from the scenario's start. */
     private void scheduleOnExchange(long at, int number, ExchangeAction action) {
-        network.at(
+        network.schedule(
                 startTime + at,
                 () ->
-                        network.on(
+                        network.runOnNode(
                                 "exchange-" + number,
                                 (now, out) ->
                                         action.run(now, exchanges.get("exchange-" + number), out)));
@@ -459,16 +461,16 @@
 
     private void scheduleFault(InjectedFault fault) {
         if (fault.kind().startsWith("portability")) {
-            DnsStandIn.Fault serverFault =
+            SimulatedDnsServer.Fault serverFault =
                     fault.kind().equals("portability-dead")
-                            ? DnsStandIn.Fault.DEAD
-                            : DnsStandIn.Fault.SLOW;
-            network.at(
+                            ? SimulatedDnsServer.Fault.UNRESPONSIVE
+                            : SimulatedDnsServer.Fault.SLOW;
+            network.schedule(
                     startTime + fault.at(),
                     () -> portability.injectFault(serverFault, Math.round(fault.size() * 1000)));
-            network.at(
+            network.schedule(
                     startTime + fault.end(),
-                    () -> portability.injectFault(DnsStandIn.Fault.NONE, 0));
+                    () -> portability.injectFault(SimulatedDnsServer.Fault.NONE, 0));
             return;
         }
         if (fault.kind().startsWith("dns")) {
@@ -492,17 +494,22 @@
             for (int number = 0; number < scenario.exchanges(); number++) {
                 if (fault.affects(number)) {
                     int affected = number;
-                    network.at(startTime + fault.at(), () -> dnsDiscovery.setStale(affected, true));
-                    network.at(
+                    network.schedule(
+                            startTime + fault.at(), () -> dnsDiscovery.setStale(affected, true));
+                    network.schedule(
                             startTime + fault.end(), () -> dnsDiscovery.setStale(affected, false));
                 }
             }
             return;
         }
-        DnsStandIn.Fault serverFault =
-                fault.kind().equals("dns-dead") ? DnsStandIn.Fault.DEAD : DnsStandIn.Fault.CUTS_ALL;
-        network.at(startTime + fault.at(), () -> dnsDiscovery.injectFault(serverFault));
-        network.at(startTime + fault.end(), () -> dnsDiscovery.injectFault(DnsStandIn.Fault.NONE));
+        SimulatedDnsServer.Fault serverFault =
+                fault.kind().equals("dns-dead")
+                        ? SimulatedDnsServer.Fault.UNRESPONSIVE
+                        : SimulatedDnsServer.Fault.TRUNCATED_WITHOUT_TCP;
+        network.schedule(startTime + fault.at(), () -> dnsDiscovery.injectFault(serverFault));
+        network.schedule(
+                startTime + fault.end(),
+                () -> dnsDiscovery.injectFault(SimulatedDnsServer.Fault.NONE));
     }
 
     /**
@@ -514,19 +521,24 @@
         String name = "directory-" + index;
         switch (fault.kind()) {
             case "directory-death" -> {
-                network.at(startTime + fault.at(), () -> network.kill(name));
-                network.at(startTime + fault.end(), () -> addDirectory(index));
+                network.schedule(startTime + fault.at(), () -> network.killNode(name));
+                network.schedule(startTime + fault.end(), () -> addDirectory(index));
             }
             case "directory-restart" -> {
-                network.at(startTime + fault.at(), () -> network.kill(name));
-                network.at(startTime + fault.at() + RESTART_DELAY_US, () -> addDirectory(index));
+                network.schedule(startTime + fault.at(), () -> network.killNode(name));
+                network.schedule(
+                        startTime + fault.at() + RESTART_DELAY_US, () -> addDirectory(index));
             }
             case "directory-cut" -> {
                 for (int number = 0; number < scenario.exchanges(); number++) {
                     if (fault.affects(number)) {
                         String edge = "edge-" + number;
-                        network.at(startTime + fault.at(), () -> network.cut(edge, name, true));
-                        network.at(startTime + fault.end(), () -> network.cut(edge, name, false));
+                        network.schedule(
+                                startTime + fault.at(),
+                                () -> network.setPartitioned(edge, name, true));
+                        network.schedule(
+                                startTime + fault.end(),
+                                () -> network.setPartitioned(edge, name, false));
                     }
                 }
             }
@@ -542,10 +554,10 @@
                         targets.add(edgeAddress(number).over(false));
                     }
                 }
-                network.at(
+                network.schedule(
                         startTime + fault.at(),
                         () ->
-                                network.add(
+                                network.addNode(
                                         "stranger",
                                         senderAddress,
                                         new ForgedNotifySender(
@@ -555,7 +567,7 @@
                                                 fault.size(),
                                                 network.now() + fault.length()),
                                         false));
-                network.at(startTime + fault.end(), () -> network.kill("stranger"));
+                network.schedule(startTime + fault.end(), () -> network.killNode("stranger"));
             }
             default -> throw new IllegalStateException(fault.kind());
         }
@@ -575,7 +587,7 @@
                 scheduleOnExchange(from, number, (now, core, out) -> core.drain(now, out));
                 long stopTime = from + Math.round(fault.extra() * 1e6);
                 scheduleOnExchange(stopTime, number, (now, core, out) -> core.leave(now, out));
-                network.at(startTime + stopTime, () -> exchangeIds[number] += 1000);
+                network.schedule(startTime + stopTime, () -> exchangeIds[number] += 1000);
                 scheduleExchangeRestart(number, stopTime, 0);
             }
             case "slow" -> {
@@ -626,23 +638,23 @@
                 scheduleExchangeRestart(number, end, Math.round(fault.extra() * 1e6));
             }
             case "router-death" -> {
-                network.at(
+                network.schedule(
                         startTime + at,
                         () -> {
-                            network.kill("edge-" + number);
+                            network.killNode("edge-" + number);
                             witness.killed("edge-" + number);
                         });
-                network.at(startTime + end, () -> addEdge(number));
+                network.schedule(startTime + end, () -> addEdge(number));
             }
             case "planner-halt" -> {
-                network.at(startTime + at, () -> planners.get(number).kill());
-                network.at(startTime + end, () -> planners.get(number).start());
+                network.schedule(startTime + at, () -> planners.get(number).kill());
+                network.schedule(startTime + end, () -> planners.get(number).start());
             }
             case "planner-slow" -> {
-                network.at(
+                network.schedule(
                         startTime + at,
                         () -> planners.get(number).setDelay(Math.round(fault.size() * 1000)));
-                network.at(startTime + end, () -> planners.get(number).setDelay(0));
+                network.schedule(startTime + end, () -> planners.get(number).setDelay(0));
             }
             default -> {}
         }
@@ -652,8 +664,9 @@
     private void scheduleExchangeRestart(int number, long at, long downtime) {
         scheduleOnExchange(at, number, (now, core, out) -> core.cutAll(now, out));
         // The BYEs of the calls that it cuts off are sent before it is killed.
-        network.at(startTime + at + BYE_FLUSH_DELAY_US, () -> network.kill("exchange-" + number));
-        network.at(
+        network.schedule(
+                startTime + at + BYE_FLUSH_DELAY_US, () -> network.killNode("exchange-" + number));
+        network.schedule(
                 startTime + at + 2 * BYE_FLUSH_DELAY_US + downtime,
                 () -> addExchange(number, network.now()));
     }
--- a/src/test/java/coralcove/cli/SourcesCommandTest.java
+++ b/src/test/java/coralcove/cli/SourcesCommandTest.java
@@ -3,8 +3,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import coralcove.directory.DirectoryCore;
-import coralcove.dns.DnsStandIn;
 import coralcove.dns.ServiceZone;
+import coralcove.dns.SimulatedDnsServer;
 import coralcove.dns.transport.DnsServer;
 import coralcove.network.LiveNetwork;
 import coralcove.sip.Hop;
@@ -38,9 +38,9 @@
         int silentDirectory = freePort();
         ServiceZone zone =
                 new ServiceZone("example.org", 60)
-                        .srv("_sip._udp.ex1.example.org", 1, 1, "h.example.org", 5099)
-                        .srv("_sip._udp.ex2.example.org", 1, 1, "h.example.org", 5062)
-                        .a("h.example.org", 127, 0, 0, 1);
+                        .addSrv("_sip._udp.ex1.example.org", 1, 1, "h.example.org", 5099)
+                        .addSrv("_sip._udp.ex2.example.org", 1, 1, "h.example.org", 5062)
+                        .addAddress("h.example.org", 127, 0, 0, 1);
         Path config = folder.resolve("edge.toml");
         Files.writeString(
                 config,
@@ -65,10 +65,10 @@
                         new DnsServer(
                                 "127.0.0.1",
                                 nameServer,
-                                new DnsStandIn(zone, 1000, new SplittableRandom(1)))) {
+                                new SimulatedDnsServer(zone, 1000, new SplittableRandom(1)))) {
             assertThat(server).isNotNull();
             Hop at = new Hop(false, "127.0.0.1", directory);
-            network.add(
+            network.addNode(
                     "directory",
                     at,
                     new DirectoryCore(at, new DirectoryCore.Late(0, 60_000_000, 0), "e"),
--- a/src/test/java/coralcove/dns/ResolverTest.java
+++ b/src/test/java/coralcove/dns/ResolverTest.java
@@ -31,8 +31,8 @@
                                         ? Long.compare(a.time, b.time)
                                         : Long.compare(a.sequence, b.sequence));
         final Resolver resolver;
-        final DnsStandIn firstServer = newServer();
-        final DnsStandIn secondServer = newServer();
+        final SimulatedDnsServer firstServer = newServer();
+        final SimulatedDnsServer secondServer = newServer();
         byte[] lastSent;
         int lastSocket;
         long now;
@@ -46,8 +46,8 @@
                             new SplittableRandom(3));
         }
 
-        static DnsStandIn newServer() {
-            return new DnsStandIn(
+        static SimulatedDnsServer newServer() {
+            return new SimulatedDnsServer(
                     SUFFIX, Map.of("8190123", "81410001")::get, 300, 4000, new SplittableRandom(1));
         }
 
@@ -60,7 +60,8 @@
         }
 
         SimulatedNetwork queryAndRun(String digits) {
-            resolver.query(now, Enum.name(digits, SUFFIX), DnsMessage.NAPTR, digits, this);
+            resolver.query(
+                    now, EnumRecords.domainName(digits, SUFFIX), DnsMessage.NAPTR, digits, this);
             return runUntil(now + 2_000_000);
         }
 
@@ -128,37 +129,38 @@
                 appendToTrace(
                         owner
                                 + ": "
-                                + (result.answer() == null
+                                + (result.response() == null
                                         ? "failed, " + result.failure()
-                                        : Enum.ported(result.answer(), (String) owner)));
-            } catch (BadDns e) {
+                                        : EnumRecords.readPortability(
+                                                result.response(), (String) owner)));
+            } catch (MalformedDnsException e) {
                 appendToTrace(owner + ": bad, " + e.getMessage());
             }
         }
     }
 
     /** The name by which the trace file calls a fault. */
-    private static String nameInTrace(DnsStandIn.Fault fault) {
+    private static String nameInTrace(SimulatedDnsServer.Fault fault) {
         return switch (fault) {
             case NONE -> "NONE";
             case SLOW -> "SLOW";
-            case DEAD -> "DEAD";
+            case UNRESPONSIVE -> "DEAD";
             case TRUNCATED_DATAGRAMS -> "CUTS";
             case WRONG_LENGTH -> "LIES_ABOUT_LENGTH";
             case WRONG_QUESTION -> "OTHER_QUESTION";
             case DUPLICATED -> "TWICE";
             case SERVER_FAILURE -> "FAILS";
             case COMPRESSION_LOOP -> "CIRCLES";
-            case CUTS_ALL -> "CUTS_ALL";
+            case TRUNCATED_WITHOUT_TCP -> "CUTS_ALL";
         };
     }
 
     @Test
     void completesQueryOnceAndInTimeForEachServerFault() {
         StringBuilder trace = new StringBuilder();
-        for (DnsStandIn.Fault fault : DnsStandIn.Fault.values()) {
+        for (SimulatedDnsServer.Fault fault : SimulatedDnsServer.Fault.values()) {
             SimulatedNetwork network = new SimulatedNetwork(3);
-            network.firstServer.misbehave(fault, 500_000);
+            network.firstServer.injectFault(fault, 500_000);
             network.queryAndRun("8190123").queryAndRun("8190999");
             trace.append("== the first server: ")
                     .append(nameInTrace(fault))
@@ -178,9 +180,9 @@
     @Test
     void ignoresForgedResponses() throws Exception {
         SimulatedNetwork network = new SimulatedNetwork(1);
-        network.firstServer.misbehave(DnsStandIn.Fault.DEAD, 0);
+        network.firstServer.injectFault(SimulatedDnsServer.Fault.UNRESPONSIVE, 0);
         network.resolver.query(
-                0, Enum.name("8190123", SUFFIX), DnsMessage.NAPTR, "8190123", network);
+                0, EnumRecords.domainName("8190123", SUFFIX), DnsMessage.NAPTR, "8190123", network);
         DnsMessage query = DnsMessage.decode(network.lastSent);
         byte[] forged =
                 SimulatedNetwork.newServer().handleQuery(network.lastSent, false).get(0).bytes();
@@ -205,7 +207,7 @@
     @Test
     void failsExcessQueriesImmediately() {
         SimulatedNetwork network = new SimulatedNetwork(1);
-        network.firstServer.misbehave(DnsStandIn.Fault.DEAD, 0);
+        network.firstServer.injectFault(SimulatedDnsServer.Fault.UNRESPONSIVE, 0);
         for (int i = 0; i < 6; i++) {
             network.resolver.query(0, "x" + i, DnsMessage.NAPTR, "x" + i, network);
         }
@@ -253,23 +255,26 @@
             try {
                 trace.append(regexp)
                         .append("  ")
-                        .append(Enum.ported(response, "81901"))
+                        .append(EnumRecords.readPortability(response, "81901"))
                         .append('\n');
-            } catch (BadDns e) {
+            } catch (MalformedDnsException e) {
                 trace.append(regexp).append("  ").append(e.getMessage()).append('\n');
             }
         }
         assertThat(trace.toString()).isEqualTo(TraceFiles.read("enum"));
     }
 
-    /** Decoding any bytes either succeeds or throws {@link BadDns}, nothing else. */
+    /** Decoding any bytes either succeeds or throws {@link MalformedDnsException}, nothing else. */
     @Test
     void decodesOrRejectsAnyBytes() throws Exception {
         SplittableRandom random = new SplittableRandom(9);
         byte[] valid =
                 SimulatedNetwork.newServer()
                         .handleQuery(
-                                DnsMessage.query(7, Enum.name("8190123", SUFFIX), DnsMessage.NAPTR)
+                                DnsMessage.query(
+                                                7,
+                                                EnumRecords.domainName("8190123", SUFFIX),
+                                                DnsMessage.NAPTR)
                                         .encode(),
                                 false)
                         .get(0)
@@ -282,8 +287,8 @@
                 bytes[random.nextInt(bytes.length)] = (byte) random.nextInt(256);
             }
             try {
-                Enum.ported(DnsMessage.decode(bytes), "8190123");
-            } catch (BadDns e) {
+                EnumRecords.readPortability(DnsMessage.decode(bytes), "8190123");
+            } catch (MalformedDnsException e) {
                 rejected++;
             }
         }
--- a/src/test/java/coralcove/dns/LocatorTest.java
+++ b/src/test/java/coralcove/dns/ServiceLocatorTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 
 /** SRV lookups through resolver, cache and locator, with a simulated server in virtual time. */
-class LocatorTest implements Resolver.Actions, Locator.Out {
+class ServiceLocatorTest implements Resolver.Actions, ServiceLocator.Listener {
     private static final String SERVICE_NAME = "_sip._udp.ex7.example.org";
 
     private record Event(long time, long sequence, Runnable action) {}
@@ -22,7 +22,8 @@
                                     ? Long.compare(a.time, b.time)
                                     : Long.compare(a.sequence, b.sequence));
     private final ServiceZone zone = new ServiceZone("example.org", 20);
-    private final DnsStandIn server = new DnsStandIn(zone, 4000, new SplittableRandom(1));
+    private final SimulatedDnsServer server =
+            new SimulatedDnsServer(zone, 4000, new SplittableRandom(1));
     private final Resolver resolver =
             new Resolver(
                     new Resolver.Settings(
@@ -33,8 +34,8 @@
                 appendToTrace("asks " + type + " " + name);
                 resolver.query(this.now, name, type, new Object[] {name, type}, this);
             };
-    private final Locator locator =
-            new Locator(
+    private final ServiceLocator locator =
+            new ServiceLocator(
                     List.of(7),
                     number -> "ex" + number + ".example.org",
                     "udp",
@@ -46,17 +47,17 @@
     private long now = 1_000_000;
     private long nextSequence;
 
-    private LocatorTest appendToTrace(String line) {
+    private ServiceLocatorTest appendToTrace(String line) {
         trace.append(now / 1_000_000).append(" s  ").append(line).append('\n');
         return this;
     }
 
-    private LocatorTest runFor(long seconds) {
+    private ServiceLocatorTest runFor(long seconds) {
         long until = now + seconds * 1_000_000;
         while (true) {
             long next =
                     Math.min(
-                            Math.min(resolver.nextTickAt(), locator.due()),
+                            Math.min(resolver.nextTickAt(), locator.nextTickAt()),
                             events.isEmpty() ? Long.MAX_VALUE : events.peek().time);
             if (next > until) {
                 now = until;
@@ -72,7 +73,7 @@
         }
     }
 
-    private LocatorTest start() {
+    private ServiceLocatorTest start() {
         locator.start(now);
         return runFor(1);
     }
@@ -83,13 +84,13 @@
 
     @Test
     void reportsBestPriorityWithAddressAndRefreshesBeforeExpiry() {
-        zone.srv(SERVICE_NAME, 10, 1, "a.example.org", 5060)
-                .srv(SERVICE_NAME, 20, 1, "b.example.org", 5062)
-                .a("b.example.org", 10, 0, 0, 2)
-                .a("b.example.org", 32, 1, 13, 184, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 1);
+        zone.addSrv(SERVICE_NAME, 10, 1, "a.example.org", 5060)
+                .addSrv(SERVICE_NAME, 20, 1, "b.example.org", 5062)
+                .addAddress("b.example.org", 10, 0, 0, 2)
+                .addAddress("b.example.org", 32, 1, 13, 184, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 1);
         start().appendToTrace("the best target gets an address")
                 .zone
-                .a("a.example.org", 10, 0, 0, 1);
+                .addAddress("a.example.org", 10, 0, 0, 1);
         runFor(60).assertTrace("locator-priorities");
     }
 
@@ -97,9 +98,9 @@
     void queriesMissingAddressesAndFollowsAliases() {
         zone.includeAdditional(false)
                 .addCname(SERVICE_NAME, "svc.example.org")
-                .srv("svc.example.org", 1, 1, "a.example.org", 5060)
+                .addSrv("svc.example.org", 1, 1, "a.example.org", 5060)
                 .addCname("a.example.org", "host.example.org")
-                .a("host.example.org", 10, 0, 0, 1);
+                .addAddress("host.example.org", 10, 0, 0, 1);
         start().assertTrace("locator-aliases");
     }
 
@@ -113,26 +114,27 @@
 
     @Test
     void reportsNoAddressForRootTargetOrMissingName() {
-        zone.srv(SERVICE_NAME, 0, 0, "", 0);
-        start().appendToTrace("the name goes").zone.remove(SERVICE_NAME);
+        zone.addSrv(SERVICE_NAME, 0, 0, "", 0);
+        start().appendToTrace("the name goes").zone.removeAll(SERVICE_NAME);
         runFor(30).assertTrace("locator-nobody");
     }
 
     @Test
     void keepsKnownAddressesWhenServerFails() {
-        zone.srv(SERVICE_NAME, 1, 1, "a.example.org", 5060).a("a.example.org", 10, 0, 0, 1);
+        zone.addSrv(SERVICE_NAME, 1, 1, "a.example.org", 5060)
+                .addAddress("a.example.org", 10, 0, 0, 1);
         start().appendToTrace("cuts, and takes no stream")
                 .server
-                .misbehave(DnsStandIn.Fault.CUTS_ALL, 0);
-        runFor(40).appendToTrace("well again").server.misbehave(DnsStandIn.Fault.NONE, 0);
+                .injectFault(SimulatedDnsServer.Fault.TRUNCATED_WITHOUT_TCP, 0);
+        runFor(40).appendToTrace("well again").server.injectFault(SimulatedDnsServer.Fault.NONE, 0);
         runFor(20).assertTrace("locator-cut");
     }
 
     @Test
     void usesFewOfTwoHundredRecords() {
         for (int i = 0; i < 200; i++) {
-            zone.srv(SERVICE_NAME, 1, 1, "a" + i + ".example.org", 5060)
-                    .a("a" + i + ".example.org", 10, 0, 0, i);
+            zone.addSrv(SERVICE_NAME, 1, 1, "a" + i + ".example.org", 5060)
+                    .addAddress("a" + i + ".example.org", 10, 0, 0, i);
         }
         start();
         assertThat(trace.toString().lines().filter(line -> line.contains("located")).toList())
@@ -143,7 +145,7 @@
 
     @Test
     void sendsOneQueryForHundredThousandLookupsOfExpiredRecord() {
-        zone.a("a.example.org", 10, 0, 0, 1);
+        zone.addAddress("a.example.org", 10, 0, 0, 1);
         List<LookupCache.Freshness> freshness = new ArrayList<>();
         int[] queryCount = {0};
         LookupCache.QuerySender countingSender = (name, type) -> queryCount[0]++;
@@ -190,7 +192,7 @@
     }
 
     @Override
-    public void located(long at, int number, List<String> addresses, boolean stale) {
+    public void addressesFound(long at, int number, List<String> addresses, boolean stale) {
         appendToTrace("located " + number + " " + addresses + (stale ? " past its life" : ""));
     }
 
@@ -237,6 +239,6 @@
     @Override
     public void completed(Object owner, Resolver.Result result) {
         Object[] query = (Object[]) owner;
-        locator.answered(now, (String) query[0], (Integer) query[1], result);
+        locator.queryCompleted(now, (String) query[0], (Integer) query[1], result);
     }
 }
--- a/src/test/java/coralcove/dns/transport/DnsClientTest.java
+++ b/src/test/java/coralcove/dns/transport/DnsClientTest.java
@@ -3,9 +3,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import coralcove.dns.DnsMessage;
-import coralcove.dns.DnsStandIn;
-import coralcove.dns.Enum;
+import coralcove.dns.EnumRecords;
 import coralcove.dns.Resolver;
+import coralcove.dns.SimulatedDnsServer;
 import java.net.ServerSocket;
 import java.security.SecureRandom;
 import java.util.ArrayList;
@@ -23,8 +23,8 @@
         }
     }
 
-    private static DnsStandIn newServer() {
-        return new DnsStandIn(
+    private static SimulatedDnsServer newServer() {
+        return new SimulatedDnsServer(
                 "e164.arpa",
                 digits -> digits.startsWith("819") ? "81" + digits.charAt(3) : null,
                 60,
@@ -34,11 +34,12 @@
 
     private static String queryPortability(DnsClient client, String digits) throws Exception {
         CompletableFuture<Resolver.Result> future = new CompletableFuture<>();
-        client.ask(Enum.name(digits, "e164.arpa"), DnsMessage.NAPTR, future::complete);
+        client.query(
+                EnumRecords.domainName(digits, "e164.arpa"), DnsMessage.NAPTR, future::complete);
         Resolver.Result result = future.get(20, TimeUnit.SECONDS);
-        return result.answer() == null
+        return result.response() == null
                 ? result.failure()
-                : Enum.ported(result.answer(), digits).routing();
+                : EnumRecords.readPortability(result.response(), digits).routing();
     }
 
     @Test
@@ -51,19 +52,22 @@
                 DnsClient client = new DnsClient(settings, new SecureRandom())) {
             assertThat(queryPortability(client, "8197")).isEqualTo("817");
             assertThat(queryPortability(client, "8200")).isEmpty();
-            server.misbehave(DnsStandIn.Fault.TRUNCATED_DATAGRAMS, 0);
+            server.injectFault(SimulatedDnsServer.Fault.TRUNCATED_DATAGRAMS, 0);
             assertThat(queryPortability(client, "8196")).isEqualTo("816");
-            server.misbehave(DnsStandIn.Fault.SERVER_FAILURE, 0);
+            server.injectFault(SimulatedDnsServer.Fault.SERVER_FAILURE, 0);
             assertThat(queryPortability(client, "8196")).isEqualTo("response code 2");
-            server.misbehave(DnsStandIn.Fault.NONE, 0);
+            server.injectFault(SimulatedDnsServer.Fault.NONE, 0);
             List<CompletableFuture<Resolver.Result>> futures = new ArrayList<>();
             for (int i = 0; i < 500; i++) {
                 CompletableFuture<Resolver.Result> future = new CompletableFuture<>();
-                client.ask(Enum.name("819" + i, "e164.arpa"), DnsMessage.NAPTR, future::complete);
+                client.query(
+                        EnumRecords.domainName("819" + i, "e164.arpa"),
+                        DnsMessage.NAPTR,
+                        future::complete);
                 futures.add(future);
             }
             for (CompletableFuture<Resolver.Result> future : futures) {
-                assertThat(future.get(20, TimeUnit.SECONDS).answer()).isNotNull();
+                assertThat(future.get(20, TimeUnit.SECONDS).response()).isNotNull();
             }
         }
     }
--- a/src/test/java/coralcove/judge/JudgeTest.java
+++ b/src/test/java/coralcove/judge/JudgeTest.java
@@ -41,12 +41,12 @@
     }
 
     private JudgeTest received(long at, SipMessage message) {
-        judge.message(at * MS, NODE, false, EXCHANGE, message.bytes());
+        judge.onMessage(at * MS, NODE, false, EXCHANGE, message.bytes());
         return this;
     }
 
     private JudgeTest sent(long at, SipMessage message) {
-        judge.message(at * MS, NODE, true, EXCHANGE, message.bytes());
+        judge.onMessage(at * MS, NODE, true, EXCHANGE, message.bytes());
         return this;
     }
 
@@ -227,10 +227,10 @@
     @Test
     void requiresReleaseWaitAfterBrokenButNotAfterRefusedStream() {
         session(0).sent(1, invite("o", "s", 1000));
-        judge.broken(50 * MS, NODE, EXCHANGE, true);
+        judge.onStreamFailure(50 * MS, NODE, EXCHANGE, true);
         sent(51, invite("p", "s", 800)).answer(900, 480, "a").expectBroken("");
         received(2000, invite("in2", "u", 2000)).sent(2001, invite("q", "u", 1000));
-        judge.broken(2050 * MS, NODE, EXCHANGE, false);
+        judge.onStreamFailure(2050 * MS, NODE, EXCHANGE, false);
         sent(2349, invite("r", "u", 800));
         assertThat(judge.verdicts().get("release").broken()).isEqualTo(1);
     }
@@ -338,13 +338,13 @@
     private JudgeTest coldStart(int setUps, boolean notified) {
         judge.started(1, 50 * MS);
         if (notified) {
-            judge.message(
+            judge.onMessage(
                     59 * MS,
                     "edge-2",
                     true,
                     EXCHANGE,
                     message("SUBSCRIBE", "d", "").add("Event", "exchanges").bytes());
-            judge.message(
+            judge.onMessage(
                     60 * MS,
                     "edge-2",
                     false,
--- a/src/test/java/coralcove/network/LiveNetworkTest.java
+++ b/src/test/java/coralcove/network/LiveNetworkTest.java
@@ -133,10 +133,10 @@
     private void assertCallCompletes(boolean tcp, String host) throws Exception {
         Hop calleeAddress = new Hop(tcp, host, freePort());
         UserAgent callee = new UserAgent(calleeAddress, null, "b");
-        network.add("called", calleeAddress, callee, false);
+        network.addNode("called", calleeAddress, callee, false);
         Hop callerAddress = new Hop(tcp, host, freePort());
         UserAgent caller = new UserAgent(callerAddress, calleeAddress, "a");
-        network.add("caller", callerAddress, caller, false);
+        network.addNode("caller", callerAddress, caller, false);
         caller.awaitEvents("ringing", "answered");
         callee.awaitEvents("invited", "hung up");
     }
@@ -169,7 +169,7 @@
     void reportsRefusedConnection() throws Exception {
         Hop address = new Hop(true, "127.0.0.1", freePort());
         UserAgent caller = new UserAgent(address, new Hop(true, "127.0.0.1", freePort()), "a");
-        network.add("caller", address, caller, false);
+        network.addNode("caller", address, caller, false);
         caller.awaitEvents("refused", "rejected UNREACHABLE");
     }
 
@@ -177,7 +177,7 @@
     void closesStreamThatIsNotSip() throws Exception {
         Hop address = new Hop(true, "127.0.0.1", freePort());
         UserAgent phone = new UserAgent(address, null, "a");
-        network.add("phone", address, phone, false);
+        network.addNode("phone", address, phone, false);
         try (Socket socket = new Socket("127.0.0.1", address.port())) {
             OutputStream out = socket.getOutputStream();
             out.write("GET / HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
@@ -236,7 +236,7 @@
     void disconnectsMisbehavingPeersAndServesOthers() throws Exception {
         Hop address = new Hop(true, "127.0.0.1", freePort());
         UserAgent phone = new UserAgent(address, null, "a");
-        network.add("phone", address, phone, false);
+        network.addNode("phone", address, phone, false);
         String options =
                 "OPTIONS sip:a@b SIP/2.0\r\n"
                         + "Via: SIP/2.0/TCP 127.0.0.1:9;rport;branch=z9hG4bK%d\r\n"
@@ -274,7 +274,7 @@
         }
         Hop callerAddress = new Hop(true, "127.0.0.1", freePort());
         UserAgent caller = new UserAgent(callerAddress, address, "c");
-        network.add("caller", callerAddress, caller, false);
+        network.addNode("caller", callerAddress, caller, false);
         caller.awaitEvents("ringing", "answered");
     }
 
@@ -284,7 +284,7 @@
             Hop address = new Hop(true, "127.0.0.1", boundSocket.getLocalPort());
             assertThatThrownBy(
                             () ->
-                                    network.add(
+                                    network.addNode(
                                             "phone",
                                             address,
                                             new UserAgent(address, null, "a"),
--- a/src/test/java/coralcove/rehearsal/DirectoryDaysTest.java
+++ b/src/test/java/coralcove/rehearsal/DirectoryDaysTest.java
@@ -125,10 +125,10 @@
                                 "day.toml", Files.readString(Path.of("days/bad-day.toml"))),
                         1);
         TreeMap<Long, Integer> subscribesByInterval = new TreeMap<>();
-        Network.Tap tap =
-                new Network.Tap() {
+        Network.MessageObserver tap =
+                new Network.MessageObserver() {
                     @Override
-                    public void message(
+                    public void onMessage(
                             long now, String node, boolean out, Hop peer, byte[] bytes) {
                         String text = new String(bytes, java.nio.charset.StandardCharsets.UTF_8);
                         if (!out
@@ -139,14 +139,19 @@
                     }
 
                     @Override
-                    public void broken(long now, String node, Hop peer, boolean refused) {}
+                    public void onStreamFailure(long now, String node, Hop peer, boolean refused) {}
                 };
         VirtualNetwork network =
                 new VirtualNetwork(
-                        1_000_000_000, 7, VirtualNetwork.Weather.FAIR, Map.of(), tap, null);
+                        1_000_000_000,
+                        7,
+                        VirtualNetwork.NetworkConditions.FAULT_FREE,
+                        Map.of(),
+                        tap,
+                        null);
         Hop directoryAddress = new Hop(false, "127.0.0.1", 9000);
         DirectoryCore.Late delays = new DirectoryCore.Late(1_000_000, 8_000_000, 800_000);
-        network.add(
+        network.addNode(
                 "directory",
                 directoryAddress,
                 new DirectoryCore(directoryAddress, delays, "first"),
@@ -168,14 +173,14 @@
                                     "r" + i),
                             RoutingPolicies.create("choice", scenario.settings(0), i));
             routers.add(core);
-            network.add("edge-" + i, routerAddress, core, false);
+            network.addNode("edge-" + i, routerAddress, core, false);
         }
         network.run(network.now() + 30_000_000);
-        network.kill("directory");
+        network.killNode("directory");
         network.run(network.now() + 60_000_000);
         subscribesByInterval.clear();
         long restartTime = network.now();
-        network.add(
+        network.addNode(
                 "directory",
                 directoryAddress,
                 new DirectoryCore(directoryAddress, delays, "second"),
