--- a/src/main/java/coralcove/cli/Commands.java
+++ b/src/main/java/coralcove/cli/Commands.java
@@ -9,26 +9,26 @@
 import coralcove.config.BadConfig;
 import coralcove.config.StartTags;
 import coralcove.config.TomlSettings;
-import coralcove.directory.DirectoryCore;
-import coralcove.directory.DirectoryFile;
+import coralcove.directory.DirectorySettingsFile;
+import coralcove.directory.SimulatedDirectory;
 import coralcove.dns.transport.DnsClient;
 import coralcove.edge.EdgeCore;
 import coralcove.edge.EdgeSettingsFile;
 import coralcove.edge.NumberAnalysisContext;
 import coralcove.edge.NumberAnalysisSettings;
 import coralcove.exchange.Arrival;
-import coralcove.exchange.ExchangeCore;
-import coralcove.exchange.ExchangeFile;
+import coralcove.exchange.CallerStats;
 import coralcove.exchange.ExchangeSettings;
-import coralcove.exchange.Stats;
+import coralcove.exchange.ExchangeSettingsFile;
+import coralcove.exchange.SimulatedExchange;
 import coralcove.experiment.ProgramVersion;
 import coralcove.judge.Judge;
 import coralcove.judge.Verdict;
 import coralcove.network.LiveNetwork;
-import coralcove.numbers.HoursCheck;
+import coralcove.numbers.CalendarCheck;
 import coralcove.numbers.NumberTable;
+import coralcove.numbers.file.TableFileWatcher;
 import coralcove.numbers.file.TableReader;
-import coralcove.numbers.file.TableWatch;
 import coralcove.planner.EdgeLinkCore;
 import coralcove.planner.GroupLoadQueue;
 import coralcove.planner.PlannerCore;
@@ -179,10 +179,10 @@
         AtomicBoolean stop = new AtomicBoolean();
         CountDownLatch ended = new CountDownLatch(1);
         LiveNetwork network = new LiveNetwork(null);
-        TableWatch watch = null;
+        TableFileWatcher watch = null;
         if (numbers != null && core instanceof EdgeCore edge) {
             watch =
-                    new TableWatch(
+                    new TableFileWatcher(
                             numbers.table(),
                             numbers.changes(),
                             edge::mayReach,
@@ -193,11 +193,11 @@
                 edge.attachNumberAnalysis(
                         new NumberAnalysisContext(
                                 numbers.maxTables(),
-                                watch.first(),
+                                watch.readInitial(),
                                 numbers.porting(),
                                 PortabilityService.clientUsing(
                                         client, numbers.suffix(), network, name, () -> edge)));
-            } catch (IOException | TableReader.Bad e) {
+            } catch (IOException | TableReader.InvalidTableException e) {
                 throw toml.table("numbers").invalid("table", e.getMessage());
             }
         }
@@ -256,7 +256,7 @@
             network.run(network.now() + 50_000);
             if (watch != null && network.now() >= nextPollAt) {
                 nextPollAt = network.now() + TABLE_POLL_INTERVAL_MICROS;
-                NumberTable next = watch.next();
+                NumberTable next = watch.poll();
                 if (next != null) {
                     network.runOnNode(
                             name,
@@ -439,18 +439,18 @@
     static final class ExchangeCommand extends NodeCommand {
         @Override
         void serve(TomlSettings toml) throws BadConfig {
-            ExchangeFile file = ExchangeFile.of(toml);
+            ExchangeSettingsFile file = ExchangeSettingsFile.read(toml);
             long now = LiveNetwork.currentTimeMicros();
             ExchangeSettings settings =
-                    file.cold() ? file.settings().startedAt(now) : file.settings();
+                    file.startsCold() ? file.settings().withColdStart(now) : file.settings();
             List<Arrival> arrivals =
-                    file.arrivals().stream().map(arrival -> arrival.after(now)).toList();
+                    file.arrivals().stream().map(arrival -> arrival.shiftedBy(now)).toList();
             Commands.run(
                     toml,
                     "exchange",
                     "exchange-" + settings.number(),
-                    settings.self(),
-                    new ExchangeCore(settings, arrivals, new Stats()));
+                    settings.listenAddress(),
+                    new SimulatedExchange(settings, arrivals, new CallerStats()));
         }
     }
 
@@ -462,13 +462,14 @@
     static final class DirectoryCommand extends NodeCommand {
         @Override
         void serve(TomlSettings toml) throws BadConfig {
-            DirectoryFile file = DirectoryFile.of(toml);
+            DirectorySettingsFile file = DirectorySettingsFile.read(toml);
             Commands.run(
                     toml,
                     "directory",
                     "directory",
-                    file.listen(),
-                    new DirectoryCore(file.listen(), file.late(), StartTags.newTag()));
+                    file.listenAddress(),
+                    new SimulatedDirectory(
+                            file.listenAddress(), file.delays(), StartTags.newTag()));
         }
     }
 
@@ -575,7 +576,7 @@
         }
 
         private static void print(Result result) {
-            Stats stats = result.stats();
+            CallerStats stats = result.stats();
             System.out.printf(
                     Locale.ROOT,
                     "%s, policy %s, seed %d, %s%n",
@@ -594,17 +595,17 @@
                     "sessions %d: stood %d (cut later %d), busy-replied %d, terminated %d, "
                             + "gave up %d%n",
                     stats.sessions,
-                    stats.stood,
-                    stats.cut,
+                    stats.established,
+                    stats.cutOff,
                     stats.busyReplied,
                     stats.terminated,
-                    stats.gaveUp);
+                    stats.abandoned);
             System.out.printf(
                     Locale.ROOT,
                     "set-up p50 %.0f ms, p99 %.0f ms; added by one router p50 %.2f ms, "
                             + "p99 %.2f ms%n",
-                    stats.setUp.getValueAtPercentile(50) / 1e3,
-                    stats.setUp.getValueAtPercentile(99) / 1e3,
+                    stats.postDialDelay.getValueAtPercentile(50) / 1e3,
+                    stats.postDialDelay.getValueAtPercentile(99) / 1e3,
                     result.added().getValueAtPercentile(50) / 1e3,
                     result.added().getValueAtPercentile(99) / 1e3);
             if (result.lastSent().getTotalCount() > 0) {
@@ -803,7 +804,7 @@
                                     + " of "
                                     + table.trie().size()
                                     + " prefixes";
-                    HoursCheck.of(table, System.currentTimeMillis() * 1000)
+                    CalendarCheck.findProblems(table, System.currentTimeMillis() * 1000)
                             .forEach(
                                     warning ->
                                             System.out.println(
@@ -812,9 +813,9 @@
                                                             + warning));
                 }
             } else if (toml.has("exchange")) {
-                kind = "stand-in exchange " + ExchangeFile.of(toml).settings().number();
+                kind = "stand-in exchange " + ExchangeSettingsFile.read(toml).settings().number();
             } else if (toml.has("directory")) {
-                kind = "stand-in directory at " + DirectoryFile.of(toml).listen();
+                kind = "stand-in directory at " + DirectorySettingsFile.read(toml).listenAddress();
             } else {
                 throw new BadConfig(
                         config
--- a/src/main/java/coralcove/cli/NumbersCommand.java
+++ b/src/main/java/coralcove/cli/NumbersCommand.java
@@ -1,11 +1,11 @@
 package coralcove.cli;
 
+import coralcove.numbers.CalendarCheck;
 import coralcove.numbers.Destination;
 import coralcove.numbers.Digits;
-import coralcove.numbers.HoursCheck;
+import coralcove.numbers.NumberAnalysis;
 import coralcove.numbers.NumberTable;
-import coralcove.numbers.Porting;
-import coralcove.numbers.Search;
+import coralcove.numbers.PortabilityCache;
 import coralcove.numbers.file.TableReader;
 import java.io.IOException;
 import java.nio.file.Path;
@@ -69,8 +69,8 @@
     /** Reads a table; an error in it ends the command and names the line. */
     static NumberTable read(Path path, IntPredicate known) throws IOException {
         try {
-            return TableReader.table(path, known);
-        } catch (TableReader.Bad e) {
+            return TableReader.readTable(path, known);
+        } catch (TableReader.InvalidTableException e) {
             throw new IOException(e.getMessage(), e);
         }
     }
@@ -102,27 +102,28 @@
                     "table %d: %d prefixes, %d destinations, %d calendars, %.0f ms%n",
                     table.version(),
                     table.trie().size(),
-                    table.destinations(),
+                    table.destinationCount(),
                     table.calendars().size(),
                     (System.nanoTime() - start) / 1e6);
             if (changes != null) {
                 long editStart = System.nanoTime();
                 try {
-                    TableReader.Changes read = TableReader.changes(changes, table, farEnds.known());
-                    if (read.after() != table.version()) {
-                        throw new IOException(changes + ": made for version " + read.after());
+                    TableReader.TableChanges read =
+                            TableReader.readChanges(changes, table, farEnds.known());
+                    if (read.baseVersion() != table.version()) {
+                        throw new IOException(changes + ": made for version " + read.baseVersion());
                     }
-                    table = table.edited(read.version(), read.list());
+                    table = table.withChanges(read.version(), read.changes());
                     System.out.printf(
                             "table %d: %d changes, %.1f ms%n",
                             table.version(),
-                            read.list().size(),
+                            read.changes().size(),
                             (System.nanoTime() - editStart) / 1e6);
-                } catch (TableReader.Bad e) {
+                } catch (TableReader.InvalidTableException e) {
                     throw new IOException(e.getMessage(), e);
                 }
             }
-            HoursCheck.of(table, now())
+            CalendarCheck.findProblems(table, now())
                     .forEach(warning -> System.out.println("warning: " + warning));
             return 0;
         }
@@ -169,24 +170,29 @@
             } catch (DateTimeException e) {
                 throw new IOException("--at " + at + " is not a time such as 2026-11-30T03:00:00Z");
             }
-            Porting porting = new Porting(new Porting.Settings(1_000_000, 1, 0, 10, 10, 10));
-            Search search = new Search(table, 1, dialled, service, now + 60_000_000);
-            Search.Step step = search.next(now, porting);
+            PortabilityCache porting =
+                    new PortabilityCache(
+                            new PortabilityCache.Settings(1_000_000, 1, 0, 10, 10, 10));
+            NumberAnalysis search =
+                    new NumberAnalysis(table, 1, dialled, service, now + 60_000_000);
+            NumberAnalysis.Step step = search.next(now, porting);
             boolean first = true;
-            while (step instanceof Search.Wait wait) {
+            while (step instanceof NumberAnalysis.Wait wait) {
                 boolean ported = first && routing != null;
-                porting.ended(
+                porting.queryEnded(
                         now,
                         wait.number(),
-                        ported ? Porting.Outcome.MOVED : Porting.Outcome.NOT_MOVED,
+                        ported
+                                ? PortabilityCache.QueryOutcome.MOVED
+                                : PortabilityCache.QueryOutcome.NOT_MOVED,
                         ported ? Digits.pack(routing) : 0,
                         60_000_000);
                 first = false;
                 step = search.resume(now, porting);
             }
             System.out.println("table " + table.version());
-            search.steps().forEach(line -> System.out.println("  " + line));
-            if (step instanceof Search.Route route) {
+            search.explanation().forEach(line -> System.out.println("  " + line));
+            if (step instanceof NumberAnalysis.Route route) {
                 System.out.println(
                         "goes to far end "
                                 + route.farEnd()
@@ -195,7 +201,7 @@
                                         : " until "
                                                 + Instant.ofEpochSecond(
                                                         route.until() / 1_000_000)));
-            } else if (step instanceof Search.Refused refused) {
+            } else if (step instanceof NumberAnalysis.Refused refused) {
                 System.out.println(
                         "is refused: "
                                 + refused.status()
@@ -232,7 +238,7 @@
             System.out.println("changes " + now.version() + " after " + old.version());
             int[] count = {0};
             old.trie()
-                    .each(
+                    .forEach(
                             (key, value) -> {
                                 if (now.trie().get(key) == 0) {
                                     System.out.println("drop " + prefixText(key));
@@ -240,7 +246,7 @@
                                 }
                             });
             now.trie()
-                    .each(
+                    .forEach(
                             (key, value) -> {
                                 int before = old.trie().get(key);
                                 Destination destination = now.destination(value);
@@ -249,12 +255,12 @@
                                             "put "
                                                     + prefixText(key)
                                                     + " "
-                                                    + destination.text()
+                                                    + destination.toTableText()
                                                     + (before == 0
                                                             ? ""
                                                             : "  # was "
                                                                     + old.destination(before)
-                                                                            .text()));
+                                                                            .toTableText()));
                                     count[0]++;
                                 }
                             });
@@ -264,7 +270,7 @@
     }
 
     private static String prefixText(long key) {
-        return key == 0 ? "*" : Digits.text(key);
+        return key == 0 ? "*" : Digits.unpack(key);
     }
 
     @Command(
@@ -282,7 +288,7 @@
             Map<String, Integer> kinds = new TreeMap<>();
             Map<Integer, Integer> lengths = new TreeMap<>();
             table.trie()
-                    .each(
+                    .forEach(
                             (key, value) -> {
                                 kinds.merge(
                                         table.destination(value).getClass().getSimpleName(),
@@ -295,9 +301,9 @@
                     "prefixes "
                             + table.trie().size()
                             + ", "
-                            + table.trie().bytes()
+                            + table.trie().memoryBytes()
                             + " bytes, "
-                            + table.trie().bytes() / Math.max(1, table.trie().size())
+                            + table.trie().memoryBytes() / Math.max(1, table.trie().size())
                             + " a prefix");
             kinds.forEach((kind, count) -> System.out.println("  " + kind + " " + count));
             lengths.forEach(
--- a/src/main/java/coralcove/directory/DirectoryFile.java
+++ b/src/main/java/coralcove/directory/DirectorySettingsFile.java
@@ -6,14 +6,15 @@
 import coralcove.sip.Hop;
 
 /** The settings file of the simulated directory. */
-public record DirectoryFile(Hop listen, DirectoryCore.Late late) {
+public record DirectorySettingsFile(
+        Hop listenAddress, SimulatedDirectory.NotificationDelays delays) {
     /** Reads a settings file. */
-    public static DirectoryFile of(TomlSettings toml) throws BadConfig {
+    public static DirectorySettingsFile read(TomlSettings toml) throws BadConfig {
         TomlSettings.Table directory = toml.table("directory");
-        DirectoryFile file =
-                new DirectoryFile(
+        DirectorySettingsFile file =
+                new DirectorySettingsFile(
                         AddressSettings.read(directory, "listen"),
-                        new DirectoryCore.Late(
+                        new SimulatedDirectory.NotificationDelays(
                                 directory.microsFromMillis("notice_ms", 0, 60_000, 1000),
                                 directory.microsFromMillis("silence_ms", 1500, 120_000, 8000),
                                 directory.microsFromMillis("add_ms", 0, 60_000, 800)));
--- a/src/main/java/coralcove/directory/DirectoryCore.java
+++ b/src/main/java/coralcove/directory/SimulatedDirectory.java
@@ -18,13 +18,13 @@
  * start; until it has been up for longer than the silence time-out it marks its lists as learning,
  * because it cannot know which exchanges are missing.
  */
-public final class DirectoryCore extends CallFreeCore {
+public final class SimulatedDirectory extends CallFreeCore {
     /**
      * Delays in µs until subscribers are notified: {@code drainOrLeave} after an exchange announced
      * it, {@code silenceTimeout} after the last REGISTER of a silent exchange, and {@code addition}
      * after a start.
      */
-    public record Late(long drainOrLeave, long silenceTimeout, long addition) {}
+    public record NotificationDelays(long drainOrLeave, long silenceTimeout, long addition) {}
 
     /** Exchanges listed; a REGISTER past that is answered 503. */
     private static final int MAX_EXCHANGES = 10_000;
@@ -75,7 +75,7 @@
     }
 
     private final Hop address;
-    private final Late delays;
+    private final NotificationDelays delays;
     private final String epoch;
     private final Notifier notifier;
     private final Map<Long, RegisteredExchange> exchanges = new LinkedHashMap<>();
@@ -85,7 +85,7 @@
     /**
      * {@code startTag} is also the epoch: lower-case letters and digits, different for each start.
      */
-    public DirectoryCore(Hop address, Late delays, String startTag) {
+    public SimulatedDirectory(Hop address, NotificationDelays delays, String startTag) {
         super(address, startTag);
         this.address = address;
         this.delays = delays;
--- a/src/main/java/coralcove/edge/EdgeCore.java
+++ b/src/main/java/coralcove/edge/EdgeCore.java
@@ -9,9 +9,9 @@
 import coralcove.RoutingDecision;
 import coralcove.Session;
 import coralcove.dns.DnsQueryClient;
+import coralcove.numbers.NumberAnalysis;
 import coralcove.numbers.NumberTable;
-import coralcove.numbers.Porting;
-import coralcove.numbers.Search;
+import coralcove.numbers.PortabilityCache;
 import coralcove.planner.EdgeLinkCore;
 import coralcove.protocol.CallHeaders;
 import coralcove.protocol.FailureResponse;
@@ -68,7 +68,7 @@
         Session session;
 
         /** Analysis of the dialled number; null if the caller names the far end. */
-        Search numberSearch;
+        NumberAnalysis numberSearch;
 
         boolean holdsNumberTable;
         OutboundLeg outboundLeg;
@@ -321,8 +321,8 @@
         }
         if (dialled) {
             activeSession.numberSearch =
-                    new Search(
-                            numberAnalysis.numberTables.enter(),
+                    new NumberAnalysis(
+                            numberAnalysis.numberTables.acquire(),
                             activeSession.id,
                             headers.number(),
                             headers.service(),
@@ -405,14 +405,15 @@
     }
 
     private void sweepPortingCache(long now, Out out) {
-        numberAnalysis.porting.sweep(now);
+        numberAnalysis.porting.evictExpired(now);
         timers.set(now + PORTING_SWEEP_INTERVAL_US, this::sweepPortingCache);
     }
 
-    private void applySearchStep(long now, ActiveSession activeSession, Search.Step step, Out out) {
+    private void applySearchStep(
+            long now, ActiveSession activeSession, NumberAnalysis.Step step, Out out) {
         String id = activeSession.inboundCall.sessionId();
-        String table = "table " + activeSession.numberSearch.version();
-        if (step instanceof Search.Route route) {
+        String table = "table " + activeSession.numberSearch.tableVersion();
+        if (step instanceof NumberAnalysis.Route route) {
             out.log(
                     "far-end",
                     id,
@@ -424,7 +425,7 @@
                 agent.count("404");
                 rejectSession(now, activeSession, 404, "Not Found", out);
             }
-        } else if (step instanceof Search.Refused refused) {
+        } else if (step instanceof NumberAnalysis.Refused refused) {
             out.log("no-far-end", id, table + " " + refused.status());
             agent.count(Integer.toString(refused.status()));
             if (refused.number().isEmpty()) {
@@ -439,18 +440,19 @@
                         "Contact",
                         "<tel:" + refused.number() + ">");
             }
-        } else if (step instanceof Search.Wait wait) {
-            out.log("portability", id, table + (wait.ask() ? " asks" : " waits"));
+        } else if (step instanceof NumberAnalysis.Wait wait) {
+            out.log("portability", id, table + (wait.sendQuery() ? " asks" : " waits"));
             activeSession.waitTimer =
-                    timers.set(wait.until(), (at, o) -> resumeNumberSearch(at, activeSession, o));
-            if (wait.ask()) {
+                    timers.set(
+                            wait.deadline(), (at, o) -> resumeNumberSearch(at, activeSession, o));
+            if (wait.sendQuery()) {
                 numberAnalysis.portabilityClient.query(now, wait.number());
             }
         }
     }
 
     private void resumeNumberSearch(long now, ActiveSession activeSession, Out out) {
-        if (!activeSession.answered && !activeSession.numberSearch.over()) {
+        if (!activeSession.answered && !activeSession.numberSearch.isFinished()) {
             timers.cancel(activeSession.waitTimer);
             applySearchStep(
                     now,
@@ -467,12 +469,12 @@
     public void portabilityAnswered(
             long now,
             long number,
-            Porting.Outcome outcome,
+            PortabilityCache.QueryOutcome outcome,
             long routingNumber,
             long lifetime,
             Out out) {
         for (long id :
-                numberAnalysis.porting.ended(now, number, outcome, routingNumber, lifetime)) {
+                numberAnalysis.porting.queryEnded(now, number, outcome, routingNumber, lifetime)) {
             ActiveSession activeSession = activeSessions.get(id);
             if (activeSession != null) {
                 resumeNumberSearch(now, activeSession, out);
@@ -496,16 +498,16 @@
                 "version "
                         + table.version()
                         + ", "
-                        + numberAnalysis.numberTables.count()
+                        + numberAnalysis.numberTables.retainedCount()
                         + " kept");
         if (!discardedVersions.isEmpty()) {
             for (ActiveSession activeSession : List.copyOf(activeSessions.values())) {
                 if (activeSession.holdsNumberTable
-                        && !activeSession.numberSearch.over()
-                        && discardedVersions.contains(activeSession.numberSearch.version())) {
+                        && !activeSession.numberSearch.isFinished()
+                        && discardedVersions.contains(activeSession.numberSearch.tableVersion())) {
                     timers.cancel(activeSession.waitTimer);
-                    activeSession.numberSearch.gone(numberAnalysis.porting);
-                    activeSession.numberSearch.restart(numberAnalysis.numberTables.enter());
+                    activeSession.numberSearch.cancel(numberAnalysis.porting);
+                    activeSession.numberSearch.restart(numberAnalysis.numberTables.acquire());
                     applySearchStep(
                             now,
                             activeSession,
@@ -521,8 +523,8 @@
     private void releaseNumberTable(ActiveSession activeSession) {
         if (activeSession.holdsNumberTable) {
             activeSession.holdsNumberTable = false;
-            activeSession.numberSearch.gone(numberAnalysis.porting);
-            numberAnalysis.numberTables.leave(activeSession.numberSearch.version());
+            activeSession.numberSearch.cancel(numberAnalysis.porting);
+            numberAnalysis.numberTables.release(activeSession.numberSearch.tableVersion());
         }
     }
 
--- a/src/main/java/coralcove/edge/NumberAnalysisContext.java
+++ b/src/main/java/coralcove/edge/NumberAnalysisContext.java
@@ -1,8 +1,8 @@
 package coralcove.edge;
 
 import coralcove.numbers.NumberTable;
-import coralcove.numbers.Porting;
-import coralcove.numbers.Tables;
+import coralcove.numbers.PortabilityCache;
+import coralcove.numbers.TableVersions;
 
 /**
  * What one router needs to find the far ends of dialled numbers: its number tables, its cache of
@@ -19,24 +19,24 @@
         void query(long now, long number);
     }
 
-    final Tables numberTables;
-    final Porting porting;
+    final TableVersions numberTables;
+    final PortabilityCache porting;
     final PortabilityClient portabilityClient;
 
     /** Holds at most {@code maxTables} tables, including the one in service. */
     public NumberAnalysisContext(
             int maxTables,
             NumberTable first,
-            Porting.Settings settings,
+            PortabilityCache.Settings settings,
             PortabilityClient portabilityClient) {
-        numberTables = new Tables(maxTables, first);
-        porting = new Porting(settings);
+        numberTables = new TableVersions(maxTables, first);
+        porting = new PortabilityCache(settings);
         this.portabilityClient = portabilityClient;
     }
 
     /** Number of tables held now. */
     public int tableCount() {
-        return numberTables.count();
+        return numberTables.retainedCount();
     }
 
     /**
@@ -44,6 +44,6 @@
      * and calls sent to the donor exchange.
      */
     public long[] portabilityCounts() {
-        return porting.counts();
+        return porting.counters();
     }
 }
--- a/src/main/java/coralcove/edge/NumberAnalysisSettings.java
+++ b/src/main/java/coralcove/edge/NumberAnalysisSettings.java
@@ -3,7 +3,7 @@
 import coralcove.config.BadConfig;
 import coralcove.config.TomlSettings;
 import coralcove.dns.Resolver;
-import coralcove.numbers.Porting;
+import coralcove.numbers.PortabilityCache;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
@@ -22,14 +22,14 @@
         Path table,
         Path changes,
         int maxTables,
-        Porting.Settings porting,
+        PortabilityCache.Settings porting,
         String suffix,
         Resolver.Settings resolver) {
     /** Source ports per server: with the id they make 20 bits that a forger must guess. */
     private static final int SOCKETS_PER_SERVER = 16;
 
     static NumberAnalysisSettings of(TomlSettings.Table table) throws BadConfig {
-        Porting.Settings porting = porting(table);
+        PortabilityCache.Settings porting = porting(table);
         String changes = table.text("changes", "");
         List<Resolver.Server> servers = servers(table);
         return new NumberAnalysisSettings(
@@ -43,7 +43,7 @@
                         table.microsFromMillis("try_ms", 1, 10_000, 120),
                         table.integer("tries", 1, 10, 2),
                         SOCKETS_PER_SERVER,
-                        porting.asked()));
+                        porting.maxOutstandingQueries()));
     }
 
     /** Reads the key {@code servers}: HOST:PORT, or several of them separated by commas. */
@@ -65,8 +65,8 @@
     }
 
     /** Reads the portability settings, which a router and a simulated day have in common. */
-    public static Porting.Settings porting(TomlSettings.Table table) throws BadConfig {
-        return new Porting.Settings(
+    public static PortabilityCache.Settings porting(TomlSettings.Table table) throws BadConfig {
+        return new PortabilityCache.Settings(
                 table.microsFromMillis("budget_ms", 1, 60_000, 300),
                 table.number("budget_share", 0.01, 1, 0.2),
                 table.microsFromSeconds("stale_s", 0, 604_800, 3600),
--- a/src/main/java/coralcove/emulator/Calibration.java
+++ b/src/main/java/coralcove/emulator/Calibration.java
@@ -139,11 +139,12 @@
         long from = result.zero() / MICROS_PER_SECOND + WARM_UP_SECONDS;
         for (List<Arrival> list : day.arrivals()) {
             for (Arrival each : list) {
-                offered[each.service()] += each.at() / MICROS_PER_SECOND >= WARM_UP_SECONDS ? 1 : 0;
+                offered[each.service()] +=
+                        each.arrivalTime() / MICROS_PER_SECOND >= WARM_UP_SECONDS ? 1 : 0;
             }
         }
         for (int i = 0; i < established.length; i++) {
-            established[i] = result.stats().standing(i, from);
+            established[i] = result.stats().establishedSince(i, from);
         }
         double[] lost = new double[offered.length];
         Arrays.setAll(lost, i -> 1 - established[i] / offered[i]);
--- a/src/main/java/coralcove/exchange/Stats.java
+++ b/src/main/java/coralcove/exchange/CallerStats.java
@@ -8,7 +8,7 @@
  * What the callers of one simulated exchange experienced. Kept outside the exchange, so that it
  * survives the exchange's crash.
  */
-public final class Stats {
+public final class CallerStats {
     /** The longest delay that the histogram distinguishes. */
     private static final long MAX_SET_UP_US = 60_000_000;
 
@@ -18,25 +18,25 @@
     public long finalAnswers;
 
     /** Calls that were established. */
-    public long stood;
+    public long established;
 
     public long busyReplied;
     public long terminated;
 
     /** Attempts that the caller abandoned before a final answer. */
-    public long gaveUp;
+    public long abandoned;
 
     /** Attempts rejected by the local exchange because its processor was overloaded. */
-    public long turnedAway;
+    public long rejectedLocally;
 
     /** Established calls that were cut off before the caller hung up. */
-    public long cut;
+    public long cutOff;
 
     /** Value of the calls that were established, without those cut off. */
     public double valueServed;
 
     /** µs from an attempt to the established call, as seen by the caller. */
-    public final Histogram setUp = new Histogram(MAX_SET_UP_US, 3);
+    public final Histogram postDialDelay = new Histogram(MAX_SET_UP_US, 3);
 
     /** Value served, by service. */
     public final Map<Integer, Double> servedByService = new TreeMap<>();
@@ -51,7 +51,7 @@
      * Value not served, by the outcome of the caller's last attempt; {@link #LATE} and {@link
      * #CUT_OFF} are shares of established calls.
      */
-    public final Map<String, Double> lost = new TreeMap<>();
+    public final Map<String, Double> lostValue = new TreeMap<>();
 
     public static final String LATE = "late";
     public static final String CUT_OFF = "cut";
@@ -64,22 +64,22 @@
     void addServedValue(Arrival arrival, double value) {
         valueServed += value;
         servedByService.merge(arrival.service(), value, Double::sum);
-        servedBySecond.merge(arrival.at() / MICROS_PER_SECOND, value, Double::sum);
+        servedBySecond.merge(arrival.arrivalTime() / MICROS_PER_SECOND, value, Double::sum);
     }
 
     /** Counts an established call. */
     void callEstablished(Arrival arrival) {
-        stood++;
+        established++;
         establishedBySecond
                 .computeIfAbsent(arrival.service(), s -> new TreeMap<>())
-                .merge(arrival.at() / MICROS_PER_SECOND, 1, Integer::sum);
+                .merge(arrival.arrivalTime() / MICROS_PER_SECOND, 1, Integer::sum);
     }
 
     /**
      * Established calls of a service whose callers made their first attempt in second {@code from}
      * or later.
      */
-    public long standing(int service, long from) {
+    public long establishedSince(int service, long from) {
         return establishedBySecond
                 .getOrDefault(service, new TreeMap<>())
                 .tailMap(from)
@@ -91,11 +91,11 @@
 
     /** Adds value lost for a reason. */
     void addLostValue(String reason, double value) {
-        lost.merge(reason, value, Double::sum);
+        lostValue.merge(reason, value, Double::sum);
     }
 
     /** Adds all figures of another exchange. */
-    public void add(Stats other) {
+    public void add(CallerStats other) {
         other.servedByService.forEach(
                 (key, value) -> servedByService.merge(key, value, Double::sum));
         other.servedBySecond.forEach((key, value) -> servedBySecond.merge(key, value, Double::sum));
@@ -106,16 +106,16 @@
                                         establishedBySecond
                                                 .computeIfAbsent(service, s -> new TreeMap<>())
                                                 .merge(second, count, Integer::sum)));
-        other.lost.forEach((key, value) -> lost.merge(key, value, Double::sum));
+        other.lostValue.forEach((key, value) -> lostValue.merge(key, value, Double::sum));
         sessions += other.sessions;
         finalAnswers += other.finalAnswers;
-        stood += other.stood;
+        established += other.established;
         busyReplied += other.busyReplied;
         terminated += other.terminated;
-        gaveUp += other.gaveUp;
-        turnedAway += other.turnedAway;
-        cut += other.cut;
+        abandoned += other.abandoned;
+        rejectedLocally += other.rejectedLocally;
+        cutOff += other.cutOff;
         valueServed += other.valueServed;
-        setUp.add(other.setUp);
+        postDialDelay.add(other.postDialDelay);
     }
 }
--- a/src/main/java/coralcove/exchange/ExchangeSettings.java
+++ b/src/main/java/coralcove/exchange/ExchangeSettings.java
@@ -17,13 +17,13 @@
 public record ExchangeSettings(
         int number,
         long id,
-        Hop self,
+        Hop listenAddress,
         Hop routerAddress,
         List<Hop> directories,
-        Work processingTimes,
+        ProcessingTimes processingTimes,
         List<Service> services,
-        Callers callerModel,
-        Rules coldStart,
+        CallerModel callerModel,
+        ColdStartRules coldStart,
         long coldStartedAt,
         Map<Integer, Integer> groupCircuits,
         int linesPerLimitedNumber,
@@ -31,11 +31,11 @@
         String startTag) {
 
     /** The same exchange, started cold at {@code now}. */
-    public ExchangeSettings startedAt(long now) {
+    public ExchangeSettings withColdStart(long now) {
         return new ExchangeSettings(
                 number,
                 id,
-                self,
+                listenAddress,
                 routerAddress,
                 directories,
                 processingTimes,
@@ -52,26 +52,26 @@
     /**
      * Service times of the processor, and its overload limits.
      *
-     * @param look preparing a caller's INVITE
-     * @param refuse rejecting a set-up
-     * @param repeat handling a retransmitted INVITE
+     * @param lookUp preparing a caller's INVITE
+     * @param reject rejecting a set-up
+     * @param retransmission handling a retransmitted INVITE
      * @param probe answering an OPTIONS probe
-     * @param queueLimit queueing delay above which set-ups are rejected
-     * @param tellsWait whether a rejection carries Retry-After
-     * @param resend first interval after which a waiting INVITE is retransmitted, doubling each
-     *     time; 0 for no retransmissions
+     * @param maxQueueingDelay queueing delay above which set-ups are rejected
+     * @param sendsRetryAfter whether a rejection carries Retry-After
+     * @param retransmissionInterval first interval after which a waiting INVITE is retransmitted,
+     *     doubling each time; 0 for no retransmissions
      */
-    public record Work(
-            long look,
+    public record ProcessingTimes(
+            long lookUp,
             long setUp,
             long answer,
             long release,
-            long refuse,
-            long repeat,
+            long reject,
+            long retransmission,
             long probe,
-            long queueLimit,
-            boolean tellsWait,
-            long resend) {}
+            long maxQueueingDelay,
+            boolean sendsRetryAfter,
+            long retransmissionInterval) {}
 
     /**
      * A service as callers see it; {@code lateValue} is the share of {@code value} that a call
@@ -89,7 +89,7 @@
      * @param retryAfterCompliance share of callers that wait as long as Retry-After says
      * @param marksRedials whether INVITEs of redials are marked as such
      */
-    public record Callers(
+    public record CallerModel(
             int maxRedials,
             double attemptShare,
             long backoff,
@@ -101,7 +101,7 @@
      * times its capacity arrive within {@code overloadWindow}. Its capacity rises from {@code
      * coldCapacityShare} to 1 within {@code warmUpTime}.
      */
-    public record Rules(
+    public record ColdStartRules(
             double overloadMultiple,
             long overloadWindow,
             double coldCapacityShare,
--- a/src/main/java/coralcove/exchange/ExchangeFile.java
+++ b/src/main/java/coralcove/exchange/ExchangeSettingsFile.java
@@ -15,12 +15,13 @@
  * The settings file of a simulated exchange, with its randomly drawn callers; arrival times count
  * from the exchange's start.
  */
-public record ExchangeFile(ExchangeSettings settings, boolean cold, List<Arrival> arrivals) {
+public record ExchangeSettingsFile(
+        ExchangeSettings settings, boolean startsCold, List<Arrival> arrivals) {
     /** An exchange called from here and its share of the calls. */
     private record TrafficShare(int to, double share) {}
 
     /** Reads a settings file and draws the callers from its seed. */
-    public static ExchangeFile of(TomlSettings toml) throws BadConfig {
+    public static ExchangeSettingsFile read(TomlSettings toml) throws BadConfig {
         TomlSettings.Table exchange = toml.table("exchange");
         int number = exchange.integer("number", 0, 65_535);
         long seed = exchange.integer("seed", 1, Integer.MAX_VALUE, 1);
@@ -52,8 +53,8 @@
             holdTimes.add(each.hold());
         }
         TomlSettings.Table processor = toml.table("processor");
-        ExchangeSettings.Work processingTimes =
-                new ExchangeSettings.Work(
+        ExchangeSettings.ProcessingTimes processingTimes =
+                new ExchangeSettings.ProcessingTimes(
                         processor.microsFromMillis("look_ms", 0, 10_000, 0.2),
                         processor.microsFromMillis("set_up_ms", 0.001, 10_000, 1),
                         processor.microsFromMillis("answer_ms", 0, 10_000, 0.35),
@@ -67,8 +68,8 @@
         TomlSettings.Table callers = toml.table("callers");
         double rate = callers.number("sessions_per_s", 0, 100_000, 0);
         long duration = callers.microsFromSeconds("length_s", 0, 86_400, 60);
-        ExchangeSettings.Callers callerModel =
-                new ExchangeSettings.Callers(
+        ExchangeSettings.CallerModel callerModel =
+                new ExchangeSettings.CallerModel(
                         callers.integer("redials", 0, 10, 2),
                         callers.number("try_share", 0.01, 1, 0.35),
                         callers.microsFromMillis("backoff_ms", 1, 60_000, 700),
@@ -85,7 +86,7 @@
                         processingTimes,
                         services,
                         callerModel,
-                        new ExchangeSettings.Rules(
+                        new ExchangeSettings.ColdStartRules(
                                 rules.number("fall_multiple", 1, 100, 3),
                                 rules.microsFromMillis("fall_ms", 1, 60_000, 1500),
                                 rules.number("cold_from", 0.01, 1, 0.32),
@@ -106,7 +107,7 @@
                                 serviceShares,
                                 holdTimes,
                                 trafficShares);
-        return new ExchangeFile(settings, cold, arrivals);
+        return new ExchangeSettingsFile(settings, cold, arrivals);
     }
 
     private static List<Arrival> draw(
--- a/src/main/java/coralcove/exchange/ExchangeCore.java
+++ b/src/main/java/coralcove/exchange/SimulatedExchange.java
@@ -29,7 +29,7 @@
  * callers. It forwards its call router's INVITEs to the next router, answers calls to its own
  * lines, and injects the faults that a scenario asks for.
  */
-public final class ExchangeCore extends AgentCore {
+public final class SimulatedExchange extends AgentCore {
     /** Interval between REGISTERs to the directory. */
     private static final long REGISTER_INTERVAL_US = 1_000_000;
 
@@ -75,7 +75,7 @@
     private final Processor processor;
     private final RandomGenerator random;
     private final ArrayDeque<Arrival> arrivals;
-    private final Stats stats;
+    private final CallerStats stats;
     private final TreeMap<Integer, Integer> groups;
     private final Map<Long, Integer> busyLines = new HashMap<>();
     private final Set<ForwardedCall> forwardedCalls = new LinkedHashSet<>();
@@ -107,8 +107,8 @@
     private double utilization;
 
     /** {@code arrivals} are in order of time; those before the start are skipped. */
-    public ExchangeCore(ExchangeSettings settings, List<Arrival> arrivals, Stats stats) {
-        super(settings.self(), settings.startTag());
+    public SimulatedExchange(ExchangeSettings settings, List<Arrival> arrivals, CallerStats stats) {
+        super(settings.listenAddress(), settings.startTag());
         this.settings = settings;
         this.arrivals = new ArrayDeque<>(arrivals);
         this.stats = stats;
@@ -117,7 +117,7 @@
         groupNotifier =
                 new Notifier(agent, timers, "trunk-groups", settings.startTag(), this::groupState);
         unacknowledgedDirectories.addAll(settings.directories());
-        ExchangeSettings.Rules rules = settings.coldStart();
+        ExchangeSettings.ColdStartRules rules = settings.coldStart();
         processor =
                 new Processor(
                         timers,
@@ -137,7 +137,7 @@
 
     @Override
     public void start(long now, Out out) {
-        while (!arrivals.isEmpty() && arrivals.peek().at() < now) {
+        while (!arrivals.isEmpty() && arrivals.peek().arrivalTime() < now) {
             arrivals.poll();
         }
         startNumber = settings.coldStartedAt() > 0 ? settings.coldStartedAt() : now;
@@ -207,7 +207,7 @@
     // Faults.
 
     /** Multiplies all service times of the processor. */
-    public void slow(double factor) {
+    public void slowDown(double factor) {
         processor.slowDown(factor);
     }
 
@@ -217,12 +217,12 @@
     }
 
     /** While hung, the processor accepts work but never does it. */
-    public void hang(boolean hung) {
+    public void setHung(boolean hung) {
         processor.setHung(hung);
     }
 
     /** Sets the share of calls to local lines that are never answered. */
-    public void loseAnswers(double share) {
+    public void setAnswerLossShare(double share) {
         answerLossShare = share;
     }
 
@@ -239,7 +239,7 @@
     }
 
     /** Cuts off all calls through this exchange, as happens when its processor stops. */
-    public void cutAll(long now, Out out) {
+    public void cutOffAllCalls(long now, Out out) {
         for (ForwardedCall forwarded : List.copyOf(forwardedCalls)) {
             cutOff(now, forwarded, out);
         }
@@ -257,7 +257,7 @@
      * Sets the circuits of the trunk group to an exchange. Each established outgoing call on it is
      * cut off with probability {@code share}, for the case that the group has lost circuits.
      */
-    public void group(long now, int number, int circuits, double share, Out out) {
+    public void resizeGroup(long now, int number, int circuits, double share, Out out) {
         groups.put(number, circuits);
         for (ForwardedCall forwarded : List.copyOf(forwardedCalls)) {
             if (forwarded.nextExchange == number
@@ -300,13 +300,13 @@
         if (forLocalLines && headers.origin() >= 0) {
             checkColdOverload(now, out);
         }
-        ExchangeSettings.Work times = settings.processingTimes();
+        ExchangeSettings.ProcessingTimes times = settings.processingTimes();
         long wait = processor.queueingDelay(now);
-        if (wait > times.queueLimit()) {
-            long retryAfter = times.tellsWait() ? wait - times.queueLimit() / 2 : 0;
+        if (wait > times.maxQueueingDelay()) {
+            long retryAfter = times.sendsRetryAfter() ? wait - times.maxQueueingDelay() / 2 : 0;
             processor.enqueue(
                     now,
-                    times.refuse(),
+                    times.reject(),
                     (at, o) -> {
                         int cause =
                                 forLocalLines
@@ -326,12 +326,14 @@
             return;
         }
         long retransmissions = 0;
-        for (long interval = times.resend(); interval > 0 && interval < wait; interval *= 2) {
+        for (long interval = times.retransmissionInterval();
+                interval > 0 && interval < wait;
+                interval *= 2) {
             retransmissions++;
         }
         processor.enqueue(
                 now,
-                times.setUp() + retransmissions * times.repeat(),
+                times.setUp() + retransmissions * times.retransmission(),
                 (at, o) -> {
                     // A set-up that was cancelled while it was queued is dropped.
                     if (call.trying()) {
@@ -352,7 +354,7 @@
         if (!processor.isCold(now)) {
             return;
         }
-        ExchangeSettings.Rules rules = settings.coldStart();
+        ExchangeSettings.ColdStartRules rules = settings.coldStart();
         setUpsWhileCold.add(now);
         while (setUpsWhileCold.peek() <= now - rules.overloadWindow()) {
             setUpsWhileCold.poll();
@@ -541,7 +543,7 @@
         Arrival next = arrivals.poll();
         if (next != null) {
             timers.set(
-                    next.at(),
+                    next.arrivalTime(),
                     (at, out) -> {
                         scheduleNextArrival();
                         if (!collapsed) {
@@ -558,16 +560,16 @@
         caller.attempts++;
         caller.attemptedAt = now;
         long timeout = attemptTimeout(caller, now);
-        if (processor.queueingDelay(now) > settings.processingTimes().queueLimit()) {
-            stats.turnedAway++;
-            processor.enqueue(now, settings.processingTimes().refuse(), Processor::noAction);
+        if (processor.queueingDelay(now) > settings.processingTimes().maxQueueingDelay()) {
+            stats.rejectedLocally++;
+            processor.enqueue(now, settings.processingTimes().reject(), Processor::noAction);
             redialOrGiveUp(now, caller, 0, "own processor full");
             return;
         }
         caller.abandonTimer = timers.set(now + timeout, (at, o) -> abandon(at, caller, o));
         processor.enqueue(
                 now,
-                settings.processingTimes().look(),
+                settings.processingTimes().lookUp(),
                 (at, o) -> {
                     if (at < caller.attemptedAt + timeout) {
                         sendInvite(at, caller, timeout - (at - caller.attemptedAt), o);
@@ -581,14 +583,15 @@
      */
     private long attemptTimeout(Caller caller, long now) {
         long share = (long) (settings.callerModel().attemptShare() * caller.service.timerLimit());
-        return Math.min(share, caller.arrival.at() + caller.service.timerLimit() - now);
+        return Math.min(share, caller.arrival.arrivalTime() + caller.service.timerLimit() - now);
     }
 
     private void sendInvite(long now, Caller caller, long timeLeft, Out out) {
         Arrival arrival = caller.arrival;
         stats.sessions++;
         boolean needsNumberAnalysis = !arrival.dialled().isEmpty();
-        String number = needsNumberAnalysis ? arrival.dialled() : Long.toString(arrival.number());
+        String number =
+                needsNumberAnalysis ? arrival.dialled() : Long.toString(arrival.calledNumber());
         SipMessage invite = agent.request("INVITE", SipUri.text(number, settings.routerAddress()));
         boolean redial = settings.callerModel().marksRedials() && caller.attempts > 1;
         CallHeaders headers =
@@ -616,7 +619,7 @@
         if (caller.established) {
             return;
         }
-        stats.gaveUp++;
+        stats.abandoned++;
         if (caller.call != null && caller.call.trying()) {
             agent.cancel(now, caller.call, out);
         } else if (caller.call != null) {
@@ -635,9 +638,9 @@
         establishedCallers.add(caller);
         stats.callEstablished(caller.arrival);
         stats.finalAnswers++;
-        long setUpTime = now - caller.arrival.at();
-        stats.setUp.recordValue(
-                Math.min(now - caller.attemptedAt, stats.setUp.getHighestTrackableValue()));
+        long setUpTime = now - caller.arrival.arrivalTime();
+        stats.postDialDelay.recordValue(
+                Math.min(now - caller.attemptedAt, stats.postDialDelay.getHighestTrackableValue()));
         caller.valueServed =
                 caller.service.value()
                         * (setUpTime <= caller.service.postDialTarget()
@@ -645,10 +648,10 @@
                                 : caller.service.lateValue());
         stats.addServedValue(caller.arrival, caller.valueServed);
         if (caller.valueServed < caller.service.value()) {
-            stats.addLostValue(Stats.LATE, caller.service.value() - caller.valueServed);
+            stats.addLostValue(CallerStats.LATE, caller.service.value() - caller.valueServed);
         }
         timers.set(
-                now + caller.arrival.hold(),
+                now + caller.arrival.holdTime(),
                 (at, o) -> {
                     if (call.stands()) {
                         establishedCallers.remove(caller);
@@ -665,9 +668,9 @@
         if (!caller.established) {
             return;
         }
-        stats.cut++;
+        stats.cutOff++;
         stats.addServedValue(caller.arrival, -caller.valueServed);
-        stats.addLostValue(Stats.CUT_OFF, caller.valueServed);
+        stats.addLostValue(CallerStats.CUT_OFF, caller.valueServed);
         caller.valueServed = 0;
     }
 
@@ -678,7 +681,7 @@
         timers.cancel(caller.abandonTimer);
         caller.call = null;
         if (response == null) {
-            stats.gaveUp++;
+            stats.abandoned++;
             redialOrGiveUp(now, caller, 0, "gave up");
             return;
         }
@@ -703,7 +706,7 @@
      * in the answer, 0 for none.
      */
     private void redialOrGiveUp(long now, Caller caller, long retryAfter, String outcome) {
-        ExchangeSettings.Callers model = settings.callerModel();
+        ExchangeSettings.CallerModel model = settings.callerModel();
         if (caller.attempts > model.maxRedials()) {
             stats.addLostValue(outcome, caller.service.value());
             return;
@@ -714,7 +717,7 @@
                 retryAfter > 0 && random.nextDouble() < model.retryAfterCompliance()
                         ? retryAfter
                         : backoff;
-        if (now + wait < caller.arrival.at() + caller.service.timerLimit()) {
+        if (now + wait < caller.arrival.arrivalTime() + caller.service.timerLimit()) {
             timers.set(now + wait, (at, o) -> dial(at, caller, o));
         } else {
             stats.addLostValue(outcome, caller.service.value());
--- a/src/main/java/coralcove/experiment/RunExecutor.java
+++ b/src/main/java/coralcove/experiment/RunExecutor.java
@@ -56,11 +56,11 @@
         metrics.put("worst_10s", round(worstShare(day, result)));
         metrics.put("offered", round(result.offered()))
                 .put("served", round(result.stats().valueServed));
-        metrics.put("sessions", result.stats().sessions).put("stood", result.stats().stood);
+        metrics.put("sessions", result.stats().sessions).put("stood", result.stats().established);
         metrics.put("busy_replied", result.stats().busyReplied)
-                .put("gave_up", result.stats().gaveUp);
-        metrics.put("set_up_p50_ms", result.stats().setUp.getValueAtPercentile(50) / 1e3);
-        metrics.put("set_up_p99_ms", result.stats().setUp.getValueAtPercentile(99) / 1e3);
+                .put("gave_up", result.stats().abandoned);
+        metrics.put("set_up_p50_ms", result.stats().postDialDelay.getValueAtPercentile(50) / 1e3);
+        metrics.put("set_up_p99_ms", result.stats().postDialDelay.getValueAtPercentile(99) / 1e3);
         double[] offered = new double[day.services().size()];
         for (List<Arrival> arrivals : day.arrivals()) {
             for (Arrival arrival : arrivals) {
@@ -79,7 +79,7 @@
         }
         ObjectNode lost = metrics.putObject("lost");
         double accountedFor = result.stats().valueServed;
-        for (Map.Entry<String, Double> loss : new TreeMap<>(result.stats().lost).entrySet()) {
+        for (Map.Entry<String, Double> loss : new TreeMap<>(result.stats().lostValue).entrySet()) {
             lost.put(loss.getKey(), round(loss.getValue() / result.offered()));
             accountedFor += loss.getValue();
         }
@@ -116,7 +116,7 @@
         double[] offered = new double[seconds + 1];
         for (List<Arrival> arrivals : day.arrivals()) {
             for (Arrival arrival : arrivals) {
-                offered[(int) (arrival.at() / SECOND_MICROS)] +=
+                offered[(int) (arrival.arrivalTime() / SECOND_MICROS)] +=
                         day.services().get(arrival.service()).value();
             }
         }
@@ -149,7 +149,7 @@
         Map<Long, Integer> counts = new TreeMap<>();
         for (int from = 0; from < exchanges; from++) {
             for (Arrival arrival : day.arrivals().get(from)) {
-                long slice = arrival.at() * slices / day.length();
+                long slice = arrival.arrivalTime() * slices / day.length();
                 counts.merge(
                         ((slice * services + arrival.service()) * exchanges + from) * exchanges
                                 + arrival.farEnd(),
--- a/src/main/java/coralcove/numbers/HoursCheck.java
+++ b/src/main/java/coralcove/numbers/CalendarCheck.java
@@ -10,7 +10,7 @@
  * Looks ahead for times at which two calendars of one destination are open at once, or none is open
  * and the destination has no {@code else}.
  */
-public final class HoursCheck {
+public final class CalendarCheck {
     /** A year and a day, so that each holiday and clock change is covered once. */
     private static final long LOOK_AHEAD_US = 367L * 86_400_000_000L;
 
@@ -23,23 +23,24 @@
      */
     private static final int MAX_CHANGES = 20_000;
 
-    private HoursCheck() {}
+    private CalendarCheck() {}
 
     /**
      * The overlaps and gaps in a table's calendars from {@code now} (µs since 1970) on, one line
      * each.
      */
-    public static List<String> of(NumberTable table, long now) {
+    public static List<String> findProblems(NumberTable table, long now) {
         List<String> findings = new ArrayList<>();
-        for (int value = 1; value <= table.destinations(); value++) {
+        for (int value = 1; value <= table.destinationCount(); value++) {
             if (table.destination(value) instanceof Destination.ByHours hours) {
-                findings.addAll(of(table, hours, now));
+                findings.addAll(findProblems(table, hours, now));
             }
         }
         return findings;
     }
 
-    private static List<String> of(NumberTable table, Destination.ByHours hours, long now) {
+    private static List<String> findProblems(
+            NumberTable table, Destination.ByHours hours, long now) {
         Set<String> seen = new TreeSet<>();
         List<String> findings = new ArrayList<>();
         long time = now;
@@ -68,7 +69,7 @@
                                 + ": "
                                 + problem
                                 + " ("
-                                + hours.text()
+                                + hours.toTableText()
                                 + ")");
             }
             if (next == OpeningHours.NEVER) {
--- a/src/main/java/coralcove/numbers/Destination.java
+++ b/src/main/java/coralcove/numbers/Destination.java
@@ -37,7 +37,7 @@
     record CalendarRoute(String calendar, Destination destination) {}
 
     /** This destination in the syntax of a table file. */
-    default String text() {
+    default String toTableText() {
         if (this instanceof FarEnd far) {
             return "to "
                     + far.number
@@ -57,11 +57,11 @@
                     each ->
                             text.append(each.calendar)
                                     .append(' ')
-                                    .append(each.destination.text())
+                                    .append(each.destination.toTableText())
                                     .append("; "));
             return hours.otherwise == null
                     ? text.substring(0, text.length() - 2)
-                    : text + "else " + hours.otherwise.text();
+                    : text + "else " + hours.otherwise.toTableText();
         }
         return this instanceof Blocked ? "blocked" : "unallocated";
     }
--- a/src/main/java/coralcove/numbers/Digits.java
+++ b/src/main/java/coralcove/numbers/Digits.java
@@ -35,7 +35,7 @@
     }
 
     /** The digits of a key as a string; the inverse of {@link #pack}. */
-    public static String text(long key) {
+    public static String unpack(long key) {
         StringBuilder text = new StringBuilder(MAX_LENGTH);
         for (int i = 0; i < MAX_LENGTH && digitAt(key, i) != 0; i++) {
             text.append((char) ('0' + digitAt(key, i) - 1));
--- a/src/main/java/coralcove/numbers/Search.java
+++ b/src/main/java/coralcove/numbers/NumberAnalysis.java
@@ -12,7 +12,7 @@
  * #resume} when the answer has arrived or the wait has timed out. The result is final: a retry is
  * routed to the same far end even if opening hours or tables have changed since.
  */
-public final class Search {
+public final class NumberAnalysis {
     /** What the caller has to do next. */
     public sealed interface Step permits Route, Refused, Wait {}
 
@@ -32,7 +32,7 @@
      * Wait for the portability server's answer about a number, until {@code until} at most; {@code
      * ask} if the caller must send the query now.
      */
-    public record Wait(long until, long number, boolean ask) implements Step {}
+    public record Wait(long deadline, long number, boolean sendQuery) implements Step {}
 
     /**
      * Portability queries per session: a number ported twice occurs in practice, a longer chain is
@@ -64,7 +64,8 @@
     private Step result;
 
     /** {@code deadline} is the time by which the caller must have its final answer, in µs. */
-    public Search(NumberTable table, long session, String dialled, int service, long deadline) {
+    public NumberAnalysis(
+            NumberTable table, long session, String dialled, int service, long deadline) {
         this.table = table;
         this.session = session;
         this.dialled = dialled;
@@ -73,17 +74,17 @@
     }
 
     /** The version of the table in use. */
-    public long version() {
+    public long tableVersion() {
         return table.version();
     }
 
     /** How the result came about, one line per step. */
-    public List<String> steps() {
+    public List<String> explanation() {
         return explanation.stream().map(Supplier::get).toList();
     }
 
     /** Whether there is a final result. */
-    public boolean over() {
+    public boolean isFinished() {
         return result != null;
     }
 
@@ -101,7 +102,7 @@
     }
 
     /** The next step; once there is a route or a refusal, always that one. */
-    public Step next(long now, Porting portability) {
+    public Step next(long now, PortabilityCache portability) {
         if (result != null) {
             return result;
         }
@@ -122,7 +123,7 @@
                                             ? ""
                                             : ", rule " + usedTable.ruleFor(dialled))
                                     + ": number "
-                                    + Digits.text(normalized));
+                                    + Digits.unpack(normalized));
         }
         return queriedNumber != 0
                 ? lookUpPortedNumber(now, portability)
@@ -130,7 +131,7 @@
     }
 
     /** The next step after a wait that has ended with or without an answer. */
-    public Step resume(long now, Porting portability) {
+    public Step resume(long now, PortabilityCache portability) {
         if (result != null || queriedNumber == 0) {
             return next(now, portability);
         }
@@ -138,36 +139,37 @@
     }
 
     /** Ends the analysis, as the session has ended: stops waiting for the portability server. */
-    public void gone(Porting portability) {
+    public void cancel(PortabilityCache portability) {
         if (result == null && queriedNumber != 0) {
             portability.cancelWait(queriedNumber, session);
         }
     }
 
-    private Step lookUpPrefix(long now, Porting portability) {
+    private Step lookUpPrefix(long now, PortabilityCache portability) {
         long match = table.trie().longestPrefix(number);
         if (match == 0) {
-            return reject(404, "Not Found", "no prefix of " + Digits.text(number));
+            return reject(404, "Not Found", "no prefix of " + Digits.unpack(number));
         }
         Destination destination = table.destination((int) match);
         long prefix = Digits.prefix(number, (int) (match >>> 32));
         explanation.add(
                 () ->
                         "prefix "
-                                + (prefix == 0 ? "*" : Digits.text(prefix))
+                                + (prefix == 0 ? "*" : Digits.unpack(prefix))
                                 + ": "
-                                + destination.text());
+                                + destination.toTableText());
         return follow(now, portability, destination, OpeningHours.NEVER);
     }
 
-    private Step follow(long now, Porting portability, Destination destination, long until) {
+    private Step follow(
+            long now, PortabilityCache portability, Destination destination, long until) {
         if (destination instanceof Destination.FarEnd far) {
             if (!far.services().isEmpty() && !far.services().contains(service)) {
                 return reject(
                         403, "Forbidden", "service " + service + " is not carried to this far end");
             }
             explanation.add(() -> "far end " + far.number());
-            result = new Route(far.number(), Digits.text(number), until);
+            result = new Route(far.number(), Digits.unpack(number), until);
             return result;
         }
         if (destination instanceof Destination.Changed changed) {
@@ -196,7 +198,7 @@
         return reject(404, "Not Found", "unallocated");
     }
 
-    private Step byHours(long now, Porting portability, Destination.ByHours hours) {
+    private Step byHours(long now, PortabilityCache portability, Destination.ByHours hours) {
         long until = OpeningHours.NEVER;
         for (Destination.CalendarRoute route : hours.routes()) {
             OpeningHours calendar = table.calendars().get(route.calendar());
@@ -213,19 +215,19 @@
         return follow(now, portability, hours.otherwise(), until);
     }
 
-    private Step lookUpPortedNumber(long now, Porting portability) {
+    private Step lookUpPortedNumber(long now, PortabilityCache portability) {
         return apply(
                 now, portability, portability.lookUp(now, queriedNumber, session, deadline - now));
     }
 
-    private Step apply(long now, Porting portability, Porting.Decision decision) {
-        if (decision instanceof Porting.Wait wait) {
+    private Step apply(long now, PortabilityCache portability, PortabilityCache.Decision decision) {
+        if (decision instanceof PortabilityCache.Wait wait) {
             return new Wait(wait.deadline(), queriedNumber, wait.sendQuery());
         }
-        if (decision instanceof Porting.UseDonor useDonor) {
+        if (decision instanceof PortabilityCache.UseDonor useDonor) {
             return routeToDonor(useDonor.reason());
         }
-        Porting.Proceed proceed = (Porting.Proceed) decision;
+        PortabilityCache.Proceed proceed = (PortabilityCache.Proceed) decision;
         queriedNumber = 0;
         if (proceed.routingNumber() == 0) {
             return routeToDonor("not ported");
@@ -234,7 +236,7 @@
         explanation.add(
                 () ->
                         "ported: routing number "
-                                + Digits.text(proceed.routingNumber())
+                                + Digits.unpack(proceed.routingNumber())
                                 + (proceed.stale() ? ", from an expired answer" : ""));
         return lookUpPrefix(now, portability);
     }
@@ -243,7 +245,7 @@
         queriedNumber = 0;
         int donor = lastDonor;
         explanation.add(() -> reason + ": donor, far end " + donor);
-        result = new Route(lastDonor, Digits.text(number), OpeningHours.NEVER);
+        result = new Route(lastDonor, Digits.unpack(number), OpeningHours.NEVER);
         return result;
     }
 
--- a/src/main/java/coralcove/numbers/NumberTable.java
+++ b/src/main/java/coralcove/numbers/NumberTable.java
@@ -7,7 +7,7 @@
 /**
  * One immutable version of the number table: dialling rules normalize what was dialled, the trie
  * finds the longest matching prefix, and calendars say when something is open. Tables made by
- * {@link #edited} share what did not change.
+ * {@link #withChanges} share what did not change.
  */
 public final class NumberTable {
     /**
@@ -37,7 +37,7 @@
     }
 
     /** A change of one prefix: its new destination, or null if the prefix is removed. */
-    public record Change(long prefix, Destination destination) {}
+    public record PrefixChange(long prefix, Destination destination) {}
 
     /** Characters in a dialled string that are ignored (RFC 3966 section 5.1.1). */
     private static final String VISUAL_SEPARATORS = "-.() ";
@@ -91,7 +91,7 @@
     }
 
     /** The number of distinct destinations; their values run from 1 to this. */
-    public int destinations() {
+    public int destinationCount() {
         return destinationsEnd - 1;
     }
 
@@ -147,7 +147,7 @@
      * The next version: this table with these changes. Removing a prefix that does not exist is not
      * an error.
      */
-    public NumberTable edited(long newVersion, List<Change> changes) {
+    public NumberTable withChanges(long newVersion, List<PrefixChange> changes) {
         if (newVersion <= version) {
             throw new IllegalArgumentException(
                     "version " + newVersion + " is not after " + version);
@@ -158,7 +158,7 @@
         Destination[] newDestinations =
                 Arrays.copyOf(destinationsByValue, destinationsEnd + changes.size());
         int used = destinationsEnd;
-        for (Change change : changes) {
+        for (PrefixChange change : changes) {
             if (change.destination == null) {
                 newTrie = newTrie.without(change.prefix);
             } else {
--- a/src/main/java/coralcove/numbers/Porting.java
+++ b/src/main/java/coralcove/numbers/PortabilityCache.java
@@ -15,7 +15,7 @@
  * server fails or is slow, so that no session misses its final answer because of it. Uses no clock,
  * I/O or random numbers.
  */
-public final class Porting {
+public final class PortabilityCache {
     /**
      * Limits; times in µs. {@code budget} is the longest wait of a session, and {@code waitShare}
      * the share of its caller's remaining time that a wait may take. {@code maxStaleness} is how
@@ -24,12 +24,12 @@
      * queries.
      */
     public record Settings(
-            long budget,
+            long waitBudget,
             double waitShare,
             long maxStaleness,
             int maxPorted,
             int maxNotPorted,
-            int asked) {}
+            int maxOutstandingQueries) {}
 
     /** What a session does next. */
     public sealed interface Decision permits Proceed, Wait, UseDonor {}
@@ -47,7 +47,7 @@
     public record UseDonor(String reason) implements Decision {}
 
     /** The result of a query: the number is ported, is not ported, or the query failed. */
-    public enum Outcome {
+    public enum QueryOutcome {
         MOVED,
         NOT_MOVED,
         FAILED
@@ -121,7 +121,7 @@
     private long staleAnswers;
     private long donorFallbacks;
 
-    public Porting(Settings settings) {
+    public PortabilityCache(Settings settings) {
         this.settings = settings;
         ported = lruMap(settings.maxPorted);
         notPorted = lruMap(settings.maxNotPorted);
@@ -151,7 +151,8 @@
         }
         boolean stale = cached != null && now < cached.expiresAt + settings.maxStaleness;
         Query query = outstandingQueries.get(number);
-        if (query == null && (isPaused(now) || outstandingQueries.size() >= settings.asked)) {
+        if (query == null
+                && (isPaused(now) || outstandingQueries.size() >= settings.maxOutstandingQueries)) {
             return decideWithoutQuery(
                     cached,
                     stale,
@@ -159,11 +160,13 @@
         }
         long wait =
                 Math.min(
-                        stale ? STALE_REFRESH_WAIT_US : settings.budget,
+                        stale ? STALE_REFRESH_WAIT_US : settings.waitBudget,
                         (long) (timeLeft * settings.waitShare));
         // Sessions share one query: a later session waits no longer than the first one may.
         long deadline =
-                query == null ? now + wait : Math.min(now + wait, query.sentAt + settings.budget);
+                query == null
+                        ? now + wait
+                        : Math.min(now + wait, query.sentAt + settings.waitBudget);
         if (deadline - now < MIN_WAIT_US) {
             return decideWithoutQuery(cached, stale, "not enough time left");
         }
@@ -210,31 +213,32 @@
      *
      * @return the sessions that waited for it and can continue, in the order of their arrival
      */
-    public List<Long> ended(
-            long now, long number, Outcome outcome, long routingNumber, long timeToLive) {
+    public List<Long> queryEnded(
+            long now, long number, QueryOutcome outcome, long routingNumber, long timeToLive) {
         Query query = outstandingQueries.remove(number);
-        if (outcome != Outcome.FAILED) {
+        if (outcome != QueryOutcome.FAILED) {
             long lifetime =
                     Math.max(
                             MIN_LIFETIME_US,
                             Math.min(
-                                    outcome == Outcome.MOVED
+                                    outcome == QueryOutcome.MOVED
                                             ? MAX_LIFETIME_US
                                             : MAX_NEGATIVE_LIFETIME_US,
                                     timeToLive));
             ported.remove(number);
             notPorted.remove(number);
-            (outcome == Outcome.MOVED ? ported : notPorted)
+            (outcome == QueryOutcome.MOVED ? ported : notPorted)
                     .put(
                             number,
                             new CachedAnswer(
-                                    outcome == Outcome.MOVED ? routingNumber : 0, now + lifetime));
+                                    outcome == QueryOutcome.MOVED ? routingNumber : 0,
+                                    now + lifetime));
         }
         if (query == null) {
             return List.of();
         }
         trialOutstanding &= !query.trial;
-        boolean healthy = outcome != Outcome.FAILED && now - query.sentAt <= SLOW_ANSWER_US;
+        boolean healthy = outcome != QueryOutcome.FAILED && now - query.sentAt <= SLOW_ANSWER_US;
         if (healthy) {
             consecutiveFailures = 0;
             pause = INITIAL_PAUSE_US;
@@ -273,7 +277,7 @@
      * Removes answers that are too old to be used. Takes time linear in the size of the cache, so
      * it is to be called only occasionally.
      */
-    public void sweep(long now) {
+    public void evictExpired(long now) {
         for (Map<Long, CachedAnswer> cache : List.of(ported, notPorted)) {
             for (Iterator<CachedAnswer> answers = cache.values().iterator(); answers.hasNext(); ) {
                 if (answers.next().expiresAt + settings.maxStaleness < now) {
@@ -297,7 +301,7 @@
      * Counts of sessions served by a valid cached answer, queries sent, sessions served by an
      * expired answer, and sessions routed to the donor.
      */
-    public long[] counts() {
+    public long[] counters() {
         return new long[] {cacheHits, queriesSent, staleAnswers, donorFallbacks};
     }
 }
--- a/src/main/java/coralcove/numbers/PrefixTrie.java
+++ b/src/main/java/coralcove/numbers/PrefixTrie.java
@@ -86,11 +86,11 @@
         for (int i = 0; i < count; i++) {
             if (i > 0 && keys[i] <= keys[i - 1]) {
                 throw new IllegalArgumentException(
-                        "prefix " + Digits.text(keys[i]) + " is out of order or there twice");
+                        "prefix " + Digits.unpack(keys[i]) + " is out of order or there twice");
             }
             if (values[i] < 1) {
                 throw new IllegalArgumentException(
-                        "prefix " + Digits.text(keys[i]) + " has value " + values[i]);
+                        "prefix " + Digits.unpack(keys[i]) + " has value " + values[i]);
             }
         }
         Builder builder = new Builder(keys, values, count);
@@ -112,7 +112,7 @@
     }
 
     /** Memory of the node array in bytes, including the room for edits. */
-    public long bytes() {
+    public long memoryBytes() {
         return 4L * cells.length;
     }
 
@@ -128,7 +128,7 @@
         long[] keys = new long[size];
         int[] values = new int[size];
         int[] count = {0};
-        each(
+        forEach(
                 (key, value) -> {
                     keys[count[0]] = key;
                     values[count[0]++] = value;
@@ -137,7 +137,7 @@
     }
 
     /** The value of the longest prefix of {@code number}, 0 if no prefix matches. */
-    public int find(long number) {
+    public int longestPrefixValue(long number) {
         return (int) longestPrefix(number);
     }
 
@@ -188,11 +188,11 @@
     }
 
     /** Calls the visitor with all prefixes in ascending order. */
-    public void each(Visitor visitor) {
-        each(root, 0, 0, visitor);
+    public void forEach(Visitor visitor) {
+        forEach(root, 0, 0, visitor);
     }
 
-    private void each(int node, long key, int at, Visitor visitor) {
+    private void forEach(int node, long key, int at, Visitor visitor) {
         int meta = cells[node + 1];
         int skip = meta >>> SKIP_SHIFT;
         long prefix =
@@ -206,7 +206,7 @@
         int child = cells[node];
         for (int digit = 1; digit <= 10; digit++) {
             if ((meta & 1 << digit) != 0) {
-                each(
+                forEach(
                         child,
                         prefix | (long) digit << 4 * (Digits.MAX_LENGTH - depth - 1),
                         depth + 1,
--- a/src/main/java/coralcove/numbers/Tables.java
+++ b/src/main/java/coralcove/numbers/TableVersions.java
@@ -12,7 +12,7 @@
  * discarded. Its sessions that have no far end yet start again with the table in service, while
  * those that have one keep it. Not thread-safe.
  */
-public final class Tables {
+public final class TableVersions {
     /** A table and how many sessions use it. */
     private static final class RetainedTable {
         final NumberTable table;
@@ -28,7 +28,7 @@
     private RetainedTable current;
 
     /** Retains at most {@code maxTables} tables, including the one in service. */
-    public Tables(int maxTables, NumberTable first) {
+    public TableVersions(int maxTables, NumberTable first) {
         if (maxTables < 1) {
             throw new IllegalArgumentException("the maximum number of tables must be at least 1");
         }
@@ -43,7 +43,7 @@
     }
 
     /** The number of tables retained, including the one in service. */
-    public int count() {
+    public int retainedCount() {
         return retained.size();
     }
 
@@ -53,7 +53,7 @@
     }
 
     /** Registers a new session as a user of the table in service, which is returned. */
-    public NumberTable enter() {
+    public NumberTable acquire() {
         current.sessionCount++;
         return current.table;
     }
@@ -61,7 +61,7 @@
     /**
      * Ends a session's use of the table with this version; an old table without users is discarded.
      */
-    public void leave(long version) {
+    public void release(long version) {
         RetainedTable entry = retained.get(version);
         if (entry != null && --entry.sessionCount == 0 && entry != current) {
             retained.remove(version);
--- a/src/main/java/coralcove/numbers/file/TableWatch.java
+++ b/src/main/java/coralcove/numbers/file/TableFileWatcher.java
@@ -13,7 +13,7 @@
  * of them has been rewritten. To be polled on a thread that serves no sessions. A file that is not
  * valid is reported, and the previous table stays.
  */
-public final class TableWatch {
+public final class TableFileWatcher {
     private final Path tableFile;
     private final Path changesFile;
     private final IntPredicate knownFarEnds;
@@ -26,7 +26,7 @@
      * {@code changesFile} may be null; {@code problemListener} receives a message for each file
      * that is refused.
      */
-    public TableWatch(
+    public TableFileWatcher(
             Path tableFile,
             Path changesFile,
             IntPredicate knownFarEnds,
@@ -38,21 +38,21 @@
     }
 
     /** Reads the first table, which must be valid. */
-    public NumberTable first() throws IOException, TableReader.Bad {
+    public NumberTable readInitial() throws IOException, TableReader.InvalidTableException {
         tableModifiedAt = modificationTime(tableFile);
         changesModifiedAt = modificationTime(changesFile);
-        newest = TableReader.table(tableFile, knownFarEnds);
+        newest = TableReader.readTable(tableFile, knownFarEnds);
         return newest;
     }
 
     /** A newer table if a file has changed and is valid, null otherwise. */
-    public NumberTable next() {
+    public NumberTable poll() {
         NumberTable previous = newest;
         try {
             FileTime tableTime = modificationTime(tableFile);
             if (tableTime != null && !tableTime.equals(tableModifiedAt)) {
                 tableModifiedAt = tableTime;
-                NumberTable read = TableReader.table(tableFile, knownFarEnds);
+                NumberTable read = TableReader.readTable(tableFile, knownFarEnds);
                 if (read.version() <= newest.version()) {
                     problemListener.accept(
                             tableFile
@@ -67,19 +67,20 @@
             FileTime changesTime = modificationTime(changesFile);
             if (changesTime != null && !changesTime.equals(changesModifiedAt)) {
                 changesModifiedAt = changesTime;
-                TableReader.Changes read = TableReader.changes(changesFile, newest, knownFarEnds);
-                if (read.after() != newest.version()) {
+                TableReader.TableChanges read =
+                        TableReader.readChanges(changesFile, newest, knownFarEnds);
+                if (read.baseVersion() != newest.version()) {
                     problemListener.accept(
                             changesFile
                                     + ": made for version "
-                                    + read.after()
+                                    + read.baseVersion()
                                     + ", in service is "
                                     + newest.version());
                 } else {
-                    newest = newest.edited(read.version(), read.list());
+                    newest = newest.withChanges(read.version(), read.changes());
                 }
             }
-        } catch (IOException | TableReader.Bad e) {
+        } catch (IOException | TableReader.InvalidTableException e) {
             problemListener.accept(e.getMessage());
         }
         return newest == previous ? null : newest;
--- a/src/main/java/coralcove/numbers/file/TableReader.java
+++ b/src/main/java/coralcove/numbers/file/TableReader.java
@@ -29,16 +29,17 @@
  */
 public final class TableReader {
     /** Thrown for a file that is not valid; the message begins with file and line. */
-    public static final class Bad extends Exception {
+    public static final class InvalidTableException extends Exception {
         private static final long serialVersionUID = 1;
 
-        Bad(String file, int line, String reason) {
+        InvalidTableException(String file, int line, String reason) {
             super(file + ":" + line + ": " + reason);
         }
     }
 
     /** The changes of one file, which turn version {@code after} into version {@code version}. */
-    public record Changes(long after, long version, List<NumberTable.Change> list) {}
+    public record TableChanges(
+            long baseVersion, long version, List<NumberTable.PrefixChange> changes) {}
 
     /** Characters per line. */
     private static final int MAX_LINE_LENGTH = 1000;
@@ -70,38 +71,40 @@
     }
 
     /** Reads a complete table; {@code knownFarEnds} accepts the far ends that may be used. */
-    public static NumberTable table(Path path, IntPredicate knownFarEnds) throws IOException, Bad {
+    public static NumberTable readTable(Path path, IntPredicate knownFarEnds)
+            throws IOException, InvalidTableException {
         try (BufferedReader in = Files.newBufferedReader(path)) {
-            return table(path.getFileName().toString(), in, knownFarEnds);
+            return readTable(path.getFileName().toString(), in, knownFarEnds);
         }
     }
 
-    /** As {@link #table(Path, IntPredicate)}, with a file name for error messages. */
-    public static NumberTable table(String file, BufferedReader in, IntPredicate knownFarEnds)
-            throws IOException, Bad {
-        return new TableReader(file, knownFarEnds).table(in);
+    /** As {@link #readTable(Path, IntPredicate)}, with a file name for error messages. */
+    public static NumberTable readTable(String file, BufferedReader in, IntPredicate knownFarEnds)
+            throws IOException, InvalidTableException {
+        return new TableReader(file, knownFarEnds).readTable(in);
     }
 
     /** Reads changes to {@code base}, whose calendars they may use. */
-    public static Changes changes(Path path, NumberTable base, IntPredicate knownFarEnds)
-            throws IOException, Bad {
+    public static TableChanges readChanges(Path path, NumberTable base, IntPredicate knownFarEnds)
+            throws IOException, InvalidTableException {
         try (BufferedReader in = Files.newBufferedReader(path)) {
-            return changes(path.getFileName().toString(), in, base, knownFarEnds);
+            return readChanges(path.getFileName().toString(), in, base, knownFarEnds);
         }
     }
 
     /**
-     * As {@link #changes(Path, NumberTable, IntPredicate)}, with a file name for error messages.
+     * As {@link #readChanges(Path, NumberTable, IntPredicate)}, with a file name for error
+     * messages.
      */
-    public static Changes changes(
+    public static TableChanges readChanges(
             String file, BufferedReader in, NumberTable base, IntPredicate knownFarEnds)
-            throws IOException, Bad {
+            throws IOException, InvalidTableException {
         TableReader reader = new TableReader(file, knownFarEnds);
         reader.calendars.putAll(base.calendars());
-        return reader.changes(in);
+        return reader.readChanges(in);
     }
 
-    private NumberTable table(BufferedReader in) throws IOException, Bad {
+    private NumberTable readTable(BufferedReader in) throws IOException, InvalidTableException {
         String[] header = words(nextStatement(in));
         if (header.length != 2 || !header[0].equals("table")) {
             throw invalid("begins with 'table VERSION'");
@@ -155,7 +158,7 @@
     }
 
     private void parseDeclaration(String[] words, String text, List<NumberTable.DialingRule> rules)
-            throws Bad {
+            throws InvalidTableException {
         switch (words[0]) {
             case "holidays" -> {
                 for (String day : Arrays.asList(words).subList(1, words.length)) {
@@ -172,7 +175,7 @@
         }
     }
 
-    private void parseCalendar(String[] words, String text) throws Bad {
+    private void parseCalendar(String[] words, String text) throws InvalidTableException {
         if (words.length < 4) {
             throw invalid("a calendar is 'calendar NAME ZONE HOURS'");
         }
@@ -198,7 +201,7 @@
     }
 
     /** Parses "rule 010 -> +" or "rule 5-8 digits -> +8111". */
-    private NumberTable.DialingRule parseRule(String[] words) throws Bad {
+    private NumberTable.DialingRule parseRule(String[] words) throws InvalidTableException {
         int arrow = Arrays.asList(words).indexOf("->");
         String replacement = arrow == words.length - 2 ? words[arrow + 1] : "";
         if (!replacement.matches("\\+?\\d{0,15}")
@@ -222,14 +225,14 @@
                 replacement);
     }
 
-    private Changes changes(BufferedReader in) throws IOException, Bad {
+    private TableChanges readChanges(BufferedReader in) throws IOException, InvalidTableException {
         String[] header = words(nextStatement(in));
         if (header.length != 4 || !header[0].equals("changes") || !header[2].equals("after")) {
             throw invalid("begins with 'changes VERSION after VERSION'");
         }
         long version = parseInteger(header[1], 1, Long.MAX_VALUE);
         long baseVersion = parseInteger(header[3], 1, version - 1);
-        List<NumberTable.Change> changes = new ArrayList<>();
+        List<NumberTable.PrefixChange> changes = new ArrayList<>();
         Set<Long> seen = new HashSet<>();
         while (true) {
             String text = nextStatement(in);
@@ -244,7 +247,7 @@
                                     + changes.size());
                 }
                 requireEndOfFile(in);
-                return new Changes(baseVersion, version, changes);
+                return new TableChanges(baseVersion, version, changes);
             }
             if (words.length < 2 || !words[0].equals("put") && !words[0].equals("drop")) {
                 throw invalid("'" + words[0] + "' is no statement");
@@ -260,7 +263,7 @@
                 throw invalid("drop takes nothing behind the prefix");
             }
             changes.add(
-                    new NumberTable.Change(
+                    new NumberTable.PrefixChange(
                             key, words[0].equals("drop") ? null : parseDestination(rest, true)));
         }
     }
@@ -268,7 +271,7 @@
     // Lines and words.
 
     /** The next line that is not blank, without its comment. */
-    private String nextStatement(BufferedReader in) throws IOException, Bad {
+    private String nextStatement(BufferedReader in) throws IOException, InvalidTableException {
         while (true) {
             String text = in.readLine();
             lineNumber++;
@@ -286,7 +289,7 @@
         }
     }
 
-    private void requireEndOfFile(BufferedReader in) throws IOException, Bad {
+    private void requireEndOfFile(BufferedReader in) throws IOException, InvalidTableException {
         for (String text = in.readLine(); text != null; text = in.readLine()) {
             lineNumber++;
             if (!text.isBlank()) {
@@ -299,11 +302,11 @@
         return text.split("\\s+");
     }
 
-    private Bad invalid(String reason) {
-        return new Bad(file, lineNumber, reason);
+    private InvalidTableException invalid(String reason) {
+        return new InvalidTableException(file, lineNumber, reason);
     }
 
-    private long parseInteger(String text, long min, long max) throws Bad {
+    private long parseInteger(String text, long min, long max) throws InvalidTableException {
         try {
             long value = Long.parseLong(text);
             if (value >= min && value <= max) {
@@ -315,7 +318,7 @@
         throw invalid(text + " is no whole number from " + min + " to " + max);
     }
 
-    private long parsePrefix(String text) throws Bad {
+    private long parsePrefix(String text) throws InvalidTableException {
         try {
             return text.equals("*") ? 0 : Digits.pack(text);
         } catch (IllegalArgumentException e) {
@@ -326,7 +329,7 @@
     // Destinations.
 
     /** The trie value of the destination with this text. */
-    private int destinationValue(String text) throws Bad {
+    private int destinationValue(String text) throws InvalidTableException {
         Destination destination = destinationsByText.get(text);
         if (destination == null) {
             destination = parseDestination(text, true);
@@ -350,7 +353,8 @@
         return array;
     }
 
-    private Destination parseDestination(String text, boolean hoursAllowed) throws Bad {
+    private Destination parseDestination(String text, boolean hoursAllowed)
+            throws InvalidTableException {
         String[] words = words(text);
         switch (words[0]) {
             case "to" -> {
@@ -394,7 +398,7 @@
     }
 
     /** Parses "office to 7; night to 9; else unallocated". */
-    private Destination parseByHours(String text) throws Bad {
+    private Destination parseByHours(String text) throws InvalidTableException {
         List<Destination.CalendarRoute> routes = new ArrayList<>();
         Destination otherwise = null;
         for (String part : text.split(";")) {
@@ -414,7 +418,7 @@
         return new Destination.ByHours(List.copyOf(routes), otherwise);
     }
 
-    private int parseFarEnd(String text) throws Bad {
+    private int parseFarEnd(String text) throws InvalidTableException {
         int number = (int) parseInteger(text, 0, MAX_FAR_END);
         if (!knownFarEnds.test(number)) {
             throw invalid("far end " + number + " is not in the directory");
@@ -425,7 +429,8 @@
     // Sorting.
 
     /** Builds the trie from prefixes in any order; most files are sorted already. */
-    private PrefixTrie buildTrie(long[] keys, int[] values, int[] lines, int count) throws Bad {
+    private PrefixTrie buildTrie(long[] keys, int[] values, int[] lines, int count)
+            throws InvalidTableException {
         boolean sorted = true;
         for (int i = 1; sorted && i < count; i++) {
             sorted = keys[i] > keys[i - 1];
@@ -445,7 +450,7 @@
                 lineNumber = Math.max(lines[order[i]], lines[order[i - 1]]);
                 throw invalid(
                         "prefix "
-                                + (sortedKeys[i] == 0 ? "*" : Digits.text(sortedKeys[i]))
+                                + (sortedKeys[i] == 0 ? "*" : Digits.unpack(sortedKeys[i]))
                                 + " is there twice, first in line "
                                 + Math.min(lines[order[i]], lines[order[i - 1]]));
             }
--- a/src/main/java/coralcove/portability/PortabilityService.java
+++ b/src/main/java/coralcove/portability/PortabilityService.java
@@ -13,7 +13,7 @@
 import coralcove.network.Network;
 import coralcove.network.VirtualDnsClient;
 import coralcove.numbers.Digits;
-import coralcove.numbers.Porting;
+import coralcove.numbers.PortabilityCache;
 import java.io.IOException;
 import java.security.SecureRandom;
 import java.util.ArrayList;
@@ -61,24 +61,24 @@
             Supplier<EdgeCore> core,
             long number,
             Resolver.Result result) {
-        Porting.Outcome outcome = Porting.Outcome.FAILED;
+        PortabilityCache.QueryOutcome outcome = PortabilityCache.QueryOutcome.FAILED;
         long routing = 0;
         long lifetime = 0;
         if (result.response() != null) {
             try {
                 EnumRecords.Ported ported =
-                        EnumRecords.readPortability(result.response(), Digits.text(number));
+                        EnumRecords.readPortability(result.response(), Digits.unpack(number));
                 outcome =
                         ported.routing().isEmpty()
-                                ? Porting.Outcome.NOT_MOVED
-                                : Porting.Outcome.MOVED;
+                                ? PortabilityCache.QueryOutcome.NOT_MOVED
+                                : PortabilityCache.QueryOutcome.MOVED;
                 routing = Digits.pack(ported.routing());
                 lifetime = ported.life() * 1_000_000;
             } catch (MalformedDnsException e) {
-                outcome = Porting.Outcome.FAILED;
+                outcome = PortabilityCache.QueryOutcome.FAILED;
             }
         }
-        Porting.Outcome finalOutcome = outcome;
+        PortabilityCache.QueryOutcome finalOutcome = outcome;
         long finalRouting = routing;
         long finalLifetime = lifetime;
         network.runOnNode(
@@ -103,7 +103,7 @@
             Supplier<EdgeCore> core) {
         return (now, number) ->
                 client.query(
-                        EnumRecords.domainName(Digits.text(number), suffix),
+                        EnumRecords.domainName(Digits.unpack(number), suffix),
                         DnsMessage.NAPTR,
                         result -> report(network, node, core, number, result));
     }
--- a/src/main/java/coralcove/rehearsal/BenchDay.java
+++ b/src/main/java/coralcove/rehearsal/BenchDay.java
@@ -147,15 +147,15 @@
         JsonNode discovery = root.path("discovery");
         JsonNode allowed = root.path("allow");
         boolean marksRedials = clients.path("marks_retry").asBoolean();
-        ExchangeSettings.Callers callerModel =
-                new ExchangeSettings.Callers(
+        ExchangeSettings.CallerModel callerModel =
+                new ExchangeSettings.CallerModel(
                         clients.path("retries").asInt(),
                         clients.path("try_share").asDouble(),
                         Math.max(1, clients.path("backoff_us").asLong()),
                         clients.path("honour").asDouble(),
                         marksRedials);
         JsonNode tier = root.path("tiers").path(0);
-        ExchangeSettings.Work times = processingTimes(tier);
+        ExchangeSettings.ProcessingTimes times = processingTimes(tier);
         Rules rules =
                 new Rules(
                         20_000,
@@ -229,9 +229,9 @@
      * Returns processing times in µs. The bench states them in multiples of a set-up, whose time is
      * that of the first class at speed 1.
      */
-    private ExchangeSettings.Work processingTimes(JsonNode tier) {
+    private ExchangeSettings.ProcessingTimes processingTimes(JsonNode tier) {
         double setUp = root.path("classes").path(0).path("work").asDouble();
-        return new ExchangeSettings.Work(
+        return new ExchangeSettings.ProcessingTimes(
                 (long) (setUp * family.path("look").asDouble()),
                 (long) setUp,
                 (long) (setUp * family.path("follow").asDouble()),
--- a/src/main/java/coralcove/rehearsal/Day.java
+++ b/src/main/java/coralcove/rehearsal/Day.java
@@ -5,7 +5,7 @@
 import coralcove.exchange.ExchangeSettings;
 import coralcove.judge.Rules;
 import coralcove.network.VirtualNetwork.NetworkConditions;
-import coralcove.numbers.Porting;
+import coralcove.numbers.PortabilityCache;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -23,9 +23,9 @@
         int[][] groups,
         List<List<Arrival>> arrivals,
         List<Service> services,
-        ExchangeSettings.Work processingTimes,
+        ExchangeSettings.ProcessingTimes processingTimes,
         double[] speeds,
-        ExchangeSettings.Callers callerModel,
+        ExchangeSettings.CallerModel callerModel,
         int hotNumberLines,
         DirectoryDelays directoryDelays,
         Rules rules,
@@ -70,7 +70,7 @@
             long serverDelay,
             long recordTtl,
             int maxTables,
-            Porting.Settings porting) {}
+            PortabilityCache.Settings porting) {}
 
     /**
      * Planners that run in separate processes; null for none. With {@code planAhead} they plan for
--- a/src/main/java/coralcove/rehearsal/DayFile.java
+++ b/src/main/java/coralcove/rehearsal/DayFile.java
@@ -121,11 +121,12 @@
         double[] speeds = new double[exchangeCount];
         Arrays.fill(speeds, 1);
         int hotNumberLines = traffic.integer("hot_lines", 1, 1000, 8);
-        ExchangeSettings.Work times = readProcessingTimes(toml.table("processor"), exchangeRate);
+        ExchangeSettings.ProcessingTimes times =
+                readProcessingTimes(toml.table("processor"), exchangeRate);
         Day.RouterLimits routerLimits = readRouterLimits(toml.table("router"));
         TomlSettings.Table callers = toml.table("callers");
-        ExchangeSettings.Callers callerModel =
-                new ExchangeSettings.Callers(
+        ExchangeSettings.CallerModel callerModel =
+                new ExchangeSettings.CallerModel(
                         callers.integer("redials", 0, 10, 2),
                         callers.number("try_share", 0.01, 1, 0.35),
                         callers.microsFromMillis("backoff_ms", 1, 60_000, 700),
@@ -185,11 +186,11 @@
                                                     .map(
                                                             a ->
                                                                     new Arrival(
-                                                                            a.at(),
+                                                                            a.arrivalTime(),
                                                                             a.service(),
                                                                             a.farEnd(),
-                                                                            a.number(),
-                                                                            a.hold(),
+                                                                            a.calledNumber(),
+                                                                            a.holdTime(),
                                                                             dialPlan.drawNumber(
                                                                                     a.farEnd(),
                                                                                     random)))
@@ -359,13 +360,13 @@
      * Returns processing times in µs, from the processor utilization at load 1 with all sessions on
      * direct routes.
      */
-    private static ExchangeSettings.Work readProcessingTimes(
+    private static ExchangeSettings.ProcessingTimes readProcessingTimes(
             TomlSettings.Table table, double exchangeRate) throws BadConfig {
         double utilization = table.number("use", 0.001, 0.99, 0.7);
         double lookUp = table.number("look", 0, 5, 0.2);
         double followUp = table.number("follow", 0, 5, 0.35);
         double setUp = 1e6 * utilization / (exchangeRate * (lookUp + 2 + 4 * followUp));
-        return new ExchangeSettings.Work(
+        return new ExchangeSettings.ProcessingTimes(
                 (long) (lookUp * setUp),
                 (long) setUp,
                 (long) (followUp * setUp),
@@ -378,7 +379,7 @@
                 table.microsFromMillis("resend_ms", 0, 60_000, 0));
     }
 
-    private static Rules readRules(TomlSettings.Table table, ExchangeSettings.Work times)
+    private static Rules readRules(TomlSettings.Table table, ExchangeSettings.ProcessingTimes times)
             throws BadConfig {
         return new Rules(
                 table.microsFromMillis("answer_grace_ms", 0, 10_000, 20),
--- a/src/main/java/coralcove/rehearsal/Rehearse.java
+++ b/src/main/java/coralcove/rehearsal/Rehearse.java
@@ -1,7 +1,7 @@
 package coralcove.rehearsal;
 
 import coralcove.dns.SimulatedDnsServer;
-import coralcove.exchange.Stats;
+import coralcove.exchange.CallerStats;
 import coralcove.judge.Judge;
 import coralcove.judge.Witness;
 import coralcove.network.LiveNetwork;
@@ -137,7 +137,7 @@
                             FIRST_PORT,
                             judged ? judge : NO_WITNESS,
                             portability);
-            Stats stats = run.run();
+            CallerStats stats = run.run();
             judge.end(network.now());
             return buildResult(
                     scenario,
@@ -162,7 +162,7 @@
             throws IOException {
         Judge judge = new Judge(scenario.rules());
         AddedDelayMeter meter = new AddedDelayMeter();
-        Stats stats;
+        CallerStats stats;
         long[] portabilityCounts;
         Histogram planAges;
         try (CaptureWriter file = CaptureWriter.open(capture)) {
@@ -229,7 +229,7 @@
             long seed,
             String policy,
             boolean virtual,
-            Stats stats,
+            CallerStats stats,
             AddedDelayMeter meter,
             Judge judge,
             long[] portabilityCounts,
--- a/src/main/java/coralcove/rehearsal/Result.java
+++ b/src/main/java/coralcove/rehearsal/Result.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import coralcove.exchange.Stats;
+import coralcove.exchange.CallerStats;
 import coralcove.judge.Verdict;
 import java.util.Map;
 import org.HdrHistogram.Histogram;
@@ -23,7 +23,7 @@
         boolean virtual,
         double durationSeconds,
         double offered,
-        Stats stats,
+        CallerStats stats,
         Histogram added,
         long cpuTime,
         Map<String, Verdict> rules,
@@ -47,19 +47,19 @@
         summary.put("day", day).put("policy", policy).put("seed", seed).put("virtual", virtual);
         summary.put("sessions", stats.sessions)
                 .put("final_answers", stats.finalAnswers)
-                .put("stood", stats.stood);
+                .put("stood", stats.established);
         summary.put("busy_replied", stats.busyReplied).put("terminated", stats.terminated);
-        summary.put("gave_up", stats.gaveUp)
-                .put("turned_away", stats.turnedAway)
-                .put("cut", stats.cut);
+        summary.put("gave_up", stats.abandoned)
+                .put("turned_away", stats.rejectedLocally)
+                .put("cut", stats.cutOff);
         summary.put("value_offered", round(offered)).put("value_served", round(stats.valueServed));
         summary.put("sessions_per_second", round(stats.sessions / durationSeconds));
         summary.put("added_p50_us", added.getValueAtPercentile(50))
                 .put("added_p99_us", added.getValueAtPercentile(99));
         summary.put("added_p999_us", added.getValueAtPercentile(99.9));
-        summary.put("set_up_p50_us", stats.setUp.getValueAtPercentile(50));
-        summary.put("set_up_p99_us", stats.setUp.getValueAtPercentile(99));
-        summary.put("set_up_p999_us", stats.setUp.getValueAtPercentile(99.9));
+        summary.put("set_up_p50_us", stats.postDialDelay.getValueAtPercentile(50));
+        summary.put("set_up_p99_us", stats.postDialDelay.getValueAtPercentile(99));
+        summary.put("set_up_p999_us", stats.postDialDelay.getValueAtPercentile(99.9));
         summary.put("cpu_us_a_session", stats.sessions == 0 ? 0 : cpuTime / stats.sessions);
         if (planAges.getTotalCount() > 0) {
             summary.put("plan_age_p50_us", planAges.getValueAtPercentile(50));
--- a/src/main/java/coralcove/rehearsal/ScenarioRun.java
+++ b/src/main/java/coralcove/rehearsal/ScenarioRun.java
@@ -4,15 +4,15 @@
 import coralcove.GroupTargets;
 import coralcove.PlannedTargetSource;
 import coralcove.baseline.RoutingPolicies;
-import coralcove.directory.DirectoryCore;
+import coralcove.directory.SimulatedDirectory;
 import coralcove.dns.SimulatedDnsServer;
 import coralcove.edge.EdgeCore;
 import coralcove.edge.EdgeSettings;
 import coralcove.edge.NumberAnalysisContext;
 import coralcove.exchange.Arrival;
-import coralcove.exchange.ExchangeCore;
+import coralcove.exchange.CallerStats;
 import coralcove.exchange.ExchangeSettings;
-import coralcove.exchange.Stats;
+import coralcove.exchange.SimulatedExchange;
 import coralcove.judge.Judge;
 import coralcove.judge.Witness;
 import coralcove.network.Network;
@@ -73,8 +73,8 @@
     private final Network network;
     private final int firstPort;
     private final Witness witness;
-    private final Stats[] stats;
-    private final Map<String, ExchangeCore> exchanges = new HashMap<>();
+    private final CallerStats[] stats;
+    private final Map<String, SimulatedExchange> exchanges = new HashMap<>();
     private final Map<String, EdgeCore> edges = new LinkedHashMap<>();
     private final List<NumberAnalysisContext> numberContexts = new ArrayList<>();
     private final Map<Integer, RouterPlanner> planners = new LinkedHashMap<>();
@@ -108,7 +108,7 @@
                 scenario.numberPlan() == null
                         ? null
                         : new DialPlan(scenario.exchanges(), scenario.numberPlan());
-        stats = new Stats[scenario.exchanges()];
+        stats = new CallerStats[scenario.exchanges()];
         exchangeIds = new long[scenario.exchanges()];
     }
 
@@ -147,15 +147,16 @@
         network.addNode(
                 "directory-" + index,
                 directoryAddress(index),
-                new DirectoryCore(
+                new SimulatedDirectory(
                         directoryAddress(index),
-                        new DirectoryCore.Late(delays.notice(), delays.silence(), delays.add()),
+                        new SimulatedDirectory.NotificationDelays(
+                                delays.notice(), delays.silence(), delays.add()),
                         newStartTag()),
                 false);
     }
 
     /** Runs the scenario to its end; returns the callers' statistics, summed over all exchanges. */
-    public Stats run() {
+    public CallerStats run() {
         startTime = startTime(network.now());
         for (int i = 0; i < scenario.directoryCount(); i++) {
             addDirectory(i);
@@ -177,7 +178,7 @@
                             seed);
         }
         for (int i = 0; i < scenario.exchanges(); i++) {
-            stats[i] = new Stats();
+            stats[i] = new CallerStats();
             exchangeIds[i] = 100 + i;
             addExchange(i, 0);
         }
@@ -204,8 +205,8 @@
         if (dnsDiscovery != null) {
             dnsDiscovery.close();
         }
-        Stats total = new Stats();
-        for (Stats each : stats) {
+        CallerStats total = new CallerStats();
+        for (CallerStats each : stats) {
             total.add(each);
         }
         return total;
@@ -401,19 +402,19 @@
                         .toList();
         var rules = scenario.rules();
         double speed = scenario.speeds()[number];
-        ExchangeSettings.Work baseTimes = scenario.processingTimes();
-        ExchangeSettings.Work times =
-                new ExchangeSettings.Work(
-                        (long) (baseTimes.look() / speed),
+        ExchangeSettings.ProcessingTimes baseTimes = scenario.processingTimes();
+        ExchangeSettings.ProcessingTimes times =
+                new ExchangeSettings.ProcessingTimes(
+                        (long) (baseTimes.lookUp() / speed),
                         (long) (baseTimes.setUp() / speed),
                         (long) (baseTimes.answer() / speed),
                         (long) (baseTimes.release() / speed),
-                        (long) (baseTimes.refuse() / speed),
-                        (long) (baseTimes.repeat() / speed),
+                        (long) (baseTimes.reject() / speed),
+                        (long) (baseTimes.retransmission() / speed),
                         baseTimes.probe(),
-                        baseTimes.queueLimit(),
-                        baseTimes.tellsWait(),
-                        baseTimes.resend());
+                        baseTimes.maxQueueingDelay(),
+                        baseTimes.sendsRetryAfter(),
+                        baseTimes.retransmissionInterval());
         ExchangeSettings settings =
                 new ExchangeSettings(
                         number,
@@ -424,7 +425,7 @@
                         times,
                         services,
                         scenario.callerModel(),
-                        new ExchangeSettings.Rules(
+                        new ExchangeSettings.ColdStartRules(
                                 rules.fallMultiple(),
                                 rules.fallWindow(),
                                 rules.coldFrom(),
@@ -435,8 +436,8 @@
                         seed * 7919 + startCount,
                         newStartTag());
         List<Arrival> arrivals =
-                scenario.arrivals().get(number).stream().map(a -> a.after(startTime)).toList();
-        ExchangeCore core = new ExchangeCore(settings, arrivals, stats[number]);
+                scenario.arrivals().get(number).stream().map(a -> a.shiftedBy(startTime)).toList();
+        SimulatedExchange core = new SimulatedExchange(settings, arrivals, stats[number]);
         exchanges.put("exchange-" + number, core);
         if (since > 0) {
             witness.started(number, since);
@@ -445,7 +446,7 @@
     }
 
     private interface ExchangeAction {
-        void run(long now, ExchangeCore core, Out out);
+        void run(long now, SimulatedExchange core, Out out);
     }
 
     /** Schedules an action on a simulated exchange; {@code at} counts from the scenario's start. */
@@ -591,8 +592,8 @@
                 scheduleExchangeRestart(number, stopTime, 0);
             }
             case "slow" -> {
-                scheduleOnExchange(at, number, (now, core, out) -> core.slow(fault.size()));
-                scheduleOnExchange(end, number, (now, core, out) -> core.slow(1));
+                scheduleOnExchange(at, number, (now, core, out) -> core.slowDown(fault.size()));
+                scheduleOnExchange(end, number, (now, core, out) -> core.slowDown(1));
             }
             case "other-work" -> {
                 long step = Math.max(100_000, Math.round(fault.extra() * 1e6));
@@ -600,9 +601,12 @@
                     scheduleOnExchange(
                             from,
                             number,
-                            (now, core, out) -> core.slow(1 / Math.max(0.01, 1 - fault.size())));
+                            (now, core, out) ->
+                                    core.slowDown(1 / Math.max(0.01, 1 - fault.size())));
                     scheduleOnExchange(
-                            Math.min(end, from + step), number, (now, core, out) -> core.slow(1));
+                            Math.min(end, from + step),
+                            number,
+                            (now, core, out) -> core.slowDown(1));
                 }
             }
             case "stall" -> {
@@ -616,12 +620,13 @@
                 }
             }
             case "silence" -> {
-                scheduleOnExchange(at, number, (now, core, out) -> core.hang(true));
-                scheduleOnExchange(end, number, (now, core, out) -> core.hang(false));
+                scheduleOnExchange(at, number, (now, core, out) -> core.setHung(true));
+                scheduleOnExchange(end, number, (now, core, out) -> core.setHung(false));
             }
             case "lost-answers" -> {
-                scheduleOnExchange(at, number, (now, core, out) -> core.loseAnswers(fault.size()));
-                scheduleOnExchange(end, number, (now, core, out) -> core.loseAnswers(0));
+                scheduleOnExchange(
+                        at, number, (now, core, out) -> core.setAnswerLossShare(fault.size()));
+                scheduleOnExchange(end, number, (now, core, out) -> core.setAnswerLossShare(0));
             }
             case "lost-circuits" -> {
                 scheduleGroupSizes(at, number, fault, 1 / Math.sqrt(Math.max(1, fault.size())));
@@ -633,7 +638,7 @@
                     scheduleOnExchange(
                             at + step * fault.length() / AGEING_STEPS,
                             number,
-                            (now, core, out) -> core.slow(factor));
+                            (now, core, out) -> core.slowDown(factor));
                 }
                 scheduleExchangeRestart(number, end, Math.round(fault.extra() * 1e6));
             }
@@ -662,7 +667,7 @@
 
     /** Schedules the failure of an exchange and its cold start {@code downtime} µs later. */
     private void scheduleExchangeRestart(int number, long at, long downtime) {
-        scheduleOnExchange(at, number, (now, core, out) -> core.cutAll(now, out));
+        scheduleOnExchange(at, number, (now, core, out) -> core.cutOffAllCalls(now, out));
         // The BYEs of the calls that it cuts off are sent before it is killed.
         network.schedule(
                 startTime + at + BYE_FLUSH_DELAY_US, () -> network.killNode("exchange-" + number));
@@ -686,11 +691,13 @@
             scheduleOnExchange(
                     at,
                     number,
-                    (now, core, out) -> core.group(now, farEnd, size, 1 - remainingShare, out));
+                    (now, core, out) ->
+                            core.resizeGroup(now, farEnd, size, 1 - remainingShare, out));
             scheduleOnExchange(
                     at,
                     other,
-                    (now, core, out) -> core.group(now, number, size, 1 - remainingShare, out));
+                    (now, core, out) ->
+                            core.resizeGroup(now, number, size, 1 - remainingShare, out));
         }
     }
 }
--- a/src/test/java/coralcove/bench/NumbersBench.java
+++ b/src/test/java/coralcove/bench/NumbersBench.java
@@ -82,7 +82,7 @@
                 new StringBuilder(
                         random.nextInt(8) == 0
                                 ? "81" + (100 + random.nextInt(200))
-                                : Digits.text(keys[random.nextInt(keys.length)]));
+                                : Digits.unpack(keys[random.nextInt(keys.length)]));
         while (digits.length() < 13) {
             digits.append((char) ('0' + random.nextInt(10)));
         }
@@ -113,7 +113,7 @@
 
     @Benchmark
     public int trie() {
-        return trie.find(nextNumber());
+        return trie.longestPrefixValue(nextNumber());
     }
 
     @Benchmark
@@ -196,13 +196,13 @@
                     "%d prefixes: bytes per prefix: trie %.1f with spare room for edits, HashMap"
                             + " %.1f, TreeMap %.1f%n",
                     tree.size(),
-                    trie.bytes() / (double) count,
+                    trie.memoryBytes() / (double) count,
                     mapBytes / (double) count,
                     treeBytes / (double) count);
             int mismatches = 0;
             for (int i = 0; i < 10_000_000; i++) {
                 long number = number(keys, random);
-                mismatches += trie.find(number) == findByLength(map, number) ? 0 : 1;
+                mismatches += trie.longestPrefixValue(number) == findByLength(map, number) ? 0 : 1;
             }
             System.out.println(
                     "  10,000,000 lookups, results that differ from the map: " + mismatches);
@@ -221,18 +221,18 @@
         double worst = 0;
         double sum = 0;
         for (int round = 0; round < 50; round++) {
-            List<NumberTable.Change> changes = new ArrayList<>();
+            List<NumberTable.PrefixChange> changes = new ArrayList<>();
             for (int i = 0; i < 100; i++) {
                 long key =
                         i % 2 == 0
                                 ? keys[random.nextInt(keys.length)]
                                 : prefix(number(keys, random), 12);
                 changes.add(
-                        new NumberTable.Change(
+                        new NumberTable.PrefixChange(
                                 key, i % 4 == 0 ? null : new Destination.FarEnd(2, List.of())));
             }
             long start = System.nanoTime();
-            table = table.edited(table.version() + 1, changes);
+            table = table.withChanges(table.version() + 1, changes);
             double ms = (System.nanoTime() - start) / 1e6;
             worst = Math.max(worst, ms);
             sum += ms;
--- a/src/test/java/coralcove/cli/SourcesCommandTest.java
+++ b/src/test/java/coralcove/cli/SourcesCommandTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import coralcove.directory.DirectoryCore;
+import coralcove.directory.SimulatedDirectory;
 import coralcove.dns.ServiceZone;
 import coralcove.dns.SimulatedDnsServer;
 import coralcove.dns.transport.DnsServer;
@@ -71,7 +71,8 @@
             network.addNode(
                     "directory",
                     at,
-                    new DirectoryCore(at, new DirectoryCore.Late(0, 60_000_000, 0), "e"),
+                    new SimulatedDirectory(
+                            at, new SimulatedDirectory.NotificationDelays(0, 60_000_000, 0), "e"),
                     false);
             register(directory);
             System.setOut(new PrintStream(bytes, true, StandardCharsets.UTF_8));
--- a/src/test/java/coralcove/config/TomlTest.java
+++ b/src/test/java/coralcove/config/TomlTest.java
@@ -4,7 +4,7 @@
 
 import coralcove.TraceFiles;
 import coralcove.edge.EdgeSettingsFile;
-import coralcove.exchange.ExchangeFile;
+import coralcove.exchange.ExchangeSettingsFile;
 import coralcove.rehearsal.DayFile;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -77,7 +77,7 @@
         recordResult(
                 "exchange.toml",
                 exchange.replace("limit_ms = 9000", "limit_ms = 900"),
-                toml -> ExchangeFile.of(toml).cold());
+                toml -> ExchangeSettingsFile.read(toml).startsCold());
         assertThat(results.toString()).isEqualTo(TraceFiles.read("bad-settings"));
     }
 
@@ -104,6 +104,6 @@
         assertThat(file.plannerStore()).hasToString("planner-0.store");
         assertThat(file.planner().port()).isEqualTo(15970);
         assertThat(file.numbers().resolver().servers()).hasSize(2);
-        assertThat(file.numbers().porting().budget()).isEqualTo(200_000);
+        assertThat(file.numbers().porting().waitBudget()).isEqualTo(200_000);
     }
 }
--- a/src/test/java/coralcove/edge/EdgeCoreHarness.java
+++ b/src/test/java/coralcove/edge/EdgeCoreHarness.java
@@ -13,7 +13,7 @@
 import coralcove.TraceFiles;
 import coralcove.numbers.Digits;
 import coralcove.numbers.NumberTable;
-import coralcove.numbers.Porting;
+import coralcove.numbers.PortabilityCache;
 import coralcove.sip.BadMessage;
 import coralcove.sip.Hop;
 import coralcove.sip.Out;
@@ -187,13 +187,14 @@
     }
 
     /** Accepts dialled numbers from now on; queries to the portability server are traced. */
-    EdgeCoreHarness enableNumbers(int maxTables, NumberTable first, Porting.Settings settings) {
+    EdgeCoreHarness enableNumbers(
+            int maxTables, NumberTable first, PortabilityCache.Settings settings) {
         core.attachNumberAnalysis(
                 new NumberAnalysisContext(
                         maxTables,
                         first,
                         settings,
-                        (at, number) -> note("asks for " + Digits.text(number))));
+                        (at, number) -> note("asks for " + Digits.unpack(number))));
         return this;
     }
 
@@ -208,7 +209,7 @@
 
     /** The portability server answers, or its query has failed. */
     EdgeCoreHarness portabilityAnswers(
-            String number, Porting.Outcome outcome, String routingNumber) {
+            String number, PortabilityCache.QueryOutcome outcome, String routingNumber) {
         note(number + " " + outcome + " " + routingNumber);
         core.portabilityAnswered(
                 now, Digits.pack(number), outcome, Digits.pack(routingNumber), 60_000_000, this);
--- a/src/test/java/coralcove/edge/EdgeNumbersTest.java
+++ b/src/test/java/coralcove/edge/EdgeNumbersTest.java
@@ -4,7 +4,7 @@
 
 import coralcove.RoutingDecision;
 import coralcove.numbers.NumberTable;
-import coralcove.numbers.Porting;
+import coralcove.numbers.PortabilityCache;
 import coralcove.numbers.file.TableReader;
 import coralcove.protocol.InviteOutcomes;
 import java.io.BufferedReader;
@@ -13,8 +13,8 @@
 
 /** Dialled numbers in a complete router: calls of the routing policy and messages sent. */
 class EdgeNumbersTest {
-    private static final Porting.Settings PORTING_SETTINGS =
-            new Porting.Settings(300_000, 0.2, 60_000_000, 100, 100, 50);
+    private static final PortabilityCache.Settings PORTING_SETTINGS =
+            new PortabilityCache.Settings(300_000, 0.2, 60_000_000, 100, 100, 50);
     private final EdgeCoreHarness harness = new EdgeCoreHarness();
 
     private static NumberTable table(long version, String... moreLines) {
@@ -34,7 +34,8 @@
                         + (6 + moreLines.length)
                         + "\n";
         try {
-            return TableReader.table("t", new BufferedReader(new StringReader(text)), n -> true);
+            return TableReader.readTable(
+                    "t", new BufferedReader(new StringReader(text)), n -> true);
         } catch (Exception e) {
             throw new AssertionError(e);
         }
@@ -101,7 +102,7 @@
                 .advance(10)
                 .dial("b", "+8195", 3_000_000)
                 .advance(10)
-                .portabilityAnswers("8195", Porting.Outcome.MOVED, "812");
+                .portabilityAnswers("8195", PortabilityCache.QueryOutcome.MOVED, "812");
         assertThat(harness.lastInviteHeader("X-Far-End")).isEqualTo("2");
         harness.assertTrace("edge-numbers-ported");
     }
@@ -116,8 +117,8 @@
                 .advance(100)
                 .cancel("b")
                 .advance(250)
-                .portabilityAnswers("8195", Porting.Outcome.FAILED, "")
-                .portabilityAnswers("8196", Porting.Outcome.MOVED, "812")
+                .portabilityAnswers("8195", PortabilityCache.QueryOutcome.FAILED, "")
+                .portabilityAnswers("8196", PortabilityCache.QueryOutcome.MOVED, "812")
                 .advance(10);
         assertThat(harness.lastInviteHeader("X-Far-End")).isEqualTo("1");
         harness.assertTrace("edge-numbers-silent");
@@ -148,7 +149,7 @@
                 .directoryNotifies(
                         "epoch e version 6 changes after 5\n102 2 draining 1 2 - " + "udp:far2:5\n")
                 .dial("a", "+8195", 3_000_000)
-                .portabilityAnswers("8195", Porting.Outcome.MOVED, "812")
+                .portabilityAnswers("8195", PortabilityCache.QueryOutcome.MOVED, "812")
                 .assertTrace("edge-numbers-drains");
     }
 }
--- a/src/test/java/coralcove/numbers/NumberAnalysisTest.java
+++ b/src/test/java/coralcove/numbers/NumberAnalysisTest.java
@@ -35,8 +35,8 @@
             8143 changed +81114
             end 10
             """;
-    private static final Porting.Settings SETTINGS =
-            new Porting.Settings(300_000, 0.2, 60_000_000, 100, 100, 50);
+    private static final PortabilityCache.Settings SETTINGS =
+            new PortabilityCache.Settings(300_000, 0.2, 60_000_000, 100, 100, 50);
 
     /** A Monday, one second before the office calendar opens. */
     private static final long START =
@@ -46,43 +46,44 @@
                     * 1_000_000;
 
     private final StringBuilder trace = new StringBuilder();
-    private final Porting portability = new Porting(SETTINGS);
+    private final PortabilityCache portability = new PortabilityCache(SETTINGS);
     private long now = START;
     private long sessions;
 
     private static NumberTable parseTable(String text) {
         try {
-            return TableReader.table("t", new BufferedReader(new StringReader(text)), n -> true);
+            return TableReader.readTable(
+                    "t", new BufferedReader(new StringReader(text)), n -> true);
         } catch (Exception e) {
             throw new AssertionError(e);
         }
     }
 
-    private Search startAnalysis(NumberTable table, String dialled) {
+    private NumberAnalysis startAnalysis(NumberTable table, String dialled) {
         sessions++;
         trace.append(dialled).append('\n');
-        return new Search(table, sessions, dialled, 0, now + 9_000_000);
+        return new NumberAnalysis(table, sessions, dialled, 0, now + 9_000_000);
     }
 
-    private Search.Step record(Search.Step step) {
+    private NumberAnalysis.Step record(NumberAnalysis.Step step) {
         trace.append("  ")
                 .append((now - START) / 1000)
                 .append(" ms  ")
                 .append(
-                        step instanceof Search.Wait wait
+                        step instanceof NumberAnalysis.Wait wait
                                 ? "wait "
-                                        + (wait.until() - now) / 1000
+                                        + (wait.deadline() - now) / 1000
                                         + " ms for "
-                                        + Digits.text(wait.number())
-                                        + (wait.ask() ? ", ask" : "")
+                                        + Digits.unpack(wait.number())
+                                        + (wait.sendQuery() ? ", ask" : "")
                                 : step.toString().replaceAll("until=\\d{18,}", "until=never"))
                 .append('\n');
         return step;
     }
 
-    private void queryEnded(String number, Porting.Outcome outcome, String routing) {
+    private void queryEnded(String number, PortabilityCache.QueryOutcome outcome, String routing) {
         List<Long> waiting =
-                portability.ended(
+                portability.queryEnded(
                         now, Digits.pack(number), outcome, Digits.pack(routing), 300_000_000);
         trace.append("  ")
                 .append((now - START) / 1000)
@@ -102,11 +103,11 @@
         NumberTable table = parseTable(TABLE.formatted(1));
         for (String dialled :
                 List.of("0111", "+81112", "0113", "+81115", "+82", "12x", "+8118", "+8119")) {
-            Search analysis = startAnalysis(table, dialled);
+            NumberAnalysis analysis = startAnalysis(table, dialled);
             record(analysis.next(now, portability));
-            analysis.steps().forEach(step -> trace.append("    ").append(step).append('\n'));
+            analysis.explanation().forEach(step -> trace.append("    ").append(step).append('\n'));
         }
-        Search otherService = new Search(table, 99, "+81112", 1, now + 1_000_000);
+        NumberAnalysis otherService = new NumberAnalysis(table, 99, "+81112", 1, now + 1_000_000);
         record(otherService.next(now, portability));
         assertThat(trace.toString()).isEqualTo(TraceFiles.read("numbers-kinds"));
     }
@@ -117,17 +118,17 @@
      */
     @Test
     void retryKeepsItsFarEndWhenHoursAndTableChange() {
-        Tables tables = new Tables(2, parseTable(TABLE.formatted(1)));
-        Search first = startAnalysis(tables.enter(), "+8119");
+        TableVersions tables = new TableVersions(2, parseTable(TABLE.formatted(1)));
+        NumberAnalysis first = startAnalysis(tables.acquire(), "+8119");
         record(first.next(now, portability));
         now += 2_000_000;
         tables.replace(parseTable(TABLE.formatted(2).replace("office to 6", "office to 2")));
         record(first.next(now, portability));
-        Search second = startAnalysis(tables.enter(), "+8119");
+        NumberAnalysis second = startAnalysis(tables.acquire(), "+8119");
         record(second.next(now, portability));
-        assertThat(tables.count()).isEqualTo(2);
-        tables.leave(first.version());
-        assertThat(tables.count()).isEqualTo(1);
+        assertThat(tables.retainedCount()).isEqualTo(2);
+        tables.release(first.tableVersion());
+        assertThat(tables.retainedCount()).isEqualTo(1);
         assertThat(trace.toString()).isEqualTo(TraceFiles.read("numbers-retry"));
     }
 
@@ -137,16 +138,16 @@
      */
     @Test
     void waitingSessionKeepsItsTableUntilItIsDiscarded() {
-        Tables tables = new Tables(2, parseTable(TABLE.formatted(1)));
-        Search first = startAnalysis(tables.enter(), "+81901");
+        TableVersions tables = new TableVersions(2, parseTable(TABLE.formatted(1)));
+        NumberAnalysis first = startAnalysis(tables.acquire(), "+81901");
         record(first.next(now, portability));
         String withoutPrefix = TABLE.replace("8190 ported 5", "8190 unallocated");
         assertThat(tables.replace(parseTable(withoutPrefix.formatted(2)))).isEmpty();
-        tables.enter();
+        tables.acquire();
         assertThat(tables.replace(parseTable(withoutPrefix.formatted(3)))).containsExactly(1L);
-        assertThat(tables.isRetained(first.version())).isFalse();
-        first.gone(portability);
-        first.restart(tables.enter());
+        assertThat(tables.isRetained(first.tableVersion())).isFalse();
+        first.cancel(portability);
+        first.restart(tables.acquire());
         record(first.next(now, portability));
         assertThatThrownBy(() -> tables.replace(parseTable(withoutPrefix.formatted(3))))
                 .hasMessage("version 3 is not after 3, which is in service");
@@ -157,19 +158,19 @@
     @Test
     void queriesAPortedNumberOnceAndCachesTheAnswer() {
         NumberTable table = parseTable(TABLE.formatted(1));
-        Search first = startAnalysis(table, "+81901");
+        NumberAnalysis first = startAnalysis(table, "+81901");
         record(first.next(now, portability));
         now += 10_000;
-        Search second = startAnalysis(table, "+81901");
+        NumberAnalysis second = startAnalysis(table, "+81901");
         record(second.next(now, portability));
         now += 10_000;
-        queryEnded("81901", Porting.Outcome.MOVED, "81411");
+        queryEnded("81901", PortabilityCache.QueryOutcome.MOVED, "81411");
         record(first.resume(now, portability));
         record(second.resume(now, portability));
         record(startAnalysis(table, "+81901").next(now, portability));
         record(startAnalysis(table, "+81902").next(now, portability));
         now += 10_000;
-        queryEnded("81902", Porting.Outcome.NOT_MOVED, "");
+        queryEnded("81902", PortabilityCache.QueryOutcome.NOT_MOVED, "");
         record(startAnalysis(table, "+81902").next(now, portability));
         assertThat(trace.toString()).isEqualTo(TraceFiles.read("numbers-ported"));
     }
@@ -187,13 +188,15 @@
             {"81907", "81427", ""}
         };
         for (String[] chain : cases) {
-            Search analysis = startAnalysis(table, "+" + chain[0]);
-            Search.Step step = record(analysis.next(now, portability));
-            for (int i = 1; step instanceof Search.Wait; i++) {
+            NumberAnalysis analysis = startAnalysis(table, "+" + chain[0]);
+            NumberAnalysis.Step step = record(analysis.next(now, portability));
+            for (int i = 1; step instanceof NumberAnalysis.Wait; i++) {
                 now += 5000;
                 queryEnded(
                         chain[i - 1],
-                        chain[i].isEmpty() ? Porting.Outcome.NOT_MOVED : Porting.Outcome.MOVED,
+                        chain[i].isEmpty()
+                                ? PortabilityCache.QueryOutcome.NOT_MOVED
+                                : PortabilityCache.QueryOutcome.MOVED,
                         chain[i]);
                 step = record(analysis.resume(now, portability));
             }
@@ -208,31 +211,35 @@
     @Test
     void deadServerCostsNoSessionItsAnswer() {
         NumberTable table = parseTable(TABLE.formatted(1));
-        portability.ended(
-                now, Digits.pack("81901"), Porting.Outcome.MOVED, Digits.pack("8141"), 1_000_000);
+        portability.queryEnded(
+                now,
+                Digits.pack("81901"),
+                PortabilityCache.QueryOutcome.MOVED,
+                Digits.pack("8141"),
+                1_000_000);
         now += 5_000_000;
-        Search cached = startAnalysis(table, "+81901");
+        NumberAnalysis cached = startAnalysis(table, "+81901");
         record(cached.next(now, portability));
         now += 60_000;
         record(cached.resume(now, portability));
         List<String> numbers = new ArrayList<>(List.of("81901"));
         for (int i = 1; i < 6; i++) {
-            Search analysis = startAnalysis(table, "+8190" + i + "0");
+            NumberAnalysis analysis = startAnalysis(table, "+8190" + i + "0");
             record(analysis.next(now, portability));
             numbers.add("8190" + i + "0");
             now += 300_000;
             record(analysis.resume(now, portability));
         }
-        numbers.forEach(number -> queryEnded(number, Porting.Outcome.FAILED, ""));
+        numbers.forEach(number -> queryEnded(number, PortabilityCache.QueryOutcome.FAILED, ""));
         record(startAnalysis(table, "+81909").next(now, portability));
         record(startAnalysis(table, "+81901").next(now, portability));
         now += 500_000;
         trace.append("the pause is over: one trial\n");
-        Search trial = startAnalysis(table, "+81909");
+        NumberAnalysis trial = startAnalysis(table, "+81909");
         record(trial.next(now, portability));
         record(startAnalysis(table, "+81908").next(now, portability));
         now += 5000;
-        queryEnded("81909", Porting.Outcome.NOT_MOVED, "");
+        queryEnded("81909", PortabilityCache.QueryOutcome.NOT_MOVED, "");
         record(trial.resume(now, portability));
         record(startAnalysis(table, "+81908").next(now, portability));
         assertThat(trace.toString()).isEqualTo(TraceFiles.read("numbers-dead-server"));
@@ -241,8 +248,8 @@
     @Test
     void doesNotWaitWhenLittleTimeIsLeft() {
         NumberTable table = parseTable(TABLE.formatted(1));
-        record(new Search(table, 1, "+81901", 0, now + 20_000).next(now, portability));
-        record(new Search(table, 2, "+81901", 0, now + 200_000).next(now, portability));
+        record(new NumberAnalysis(table, 1, "+81901", 0, now + 20_000).next(now, portability));
+        record(new NumberAnalysis(table, 2, "+81901", 0, now + 200_000).next(now, portability));
         assertThat(trace.toString())
                 .isEqualTo(
                         """
@@ -262,28 +269,30 @@
         for (int i = 0; i < 100_000; i++) {
             now += 10;
             if (i == 400) {
-                portability.ended(
+                portability.queryEnded(
                         now,
                         Digits.pack("81901"),
-                        Porting.Outcome.MOVED,
+                        PortabilityCache.QueryOutcome.MOVED,
                         Digits.pack("8141"),
                         300_000_000);
             }
-            Search.Step step =
-                    new Search(table, i, "+81901", 0, now + 9_000_000).next(now, portability);
-            queries += step instanceof Search.Wait wait && wait.ask() ? 1 : 0;
-            assertThat(step instanceof Search.Route).isEqualTo(i >= 400);
+            NumberAnalysis.Step step =
+                    new NumberAnalysis(table, i, "+81901", 0, now + 9_000_000)
+                            .next(now, portability);
+            queries += step instanceof NumberAnalysis.Wait wait && wait.sendQuery() ? 1 : 0;
+            assertThat(step instanceof NumberAnalysis.Route).isEqualTo(i >= 400);
         }
         assertThat(queries).isEqualTo(1);
         for (int i = 0; i < 10_000; i++) {
             long number = Digits.pack("8190" + (10_000 + i));
             portability.lookUp(now, number, i, 9_000_000);
-            portability.ended(now, number, Porting.Outcome.NOT_MOVED, 0, 60_000_000);
+            portability.queryEnded(
+                    now, number, PortabilityCache.QueryOutcome.NOT_MOVED, 0, 60_000_000);
         }
         assertThat(portability.cachedCount()).isEqualTo(101);
         assertThat(portability.lookUp(now, Digits.pack("81901"), 1, 9_000_000))
-                .isEqualTo(new Porting.Proceed(Digits.pack("8141"), false));
-        portability.sweep(now + 400_000_000);
+                .isEqualTo(new PortabilityCache.Proceed(Digits.pack("8141"), false));
+        portability.evictExpired(now + 400_000_000);
         assertThat(portability.cachedCount()).isZero();
     }
 
@@ -291,9 +300,9 @@
     void usesTheDonorWhenTooManyQueriesAreOutstanding() {
         for (int i = 0; i < 50; i++) {
             assertThat(portability.lookUp(now, Digits.pack("81" + i), i, 9_000_000))
-                    .isInstanceOf(Porting.Wait.class);
+                    .isInstanceOf(PortabilityCache.Wait.class);
         }
         assertThat(portability.lookUp(now, Digits.pack("8199"), 1, 9_000_000))
-                .isEqualTo(new Porting.UseDonor("too many outstanding queries"));
+                .isEqualTo(new PortabilityCache.UseDonor("too many outstanding queries"));
     }
 }
--- a/src/test/java/coralcove/numbers/PrefixTrieTest.java
+++ b/src/test/java/coralcove/numbers/PrefixTrieTest.java
@@ -47,12 +47,12 @@
     private static void assertSameContents(Version version, SplittableRandom random) {
         for (int i = 0; i < 60; i++) {
             String number = randomDigits(random, 15);
-            assertThat(version.trie.find(Digits.pack(number)))
+            assertThat(version.trie.longestPrefixValue(Digits.pack(number)))
                     .as(number)
                     .isEqualTo(longest(version.reference, number));
         }
         List<String> actual = new ArrayList<>();
-        version.trie.each((key, value) -> actual.add(Digits.text(key) + "=" + value));
+        version.trie.forEach((key, value) -> actual.add(Digits.unpack(key) + "=" + value));
         List<String> expected = new ArrayList<>();
         version.reference.forEach((key, value) -> expected.add(key + "=" + value));
         assertThat(actual).isEqualTo(expected);
--- a/src/test/java/coralcove/numbers/file/TableFileWatcherTest.java
+++ b/src/test/java/coralcove/numbers/file/TableFileWatcherTest.java
@@ -29,22 +29,23 @@
         Path changesFile = directory.resolve("c");
         List<String> problems = new ArrayList<>();
         write(tableFile, "table 5\n81 to 1\nend 1\n");
-        TableWatch watcher = new TableWatch(tableFile, changesFile, n -> n < 3, problems::add);
-        assertThat(watcher.first().version()).isEqualTo(5);
-        assertThat(watcher.next()).isNull();
+        TableFileWatcher watcher =
+                new TableFileWatcher(tableFile, changesFile, n -> n < 3, problems::add);
+        assertThat(watcher.readInitial().version()).isEqualTo(5);
+        assertThat(watcher.poll()).isNull();
         write(tableFile, "table 6\n81 to 1\n");
-        assertThat(watcher.next()).isNull();
+        assertThat(watcher.poll()).isNull();
         write(tableFile, "table 5\n81 to 2\nend 1\n");
-        assertThat(watcher.next()).isNull();
+        assertThat(watcher.poll()).isNull();
         write(tableFile, "table 6\n81 to 4\nend 1\n");
-        assertThat(watcher.next()).isNull();
+        assertThat(watcher.poll()).isNull();
         write(tableFile, "table 6\n81 to 2\nend 1\n");
-        NumberTable replaced = watcher.next();
+        NumberTable replaced = watcher.poll();
         assertThat(replaced.version()).isEqualTo(6);
         write(changesFile, "changes 7 after 6\nput 811 to 1\nend 1\n");
-        assertThat(watcher.next().trie().size()).isEqualTo(2);
+        assertThat(watcher.poll().trie().size()).isEqualTo(2);
         write(changesFile, "changes 9 after 8\nput 811 to 1\nend 1\n");
-        assertThat(watcher.next()).isNull();
+        assertThat(watcher.poll()).isNull();
         assertThat(problems.stream().map(each -> each.replace(directory + "/", "")).toList())
                 .containsExactly(
                         "t:3: the file is cut short: it has no 'end' line",
--- a/src/test/java/coralcove/numbers/file/TableReaderTest.java
+++ b/src/test/java/coralcove/numbers/file/TableReaderTest.java
@@ -32,7 +32,7 @@
             """;
 
     private static NumberTable read(String text) throws Exception {
-        return TableReader.table("t", new BufferedReader(new StringReader(text)), n -> n < 10);
+        return TableReader.readTable("t", new BufferedReader(new StringReader(text)), n -> n < 10);
     }
 
     @Test
@@ -44,9 +44,9 @@
             long number = table.toNumber(dialled);
             trace.append(dialled)
                     .append(" -> ")
-                    .append(Digits.text(number))
+                    .append(Digits.unpack(number))
                     .append(' ')
-                    .append(table.destination(table.trie().find(number)))
+                    .append(table.destination(table.trie().longestPrefixValue(number)))
                     .append('\n');
         }
         assertThat(trace.toString()).isEqualTo(TraceFiles.read("numbers-table"));
@@ -55,8 +55,8 @@
     @Test
     void changesCreateTheNextTableAndLeaveTheOldOneUnchanged() throws Exception {
         NumberTable table = read(VALID);
-        TableReader.Changes changes =
-                TableReader.changes(
+        TableReader.TableChanges changes =
+                TableReader.readChanges(
                         "c",
                         new BufferedReader(
                                 new StringReader(
@@ -69,15 +69,21 @@
                                         """)),
                         table,
                         n -> n < 10);
-        NumberTable next = table.edited(changes.version(), changes.list());
-        assertThat(table.destination(table.trie().find(Digits.pack("81112"))).toString())
+        NumberTable next = table.withChanges(changes.version(), changes.changes());
+        assertThat(
+                        table.destination(table.trie().longestPrefixValue(Digits.pack("81112")))
+                                .toString())
                 .isEqualTo("FarEnd[number=4, services=[0, 1]]");
-        assertThat(next.destination(next.trie().find(Digits.pack("811129"))).toString())
+        assertThat(
+                        next.destination(next.trie().longestPrefixValue(Digits.pack("811129")))
+                                .toString())
                 .isEqualTo("FarEnd[number=5, services=[]]");
-        assertThat(next.destination(next.trie().find(Digits.pack("8190123"))).toString())
+        assertThat(
+                        next.destination(next.trie().longestPrefixValue(Digits.pack("8190123")))
+                                .toString())
                 .isEqualTo("Unallocated[]");
         assertThat(next.trie().size()).isEqualTo(7);
-        assertThatThrownBy(() -> next.edited(18, List.of()))
+        assertThatThrownBy(() -> next.withChanges(18, List.of()))
                 .hasMessage("version 18 is not after 18");
     }
 
@@ -125,7 +131,7 @@
                         "changes 18 after 17\ndrop 1 to 2\nend 1\n")) {
             assertThatThrownBy(
                             () ->
-                                    TableReader.changes(
+                                    TableReader.readChanges(
                                             "c",
                                             new BufferedReader(new StringReader(text)),
                                             read(VALID),
--- a/src/test/java/coralcove/rehearsal/DirectoryDaysTest.java
+++ b/src/test/java/coralcove/rehearsal/DirectoryDaysTest.java
@@ -4,7 +4,7 @@
 
 import coralcove.baseline.RoutingPolicies;
 import coralcove.config.TomlSettings;
-import coralcove.directory.DirectoryCore;
+import coralcove.directory.SimulatedDirectory;
 import coralcove.edge.EdgeCore;
 import coralcove.edge.EdgeSettings;
 import coralcove.network.Network;
@@ -150,11 +150,12 @@
                         tap,
                         null);
         Hop directoryAddress = new Hop(false, "127.0.0.1", 9000);
-        DirectoryCore.Late delays = new DirectoryCore.Late(1_000_000, 8_000_000, 800_000);
+        SimulatedDirectory.NotificationDelays delays =
+                new SimulatedDirectory.NotificationDelays(1_000_000, 8_000_000, 800_000);
         network.addNode(
                 "directory",
                 directoryAddress,
-                new DirectoryCore(directoryAddress, delays, "first"),
+                new SimulatedDirectory(directoryAddress, delays, "first"),
                 true);
         List<EdgeCore> routers = new ArrayList<>();
         for (int i = 0; i < 94; i++) {
@@ -183,7 +184,7 @@
         network.addNode(
                 "directory",
                 directoryAddress,
-                new DirectoryCore(directoryAddress, delays, "second"),
+                new SimulatedDirectory(directoryAddress, delays, "second"),
                 true);
         network.run(restartTime + 5_000_000);
         assertThat(subscribesByInterval.values().stream().mapToInt(n -> n).max().orElse(0))
--- a/src/test/java/coralcove/rehearsal/ScenarioRunTest.java
+++ b/src/test/java/coralcove/rehearsal/ScenarioRunTest.java
@@ -104,7 +104,7 @@
                         null,
                         null);
         assertRulesKept(result);
-        assertThat(result.stats().cut).isPositive();
+        assertThat(result.stats().cutOff).isPositive();
         assertThat(result.rules().get("one_table").checked()).isGreaterThan(1000);
         // Each kind occurs: answered from memory, queried, answered past the time to live, and sent
         // to the donor exchange.
