--- a/src/main/java/coralcove/bound/Network.java
+++ b/src/main/java/coralcove/bound/DemandNetwork.java
@@ -9,7 +9,7 @@
  * slices} of {@code seconds} each. The network starts empty, and calls accepted late continue past
  * the end of the period.
  */
-public record Network(int[][] circuits, int slices, double seconds, List<Demand> demands) {
+public record DemandNetwork(int[][] circuits, int slices, double seconds, List<Demand> demands) {
     /** Number of exchanges. */
     public int exchanges() {
         return circuits.length;
@@ -38,7 +38,7 @@
     }
 
     /** Value of all offered calls. */
-    public double offered() {
+    public double offeredValue() {
         return demands.stream().mapToDouble(demand -> demand.calls() * demand.value()).sum();
     }
 }
--- a/src/main/java/coralcove/bound/PricedBound.java
+++ b/src/main/java/coralcove/bound/LagrangianBound.java
@@ -12,7 +12,7 @@
  * method moves the prices towards the lowest such sum; the sum of every iteration is a valid bound,
  * and the lowest one is returned. Deterministic; does no I/O.
  */
-public final class PricedBound {
+public final class LagrangianBound {
     /**
      * Default number of iterations: the second half of them lowers the bound by less than a
      * thousandth.
@@ -40,14 +40,14 @@
      */
     private record DemandGroup(int slice, double[] uses, List<List<Demand>> pairs) {}
 
-    private final Network network;
+    private final DemandNetwork network;
     private final int exchanges;
     private final double[][][] prices;
     private final double[][][] demandedUse;
     private final double[][] cost;
     private final List<DemandGroup> demandGroups = new ArrayList<>();
 
-    public PricedBound(Network network) {
+    public LagrangianBound(DemandNetwork network) {
         this.network = network;
         exchanges = network.exchanges();
         prices = new double[network.slices()][exchanges][exchanges];
--- a/src/main/java/coralcove/bound/LinearProgramBound.java
+++ b/src/main/java/coralcove/bound/LinearProgramBound.java
@@ -20,7 +20,7 @@
      * @throws IllegalArgumentException if the network has more than {@link #MAX_EXCHANGES}
      *     exchanges
      */
-    public static double solve(Network network) {
+    public static double solve(DemandNetwork network) {
         int n = network.exchanges();
         if (n > MAX_EXCHANGES) {
             throw new IllegalArgumentException(
--- a/src/main/java/coralcove/cli/Commands.java
+++ b/src/main/java/coralcove/cli/Commands.java
@@ -22,8 +22,8 @@
 import coralcove.exchange.ExchangeSettingsFile;
 import coralcove.exchange.SimulatedExchange;
 import coralcove.experiment.ProgramVersion;
-import coralcove.judge.Judge;
-import coralcove.judge.Verdict;
+import coralcove.judge.RuleChecker;
+import coralcove.judge.RuleResult;
 import coralcove.network.LiveNetwork;
 import coralcove.numbers.CalendarCheck;
 import coralcove.numbers.NumberTable;
@@ -732,7 +732,7 @@
         }
     }
 
-    private static void print(Verdict verdict) {
+    private static void print(RuleResult verdict) {
         System.out.printf(
                 Locale.ROOT,
                 "rule %-13s %s: checked %d, broken %d%n",
@@ -766,8 +766,8 @@
 
         @Override
         public Integer call() throws Exception {
-            Judge judge = new Judge(day.read().rules());
-            judge.end(CaptureLine.read(capture, judge));
+            RuleChecker judge = new RuleChecker(day.read().rules());
+            judge.finish(CaptureLine.read(capture, judge));
             judge.verdicts().values().forEach(Commands::print);
             return judge.verdicts().values().stream().allMatch(verdict -> verdict.broken() == 0)
                     ? 0
--- a/src/main/java/coralcove/experiment/RunExecutor.java
+++ b/src/main/java/coralcove/experiment/RunExecutor.java
@@ -3,8 +3,8 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import coralcove.bound.Demand;
-import coralcove.bound.Network;
-import coralcove.bound.PricedBound;
+import coralcove.bound.DemandNetwork;
+import coralcove.bound.LagrangianBound;
 import coralcove.config.BadConfig;
 import coralcove.config.TomlSettings;
 import coralcove.exchange.Arrival;
@@ -101,7 +101,7 @@
                     round(
                             Math.min(
                                     1,
-                                    new PricedBound(demandNetwork(day)).value()
+                                    new LagrangianBound(demandNetwork(day)).value()
                                             / result.offered())));
         }
         return metrics;
@@ -142,7 +142,7 @@
      * Returns the demand of a day as it was generated, the calls of a crowd included. Faults remove
      * no capacity, so the bound holds with and without them.
      */
-    static Network demandNetwork(Day day) {
+    static DemandNetwork demandNetwork(Day day) {
         int exchanges = day.exchanges();
         int services = day.services().size();
         int slices = (int) Math.max(1, Math.min(MAX_SLICES, day.length() / SLICE_MICROS));
@@ -172,7 +172,7 @@
                                     count,
                                     demanded.value()));
                 });
-        return new Network(day.groups(), slices, day.length() / 1e6 / slices, demands);
+        return new DemandNetwork(day.groups(), slices, day.length() / 1e6 / slices, demands);
     }
 
     private static double round(double value) {
--- a/src/main/java/coralcove/judge/Judge.java
+++ b/src/main/java/coralcove/judge/RuleChecker.java
@@ -21,9 +21,9 @@
 /**
  * Checks the five rules from captured traffic alone: each message that a call router received or
  * sent, with its time in µs. Call routers are the nodes named {@code edge-N}. Pending sessions end
- * with {@link #killed} or with the end of the capture.
+ * with {@link #routerKilled} or with the end of the capture.
  */
-public final class Judge implements Network.MessageObserver, Witness {
+public final class RuleChecker implements Network.MessageObserver, ScenarioListener {
     /** Highest service accepted in a header; the settings of the routers are not known here. */
     private static final int MAX_SERVICES = 1000;
 
@@ -158,20 +158,20 @@
     private final Map<String, Boolean> countedSetUps = new HashMap<>();
     private final Map<Integer, ArrayDeque<ColdSetUp>> coldSetUps = new HashMap<>();
     private final Map<Integer, Long> coldStarts = new HashMap<>();
-    private final Map<String, Verdict> verdicts = new LinkedHashMap<>();
-    private FarEnds allowedFarEnds;
+    private final Map<String, RuleResult> verdicts = new LinkedHashMap<>();
+    private AllowedFarEnds allowedFarEnds;
     private long malformed;
 
     /** Creates a checker of the five rules. */
-    public Judge(Rules rules) {
+    public RuleChecker(Rules rules) {
         this.rules = rules;
         for (String rule : List.of("final_answer", "one_invite", "drain", "cold", "release")) {
-            verdicts.put(rule, new Verdict(rule));
+            verdicts.put(rule, new RuleResult(rule));
         }
     }
 
     /** Far ends that the number tables in service at a given time allow for a dialled number. */
-    public interface FarEnds {
+    public interface AllowedFarEnds {
         Set<Integer> of(long at, String dialled);
     }
 
@@ -179,13 +179,13 @@
      * Checks a sixth rule too, {@code one_table}: all INVITEs for a dialled number go to one far
      * end, which a table gives that was in service when the session arrived.
      */
-    public void numbers(FarEnds farEnds) {
+    public void checkNumberTables(AllowedFarEnds farEnds) {
         allowedFarEnds = farEnds;
-        verdicts.put("one_table", new Verdict("one_table"));
+        verdicts.put("one_table", new RuleResult("one_table"));
     }
 
     /** Results by the name of the rule. */
-    public Map<String, Verdict> verdicts() {
+    public Map<String, RuleResult> verdicts() {
         return verdicts;
     }
 
@@ -193,7 +193,7 @@
      * Delays in µs from the notification of a router that an exchange is draining or gone to the
      * last INVITE that it sent there, 0 for none.
      */
-    public Histogram lastSent() {
+    public Histogram inviteDelaysAfterDrain() {
         Histogram delays = new Histogram(MAX_RECORDED_DELAY_MICROS, 3);
         knownExchanges
                 .values()
@@ -213,17 +213,17 @@
     }
 
     /** Counts a captured message that cannot be parsed. Routers never send one themselves. */
-    public void unreadable() {
+    public void countMalformed() {
         malformed++;
     }
 
     /** Number of captured messages that could not be parsed. */
-    public long unreadables() {
+    public long malformedMessages() {
         return malformed;
     }
 
     @Override
-    public void killed(String node) {
+    public void routerKilled(String node) {
         sessionsById.values().removeIf(session -> session.node.equals(node));
         sessionsByCall.values().removeIf(session -> session.node.equals(node));
         // What it knows of exchanges stays: a router stores that over a restart.
@@ -231,7 +231,7 @@
     }
 
     @Override
-    public void started(int number, long since) {
+    public void coldStarted(int number, long since) {
         coldStarts.put(number, since);
         coldSetUps.remove(number);
     }
@@ -242,7 +242,7 @@
         try {
             message = SipParser.parse(bytes, 0, bytes.length);
         } catch (BadMessage e) {
-            unreadable();
+            countMalformed();
             return;
         }
         read(now, node, out, peer, message);
@@ -364,7 +364,7 @@
             return;
         }
         SentInvite known = invitesByCall.get(key(node, invite));
-        Verdict oneInvite = verdicts.get("one_invite");
+        RuleResult oneInvite = verdicts.get("one_invite");
         if (known != null) {
             // A retransmission after the end of an INVITE would make it active again beside the
             // next.
@@ -560,15 +560,16 @@
                                                 && known.startNumber == since
                                                 && known.startLearntAt <= now);
         window.add(new ColdSetUp(now, startWasKnown));
-        while (window.peek().at <= now - rules.fallWindow()) {
+        while (window.peek().at <= now - rules.overloadWindow()) {
             window.poll();
         }
-        double capacity = rules.coldFrom() + (1 - rules.coldFrom()) * age / rules.warmUp();
+        double capacity =
+                rules.coldCapacityShare() + (1 - rules.coldCapacityShare()) * age / rules.warmUp();
         double budget =
-                rules.fallMultiple()
+                rules.overloadMultiple()
                         * capacity
                         * rules.setUpsPerSecond()
-                        * rules.fallWindow()
+                        * rules.overloadWindow()
                         / 1e6;
         long informed = window.stream().filter(ColdSetUp::startWasKnown).count();
         boolean passed = window.size() <= budget || informed * 3 < window.size() * 2L;
@@ -586,8 +587,8 @@
     /**
      * Ends the capture: every session whose time limit has passed must have been answered in time.
      */
-    public void end(long now) {
-        Verdict verdict = verdicts.get("final_answer");
+    public void finish(long now) {
+        RuleResult verdict = verdicts.get("final_answer");
         for (ObservedSession session : sessionsByCall.values()) {
             long limit = session.receivedAt + session.timeLeft + rules.answerGrace();
             if (session.finalAnswers == 0 && (limit > now || session.cancelled)) {
--- a/src/main/java/coralcove/judge/Verdict.java
+++ b/src/main/java/coralcove/judge/RuleResult.java
@@ -6,7 +6,7 @@
 /**
  * Result of one rule: how often it was checked, how often it was broken, and the first breaches.
  */
-public final class Verdict {
+public final class RuleResult {
     /** Most breaches recorded with a description. */
     private static final int MAX_BREACHES = 20;
 
@@ -15,7 +15,7 @@
     private long broken;
     private final List<String> breaches = new ArrayList<>();
 
-    Verdict(String rule) {
+    RuleResult(String rule) {
         this.rule = rule;
     }
 
--- a/src/main/java/coralcove/rehearsal/Day.java
+++ b/src/main/java/coralcove/rehearsal/Day.java
@@ -127,9 +127,9 @@
                 routerLimits.peers,
                 true,
                 rules.releaseWait(),
-                rules.fallMultiple(),
-                rules.fallWindow(),
-                rules.coldFrom(),
+                rules.overloadMultiple(),
+                rules.overloadWindow(),
+                rules.coldCapacityShare(),
                 rules.warmUp());
     }
 
--- a/src/main/java/coralcove/rehearsal/Rehearse.java
+++ b/src/main/java/coralcove/rehearsal/Rehearse.java
@@ -2,8 +2,8 @@
 
 import coralcove.dns.SimulatedDnsServer;
 import coralcove.exchange.CallerStats;
-import coralcove.judge.Judge;
-import coralcove.judge.Witness;
+import coralcove.judge.RuleChecker;
+import coralcove.judge.ScenarioListener;
 import coralcove.network.LiveNetwork;
 import coralcove.network.Network;
 import coralcove.network.VirtualNetwork;
@@ -37,7 +37,7 @@
     private static final int LAST_PORT = 32_000;
 
     /** Passes captured messages to the judge, the meter and the file; each is parsed only once. */
-    private record CaptureObserver(Judge judge, AddedDelayMeter meter, CaptureWriter file)
+    private record CaptureObserver(RuleChecker judge, AddedDelayMeter meter, CaptureWriter file)
             implements Network.MessageObserver {
         @Override
         public void onMessage(long now, String node, boolean out, Hop peer, byte[] bytes) {
@@ -46,7 +46,7 @@
                 judge.read(now, node, out, peer, message);
                 meter.observe(now, node, out, message);
             } catch (BadMessage e) {
-                judge.unreadable();
+                judge.countMalformed();
             }
             file.onMessage(now, node, out, peer, bytes);
         }
@@ -65,13 +65,13 @@
     }
 
     /** Ignores all events; used in runs that are not judged. */
-    private static final Witness NO_WITNESS =
-            new Witness() {
+    private static final ScenarioListener NO_WITNESS =
+            new ScenarioListener() {
                 @Override
-                public void killed(String node) {}
+                public void routerKilled(String node) {}
 
                 @Override
-                public void started(int number, long since) {}
+                public void coldStarted(int number, long since) {}
             };
 
     private Rehearse() {}
@@ -103,7 +103,7 @@
         if (capture != null && !(text && judged)) {
             throw new IllegalArgumentException("a capture needs a judged run with message texts");
         }
-        Judge judge = new Judge(scenario.rules());
+        RuleChecker judge = new RuleChecker(scenario.rules());
         AddedDelayMeter meter = new AddedDelayMeter();
         try (CaptureWriter file = CaptureWriter.open(capture)) {
             Map<String, Integer> zones = new HashMap<>();
@@ -126,7 +126,8 @@
                             : PortabilityService.virtual(
                                     network, portabilityServer(scenario, seed), seed);
             if (portability != null) {
-                judge.numbers(ScenarioRun.farEnds(scenario, ScenarioRun.startTime(network.now())));
+                judge.checkNumberTables(
+                        ScenarioRun.farEnds(scenario, ScenarioRun.startTime(network.now())));
             }
             ScenarioRun run =
                     new ScenarioRun(
@@ -138,7 +139,7 @@
                             judged ? judge : NO_WITNESS,
                             portability);
             CallerStats stats = run.run();
-            judge.end(network.now());
+            judge.finish(network.now());
             return buildResult(
                     scenario,
                     seed,
@@ -160,7 +161,7 @@
      */
     public static Result live(Day scenario, long seed, String policy, Path capture)
             throws IOException {
-        Judge judge = new Judge(scenario.rules());
+        RuleChecker judge = new RuleChecker(scenario.rules());
         AddedDelayMeter meter = new AddedDelayMeter();
         CallerStats stats;
         long[] portabilityCounts;
@@ -172,7 +173,7 @@
             try {
                 int firstPort = firstOfFreePorts(ScenarioRun.portCount(scenario));
                 if (scenario.numberPlan() != null) {
-                    judge.numbers(
+                    judge.checkNumberTables(
                             ScenarioRun.farEnds(scenario, ScenarioRun.startTime(network.now())));
                 }
                 try (PortabilityService portability =
@@ -200,7 +201,7 @@
                 network.close();
                 buffer.close();
             }
-            judge.end(LiveNetwork.currentTimeMicros());
+            judge.finish(LiveNetwork.currentTimeMicros());
             if (network.droppedInputs() > 0) {
                 System.err.println(
                         "coralcove: "
@@ -231,7 +232,7 @@
             boolean virtual,
             CallerStats stats,
             AddedDelayMeter meter,
-            Judge judge,
+            RuleChecker judge,
             long[] portabilityCounts,
             Histogram planAges,
             long startTime) {
@@ -249,7 +250,7 @@
                 portabilityCounts,
                 planAges,
                 startTime,
-                judge.lastSent());
+                judge.inviteDelaysAfterDrain());
     }
 
     /** Returns the processor time in µs that this process has used. */
--- a/src/main/java/coralcove/rehearsal/ReorderingBuffer.java
+++ b/src/main/java/coralcove/rehearsal/ReorderingBuffer.java
@@ -1,6 +1,6 @@
 package coralcove.rehearsal;
 
-import coralcove.judge.Witness;
+import coralcove.judge.ScenarioListener;
 import coralcove.network.LiveNetwork;
 import coralcove.network.Network;
 import coralcove.sip.Hop;
@@ -12,7 +12,7 @@
  * order of time. An event is passed on once it is older than {@link #REORDER_WINDOW_US}, when no
  * earlier one is expected any more.
  */
-final class ReorderingBuffer implements Network.MessageObserver, Witness, AutoCloseable {
+final class ReorderingBuffer implements Network.MessageObserver, ScenarioListener, AutoCloseable {
     /**
      * Longer than a thread of a loaded machine takes between stamping a message and handing it on.
      */
@@ -33,7 +33,7 @@
             Runnable notification) {}
 
     private final Network.MessageObserver observer;
-    private final Witness witness;
+    private final ScenarioListener witness;
     private final ConcurrentLinkedQueue<CapturedEvent> incoming = new ConcurrentLinkedQueue<>();
     private final PriorityQueue<CapturedEvent> pending =
             new PriorityQueue<>(
@@ -47,7 +47,7 @@
     private long lastDeliveredTime;
     private long lateEvents;
 
-    ReorderingBuffer(Network.MessageObserver observer, Witness witness) {
+    ReorderingBuffer(Network.MessageObserver observer, ScenarioListener witness) {
         this.observer = observer;
         this.witness = witness;
         thread.start();
@@ -64,13 +64,13 @@
     }
 
     @Override
-    public void killed(String node) {
-        enqueueNotification(LiveNetwork.currentTimeMicros(), () -> witness.killed(node));
+    public void routerKilled(String node) {
+        enqueueNotification(LiveNetwork.currentTimeMicros(), () -> witness.routerKilled(node));
     }
 
     @Override
-    public void started(int number, long since) {
-        enqueueNotification(since, () -> witness.started(number, since));
+    public void coldStarted(int number, long since) {
+        enqueueNotification(since, () -> witness.coldStarted(number, since));
     }
 
     /** Enqueues a notification of the witness, to be made at its place in the order of time. */
--- a/src/main/java/coralcove/rehearsal/Result.java
+++ b/src/main/java/coralcove/rehearsal/Result.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import coralcove.exchange.CallerStats;
-import coralcove.judge.Verdict;
+import coralcove.judge.RuleResult;
 import java.util.Map;
 import org.HdrHistogram.Histogram;
 
@@ -26,7 +26,7 @@
         CallerStats stats,
         Histogram added,
         long cpuTime,
-        Map<String, Verdict> rules,
+        Map<String, RuleResult> rules,
         long[] portabilityCounts,
         Histogram planAges,
         long zero,
--- a/src/main/java/coralcove/rehearsal/ScenarioRun.java
+++ b/src/main/java/coralcove/rehearsal/ScenarioRun.java
@@ -13,8 +13,8 @@
 import coralcove.exchange.CallerStats;
 import coralcove.exchange.ExchangeSettings;
 import coralcove.exchange.SimulatedExchange;
-import coralcove.judge.Judge;
-import coralcove.judge.Witness;
+import coralcove.judge.RuleChecker;
+import coralcove.judge.ScenarioListener;
 import coralcove.network.Network;
 import coralcove.network.VirtualNetwork;
 import coralcove.numbers.NumberTable;
@@ -72,7 +72,7 @@
     private final String policy;
     private final Network network;
     private final int firstPort;
-    private final Witness witness;
+    private final ScenarioListener witness;
     private final CallerStats[] stats;
     private final Map<String, SimulatedExchange> exchanges = new HashMap<>();
     private final Map<String, EdgeCore> edges = new LinkedHashMap<>();
@@ -95,7 +95,7 @@
             String policy,
             Network network,
             int firstPort,
-            Witness witness,
+            ScenarioListener witness,
             PortabilityService portability) {
         this.scenario = scenario;
         this.seed = seed;
@@ -272,7 +272,7 @@
     }
 
     /** Returns the far ends that the judge accepts for a number dialled at a given time. */
-    static Judge.FarEnds farEnds(Day scenario, long startTime) {
+    static RuleChecker.AllowedFarEnds farEnds(Day scenario, long startTime) {
         DialPlan dialPlan = new DialPlan(scenario.exchanges(), scenario.numberPlan());
         long interval = scenario.numberPlan().replaceInterval();
         long lastVersion = interval == 0 ? 1 : 1 + (scenario.length() - 1) / interval;
@@ -426,9 +426,9 @@
                         services,
                         scenario.callerModel(),
                         new ExchangeSettings.ColdStartRules(
-                                rules.fallMultiple(),
-                                rules.fallWindow(),
-                                rules.coldFrom(),
+                                rules.overloadMultiple(),
+                                rules.overloadWindow(),
+                                rules.coldCapacityShare(),
                                 rules.warmUp()),
                         since,
                         groups,
@@ -440,7 +440,7 @@
         SimulatedExchange core = new SimulatedExchange(settings, arrivals, stats[number]);
         exchanges.put("exchange-" + number, core);
         if (since > 0) {
-            witness.started(number, since);
+            witness.coldStarted(number, since);
         }
         network.addNode("exchange-" + number, exchangeAddress(number), core, false);
     }
@@ -647,7 +647,7 @@
                         startTime + at,
                         () -> {
                             network.killNode("edge-" + number);
-                            witness.killed("edge-" + number);
+                            witness.routerKilled("edge-" + number);
                         });
                 network.schedule(startTime + end, () -> addEdge(number));
             }
--- a/src/main/java/coralcove/theory/Queue.java
+++ b/src/main/java/coralcove/theory/SingleServerQueue.java
@@ -1,8 +1,8 @@
 package coralcove.theory;
 
 /** Mean wait at a single first-come, first-served server with Poisson arrivals (M/G/1). */
-public final class Queue {
-    private Queue() {}
+public final class SingleServerQueue {
+    private SingleServerQueue() {}
 
     /**
      * Mean wait before service (Pollaczek-Khinchine formula).
@@ -12,7 +12,7 @@
      * @param meanSquare second moment of the service time
      * @return the mean wait in time units; infinite where the server is saturated
      */
-    public static double wait(double rate, double mean, double meanSquare) {
+    public static double meanWait(double rate, double mean, double meanSquare) {
         double utilization = rate * mean;
         return utilization >= 1
                 ? Double.POSITIVE_INFINITY
--- a/src/test/java/coralcove/bound/BoundTest.java
+++ b/src/test/java/coralcove/bound/BoundTest.java
@@ -22,20 +22,20 @@
                 List.of(
                         new Demand(0, 1, 0, 1, 0.01, 3000, 2),
                         new Demand(0, 1, 0, 1, 0.01, 3000, 1));
-        Network network = new Network(circuits, 1, 1, demands);
+        DemandNetwork network = new DemandNetwork(circuits, 1, 1, demands);
         double use = network.expectedUse(0.01, 0);
         assertThat(use).isCloseTo(0.0099, within(1e-6));
         // Direct route and tandem: 15 circuits for a second, all used by the calls of value 2.
         assertThat(LinearProgramBound.solve(network)).isCloseTo(2 * 15 / use, within(1e-3));
-        assertThat(new PricedBound(network).value())
+        assertThat(new LagrangianBound(network).value())
                 .isBetween(2 * 15 / use - 1e-6, 1.01 * 2 * 15 / use);
-        assertThat(network.offered()).isEqualTo(9000);
+        assertThat(network.offeredValue()).isEqualTo(9000);
     }
 
     /** Expected use sums to the hold time over all slices, and matches sampling in each slice. */
     @Test
     void expectedUseSumsToHoldTime() {
-        Network network = new Network(new int[2][2], 50, 10, List.of());
+        DemandNetwork network = new DemandNetwork(new int[2][2], 50, 10, List.of());
         SplittableRandom random = new SplittableRandom(2);
         for (double hold : new double[] {3, 11, 40}) {
             double sum = 0;
@@ -61,7 +61,7 @@
         }
     }
 
-    private static Network randomNetwork(SplittableRandom random, int n) {
+    private static DemandNetwork randomNetwork(SplittableRandom random, int n) {
         int[][] circuits = new int[n][n];
         List<Demand> demands = new ArrayList<>();
         for (int i = 0; i < n; i++) {
@@ -78,7 +78,7 @@
                 }
             }
         }
-        return new Network(circuits, 3, 10, demands);
+        return new DemandNetwork(circuits, 3, 10, demands);
     }
 
     /** The bound by prices is never below the exact one and exceeds it by less than 2%. */
@@ -86,18 +86,18 @@
     void pricedBoundIsCloseToLinearProgram() {
         SplittableRandom random = new SplittableRandom(5);
         for (int i = 0; i < 12; i++) {
-            Network network = randomNetwork(random, 4 + i % 5);
+            DemandNetwork network = randomNetwork(random, 4 + i % 5);
             double exact = LinearProgramBound.solve(network);
-            double priced = new PricedBound(network).value();
+            double priced = new LagrangianBound(network).value();
             assertThat(priced).isGreaterThanOrEqualTo(exact * (1 - 1e-9));
             assertThat(priced).isLessThan(1.02 * exact);
-            assertThat(exact).isLessThanOrEqualTo(network.offered() + 1e-6);
+            assertThat(exact).isLessThanOrEqualTo(network.offeredValue() + 1e-6);
         }
     }
 
     @Test
     void rejectsTooManyExchangesForLinearProgram() {
-        Network network =
+        DemandNetwork network =
                 randomNetwork(new SplittableRandom(1), LinearProgramBound.MAX_EXCHANGES + 1);
         assertThatThrownBy(() -> LinearProgramBound.solve(network))
                 .hasMessage("17 exchanges, and at most 16 are solved exactly");
--- a/src/test/java/coralcove/exchange/ProcessorTest.java
+++ b/src/test/java/coralcove/exchange/ProcessorTest.java
@@ -4,7 +4,7 @@
 import static org.assertj.core.api.Assertions.within;
 
 import coralcove.sip.Timers;
-import coralcove.theory.Queue;
+import coralcove.theory.SingleServerQueue;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
@@ -30,7 +30,7 @@
                 totalWait += processor.queueingDelay(now);
                 processor.enqueue(now, serviceTimes[random.nextInt(3)], Processor::noAction);
             }
-            double expected = Queue.wait(rate, mean, meanSquare);
+            double expected = SingleServerQueue.meanWait(rate, mean, meanSquare);
             assertThat(totalWait / arrivals).isCloseTo(expected, within(0.04 * expected));
         }
     }
--- a/src/test/java/coralcove/judge/JudgeTest.java
+++ b/src/test/java/coralcove/judge/JudgeTest.java
@@ -18,8 +18,8 @@
      * Answer grace 10 ms, drain grace 1 s, release wait 300 ms; a cold exchange is overloaded by
      * twice half of 10 set-ups a second in 1 s.
      */
-    private final Judge judge =
-            new Judge(
+    private final RuleChecker judge =
+            new RuleChecker(
                     new Rules(
                             10 * MS,
                             1000 * MS,
@@ -91,7 +91,7 @@
     }
 
     private void expectBroken(String rule) {
-        judge.end(60_000 * MS);
+        judge.finish(60_000 * MS);
         judge.verdicts()
                 .forEach(
                         (name, verdict) ->
@@ -131,7 +131,7 @@
     @Test
     void requiresNoAnswerFromAKilledRouter() {
         session(0);
-        judge.killed(NODE);
+        judge.routerKilled(NODE);
         expectBroken("");
     }
 
@@ -259,7 +259,7 @@
                 .reply(1200, "o", 503, 42)
                 .answer(1300, 480, "a")
                 .expectBroken("");
-        assertThat(judge.lastSent().getMaxValue()).isBetween(1000 * MS, 1001 * MS);
+        assertThat(judge.inviteDelaysAfterDrain().getMaxValue()).isBetween(1000 * MS, 1001 * MS);
     }
 
     @Test
@@ -322,7 +322,7 @@
     @Test
     void drainStateSurvivesRestartOfTheRouter() {
         list(0, READY).list(100, DRAINING);
-        judge.killed(NODE);
+        judge.routerKilled(NODE);
         session(2000)
                 .sent(2001, invite("o", "s", 900))
                 .reply(2100, "o", 503, 42)
@@ -336,7 +336,7 @@
      * @param notified whether router 2 was notified of the start
      */
     private JudgeTest coldStart(int setUps, boolean notified) {
-        judge.started(1, 50 * MS);
+        judge.coldStarted(1, 50 * MS);
         if (notified) {
             judge.onMessage(
                     59 * MS,
--- a/src/test/java/coralcove/rehearsal/ScenarioRunTest.java
+++ b/src/test/java/coralcove/rehearsal/ScenarioRunTest.java
@@ -123,9 +123,9 @@
         // Replaying the capture gives the same verdict on the rules that do not depend on
         // starts and kills.
         Day scenario = badDayScenario(6);
-        coralcove.judge.Judge judge = new coralcove.judge.Judge(scenario.rules());
-        judge.end(CaptureLine.read(first, judge));
-        assertThat(judge.unreadables()).isZero();
+        coralcove.judge.RuleChecker judge = new coralcove.judge.RuleChecker(scenario.rules());
+        judge.finish(CaptureLine.read(first, judge));
+        assertThat(judge.malformedMessages()).isZero();
         assertThat(judge.verdicts().get("one_invite").checked()).isGreaterThan(1000);
         assertThat(judge.verdicts().values().stream().mapToLong(v -> v.broken()).sum()).isZero();
     }
--- a/src/test/java/coralcove/theory/TheoryTest.java
+++ b/src/test/java/coralcove/theory/TheoryTest.java
@@ -51,9 +51,9 @@
     @Test
     void meanWaitOfSingleServerQueues() {
         // At a utilization of 0.8 the mean wait is four service times in M/M/1, two in M/D/1.
-        assertThat(Queue.wait(0.8, 1, 2)).isCloseTo(4, within(1e-9));
-        assertThat(Queue.wait(0.8, 1, 1)).isCloseTo(2, within(1e-9));
-        assertThat(Queue.wait(1, 1, 1)).isInfinite();
+        assertThat(SingleServerQueue.meanWait(0.8, 1, 2)).isCloseTo(4, within(1e-9));
+        assertThat(SingleServerQueue.meanWait(0.8, 1, 1)).isCloseTo(2, within(1e-9));
+        assertThat(SingleServerQueue.meanWait(1, 1, 1)).isInfinite();
     }
 
     /**
