--- a/src/main/java/coralcove/cli/Commands.java
+++ b/src/main/java/coralcove/cli/Commands.java
@@ -38,12 +38,12 @@
 import coralcove.planner.transport.PlannerClient;
 import coralcove.portability.PortabilityService;
 import coralcove.portability.RouterLocators;
-import coralcove.rehearsal.BenchDay;
-import coralcove.rehearsal.CaptureLine;
-import coralcove.rehearsal.Day;
-import coralcove.rehearsal.DayFile;
-import coralcove.rehearsal.Rehearse;
-import coralcove.rehearsal.Result;
+import coralcove.rehearsal.BenchScenario;
+import coralcove.rehearsal.CaptureFormat;
+import coralcove.rehearsal.Scenario;
+import coralcove.rehearsal.ScenarioFile;
+import coralcove.rehearsal.ScenarioResult;
+import coralcove.rehearsal.ScenarioRunner;
 import coralcove.sip.Core;
 import coralcove.sip.Hop;
 import coralcove.sources.store.RosterStore;
@@ -491,11 +491,11 @@
                 description = "seed of all random numbers (default 1)")
         long seed;
 
-        Day read() throws BadConfig, IOException {
+        Scenario read() throws BadConfig, IOException {
             if (day == null == (from == null)) {
                 throw new BadConfig("give either DAY or --from DAY.json");
             }
-            return from == null ? DayFile.read(day, seed) : BenchDay.read(from, seed);
+            return from == null ? ScenarioFile.read(day, seed) : BenchScenario.read(from, seed);
         }
     }
 
@@ -562,34 +562,34 @@
                                 + " is none of "
                                 + String.join(", ", RoutingPolicies.NAMES));
             }
-            Day selected = day.read();
-            selected.unmapped().forEach(line -> System.out.println("not mapped: " + line));
-            Result result =
+            Scenario selected = day.read();
+            selected.unmappedSettings().forEach(line -> System.out.println("not mapped: " + line));
+            ScenarioResult result =
                     virtual
-                            ? Rehearse.virtual(selected, day.seed, policy, capture, null)
-                            : Rehearse.live(selected, day.seed, policy, capture);
+                            ? ScenarioRunner.runVirtual(selected, day.seed, policy, capture, null)
+                            : ScenarioRunner.runLive(selected, day.seed, policy, capture);
             print(result);
             if (summary != null) {
-                Files.writeString(summary, result.json().toPrettyString() + "\n");
+                Files.writeString(summary, result.toJson().toPrettyString() + "\n");
             }
-            return result.kept() ? 0 : RULE_BROKEN;
+            return result.allRulesKept() ? 0 : RULE_BROKEN;
         }
 
-        private static void print(Result result) {
+        private static void print(ScenarioResult result) {
             CallerStats stats = result.stats();
             System.out.printf(
                     Locale.ROOT,
                     "%s, policy %s, seed %d, %s%n",
-                    result.day(),
+                    result.scenario(),
                     result.policy(),
                     result.seed(),
-                    result.virtual() ? "virtual time" : "live on loopback");
+                    result.virtualTime() ? "virtual time" : "live on loopback");
             System.out.printf(
                     Locale.ROOT,
                     "value served %.0f of %.0f: %.3f%n",
                     stats.valueServed,
-                    result.offered(),
-                    result.share());
+                    result.offeredValue(),
+                    result.servedShare());
             System.out.printf(
                     Locale.ROOT,
                     "sessions %d: stood %d (cut later %d), busy-replied %d, terminated %d, "
@@ -606,18 +606,18 @@
                             + "p99 %.2f ms%n",
                     stats.postDialDelay.getValueAtPercentile(50) / 1e3,
                     stats.postDialDelay.getValueAtPercentile(99) / 1e3,
-                    result.added().getValueAtPercentile(50) / 1e3,
-                    result.added().getValueAtPercentile(99) / 1e3);
-            if (result.lastSent().getTotalCount() > 0) {
+                    result.addedDelay().getValueAtPercentile(50) / 1e3,
+                    result.addedDelay().getValueAtPercentile(99) / 1e3);
+            if (result.lastInviteDelays().getTotalCount() > 0) {
                 System.out.printf(
                         Locale.ROOT,
                         "last INVITE after a drain or an end was told: p99 %.0f ms, most %.0f ms,"
                                 + " of %d tellings%n",
-                        result.lastSent().getValueAtPercentile(99) / 1e3,
-                        result.lastSent().getMaxValue() / 1e3,
-                        result.lastSent().getTotalCount());
+                        result.lastInviteDelays().getValueAtPercentile(99) / 1e3,
+                        result.lastInviteDelays().getMaxValue() / 1e3,
+                        result.lastInviteDelays().getTotalCount());
             }
-            result.rules().values().forEach(Commands::print);
+            result.ruleResults().values().forEach(Commands::print);
         }
     }
 
@@ -676,16 +676,17 @@
             java.util.concurrent.ExecutorService pool =
                     java.util.concurrent.Executors.newFixedThreadPool(jobs);
             try {
-                List<java.util.concurrent.Future<Result>> runs = new java.util.ArrayList<>();
+                List<java.util.concurrent.Future<ScenarioResult>> runs =
+                        new java.util.ArrayList<>();
                 for (int i = 1; i <= seeds; i++) {
                     long seed = i;
                     runs.add(
                             pool.submit(
                                     () ->
-                                            Rehearse.virtual(
+                                            ScenarioRunner.runVirtual(
                                                     path.toString().endsWith(".json")
-                                                            ? BenchDay.read(path, seed)
-                                                            : DayFile.read(path, seed),
+                                                            ? BenchScenario.read(path, seed)
+                                                            : ScenarioFile.read(path, seed),
                                                     seed,
                                                     policy,
                                                     null,
@@ -694,16 +695,16 @@
                 double[] shares = new double[seeds];
                 java.util.TreeMap<String, long[]> rules = new java.util.TreeMap<>();
                 for (int i = 0; i < seeds; i++) {
-                    Result result = runs.get(i).get();
-                    shares[i] = result.share();
-                    result.rules()
+                    ScenarioResult result = runs.get(i).get();
+                    shares[i] = result.servedShare();
+                    result.ruleResults()
                             .forEach(
                                     (name, verdict) -> {
                                         long[] sum = rules.computeIfAbsent(name, n -> new long[2]);
                                         sum[0] += verdict.checked();
                                         sum[1] += verdict.broken();
                                     });
-                    result.rules().values().stream()
+                    result.ruleResults().values().stream()
                             .flatMap(verdict -> verdict.breaches().stream())
                             .limit(3)
                             .forEach(
@@ -767,7 +768,7 @@
         @Override
         public Integer call() throws Exception {
             RuleChecker judge = new RuleChecker(day.read().rules());
-            judge.finish(CaptureLine.read(capture, judge));
+            judge.finish(CaptureFormat.replay(capture, judge));
             judge.verdicts().values().forEach(Commands::print);
             return judge.verdicts().values().stream().allMatch(verdict -> verdict.broken() == 0)
                     ? 0
@@ -792,7 +793,7 @@
             TomlSettings toml = TomlSettings.read(config);
             String kind;
             if (toml.has("day")) {
-                kind = "a day of " + DayFile.of(toml, 0).exchanges() + " exchanges";
+                kind = "a day of " + ScenarioFile.parse(toml, 0).exchangeCount() + " exchanges";
             } else if (toml.has("edge")) {
                 EdgeSettingsFile file = EdgeSettingsFile.of(toml);
                 kind = "call router " + file.settings().number();
--- a/src/main/java/coralcove/emulator/Calibration.java
+++ b/src/main/java/coralcove/emulator/Calibration.java
@@ -3,10 +3,10 @@
 import coralcove.config.BadConfig;
 import coralcove.config.TomlSettings;
 import coralcove.exchange.Arrival;
-import coralcove.rehearsal.Day;
-import coralcove.rehearsal.DayFile;
-import coralcove.rehearsal.Rehearse;
-import coralcove.rehearsal.Result;
+import coralcove.rehearsal.Scenario;
+import coralcove.rehearsal.ScenarioFile;
+import coralcove.rehearsal.ScenarioResult;
+import coralcove.rehearsal.ScenarioRunner;
 import coralcove.theory.Erlang;
 import coralcove.theory.SymmetricNetwork;
 import java.io.IOException;
@@ -117,13 +117,13 @@
                 .forEach(
                         i -> {
                             try {
-                                Day day =
-                                        DayFile.of(
+                                Scenario day =
+                                        ScenarioFile.parse(
                                                 TomlSettings.from("calibration.toml", toml), 1 + i);
                                 lost[i] =
                                         lossByService(
                                                 day,
-                                                Rehearse.virtual(
+                                                ScenarioRunner.runVirtual(
                                                         day, 1 + i, policy, null, null, false,
                                                         false));
                             } catch (BadConfig | IOException e) {
@@ -133,10 +133,10 @@
         return lost;
     }
 
-    private static double[] lossByService(Day day, Result result) {
+    private static double[] lossByService(Scenario day, ScenarioResult result) {
         double[] offered = new double[day.services().size()];
         double[] established = new double[offered.length];
-        long from = result.zero() / MICROS_PER_SECOND + WARM_UP_SECONDS;
+        long from = result.startTime() / MICROS_PER_SECOND + WARM_UP_SECONDS;
         for (List<Arrival> list : day.arrivals()) {
             for (Arrival each : list) {
                 offered[each.service()] +=
--- a/src/main/java/coralcove/experiment/ExperimentPlan.java
+++ b/src/main/java/coralcove/experiment/ExperimentPlan.java
@@ -6,7 +6,7 @@
 import coralcove.baseline.RoutingPolicies;
 import coralcove.config.BadConfig;
 import coralcove.config.TomlSettings;
-import coralcove.rehearsal.DayFile;
+import coralcove.rehearsal.ScenarioFile;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -127,7 +127,7 @@
         name = experiment.text("name");
         dayFile = folder.resolve(experiment.text("day")).normalize();
         TomlSettings dayToml = TomlSettings.read(dayFile);
-        DayFile.of(dayToml, 1);
+        ScenarioFile.parse(dayToml, 1);
         day = (ObjectNode) dayToml.root();
         firstSeed = experiment.integer("first_seed", 1, 1_000_000, 1);
         seeds = experiment.integer("seeds", 1, 100_000, 10);
@@ -268,7 +268,7 @@
                 continue;
             }
             try {
-                DayFile.of(TomlSettings.from(dayFile.toString(), run.day), run.seed);
+                ScenarioFile.parse(TomlSettings.from(dayFile.toString(), run.day), run.seed);
             } catch (BadConfig e) {
                 String reason = e.getMessage().replaceFirst("^.*?:\\d+: ", "");
                 // The error is reported for the factor that the reason names, or for the first one.
--- a/src/main/java/coralcove/experiment/RunExecutor.java
+++ b/src/main/java/coralcove/experiment/RunExecutor.java
@@ -8,10 +8,10 @@
 import coralcove.config.BadConfig;
 import coralcove.config.TomlSettings;
 import coralcove.exchange.Arrival;
-import coralcove.rehearsal.Day;
-import coralcove.rehearsal.DayFile;
-import coralcove.rehearsal.Rehearse;
-import coralcove.rehearsal.Result;
+import coralcove.rehearsal.Scenario;
+import coralcove.rehearsal.ScenarioFile;
+import coralcove.rehearsal.ScenarioResult;
+import coralcove.rehearsal.ScenarioRunner;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
@@ -45,16 +45,17 @@
     public static ObjectNode execute(
             ObjectNode day, long seed, String policy, boolean boundRequired)
             throws BadConfig, IOException {
-        Day generatedDay = DayFile.of(TomlSettings.from("day", day), seed);
-        Result result = Rehearse.virtual(generatedDay, seed, policy, null, null, false, true);
+        Scenario generatedDay = ScenarioFile.parse(TomlSettings.from("day", day), seed);
+        ScenarioResult result =
+                ScenarioRunner.runVirtual(generatedDay, seed, policy, null, null, false, true);
         return metrics(generatedDay, result, boundRequired);
     }
 
-    static ObjectNode metrics(Day day, Result result, boolean boundRequired) {
+    static ObjectNode metrics(Scenario day, ScenarioResult result, boolean boundRequired) {
         ObjectNode metrics = new ObjectMapper().createObjectNode();
-        metrics.put("share", round(result.share()));
+        metrics.put("share", round(result.servedShare()));
         metrics.put("worst_10s", round(worstShare(day, result)));
-        metrics.put("offered", round(result.offered()))
+        metrics.put("offered", round(result.offeredValue()))
                 .put("served", round(result.stats().valueServed));
         metrics.put("sessions", result.stats().sessions).put("stood", result.stats().established);
         metrics.put("busy_replied", result.stats().busyReplied)
@@ -80,17 +81,17 @@
         ObjectNode lost = metrics.putObject("lost");
         double accountedFor = result.stats().valueServed;
         for (Map.Entry<String, Double> loss : new TreeMap<>(result.stats().lostValue).entrySet()) {
-            lost.put(loss.getKey(), round(loss.getValue() / result.offered()));
+            lost.put(loss.getKey(), round(loss.getValue() / result.offeredValue()));
             accountedFor += loss.getValue();
         }
         // The rest belongs to callers of an exchange that was down: they never dialled, or the
         // exchange failed during their call attempt.
         lost.put(
                 "exchange down",
-                round(Math.max(0, result.offered() - accountedFor) / result.offered()));
+                round(Math.max(0, result.offeredValue() - accountedFor) / result.offeredValue()));
         long broken = 0;
         long checked = 0;
-        for (var verdict : result.rules().values()) {
+        for (var verdict : result.ruleResults().values()) {
             broken += verdict.broken();
             checked += verdict.checked();
         }
@@ -102,7 +103,7 @@
                             Math.min(
                                     1,
                                     new LagrangianBound(demandNetwork(day)).value()
-                                            / result.offered())));
+                                            / result.offeredValue())));
         }
         return metrics;
     }
@@ -111,8 +112,8 @@
      * Returns the least share of the offered value that was served in any ten consecutive seconds,
      * counted in full seconds from the start of the day by the time of the caller's first attempt.
      */
-    private static double worstShare(Day day, Result result) {
-        int seconds = (int) (day.length() / SECOND_MICROS);
+    private static double worstShare(Scenario day, ScenarioResult result) {
+        int seconds = (int) (day.duration() / SECOND_MICROS);
         double[] offered = new double[seconds + 1];
         for (List<Arrival> arrivals : day.arrivals()) {
             for (Arrival arrival : arrivals) {
@@ -120,7 +121,7 @@
                         day.services().get(arrival.service()).value();
             }
         }
-        long firstSecond = result.zero() / SECOND_MICROS;
+        long firstSecond = result.startTime() / SECOND_MICROS;
         double worst = 1;
         for (int start = 0; start + WORST_PERIOD_SECONDS <= seconds; start++) {
             double offeredInPeriod = 0;
@@ -142,14 +143,14 @@
      * Returns the demand of a day as it was generated, the calls of a crowd included. Faults remove
      * no capacity, so the bound holds with and without them.
      */
-    static DemandNetwork demandNetwork(Day day) {
-        int exchanges = day.exchanges();
+    static DemandNetwork demandNetwork(Scenario day) {
+        int exchanges = day.exchangeCount();
         int services = day.services().size();
-        int slices = (int) Math.max(1, Math.min(MAX_SLICES, day.length() / SLICE_MICROS));
+        int slices = (int) Math.max(1, Math.min(MAX_SLICES, day.duration() / SLICE_MICROS));
         Map<Long, Integer> counts = new TreeMap<>();
         for (int from = 0; from < exchanges; from++) {
             for (Arrival arrival : day.arrivals().get(from)) {
-                long slice = arrival.arrivalTime() * slices / day.length();
+                long slice = arrival.arrivalTime() * slices / day.duration();
                 counts.merge(
                         ((slice * services + arrival.service()) * exchanges + from) * exchanges
                                 + arrival.farEnd(),
@@ -161,18 +162,18 @@
         counts.forEach(
                 (key, count) -> {
                     int service = (int) (key / exchanges / exchanges % services);
-                    Day.Service demanded = day.services().get(service);
+                    Scenario.Service demanded = day.services().get(service);
                     demands.add(
                             new Demand(
                                     (int) (key / exchanges % exchanges),
                                     (int) (key % exchanges),
                                     (int) (key / exchanges / exchanges / services),
                                     demanded.width(),
-                                    demanded.hold() / 1e6,
+                                    demanded.meanHoldTime() / 1e6,
                                     count,
                                     demanded.value()));
                 });
-        return new DemandNetwork(day.groups(), slices, day.length() / 1e6 / slices, demands);
+        return new DemandNetwork(day.groups(), slices, day.duration() / 1e6 / slices, demands);
     }
 
     private static double round(double value) {
--- a/src/main/java/coralcove/rehearsal/BenchDay.java
+++ b/src/main/java/coralcove/rehearsal/BenchScenario.java
@@ -16,10 +16,10 @@
 
 /**
  * Reads a scenario in the JSON format of the operators' bench and maps its sizes, traffic and
- * faults to a {@link Day}. Settings without a counterpart are listed in {@link Day#unmapped}. Times
- * are µs.
+ * faults to a {@link Scenario}. Settings without a counterpart are listed in {@link
+ * Scenario#unmappedSettings}. Times are µs.
  */
-public final class BenchDay {
+public final class BenchScenario {
     /** One-way delay between a router and its local exchange, which the bench does not model. */
     private static final long LOCAL_DELAY_US = 50;
 
@@ -46,7 +46,7 @@
     private final int exchangeCount;
     private final int[] zones;
 
-    private BenchDay(JsonNode root) {
+    private BenchScenario(JsonNode root) {
         this.root = root;
         family = root.path("fam");
         exchangeCount = family.path("n").asInt();
@@ -61,7 +61,7 @@
      *
      * @throws BadConfig if the file is not JSON or does not describe a mesh of exchanges
      */
-    public static Day read(Path path, long seed) throws BadConfig, IOException {
+    public static Scenario read(Path path, long seed) throws BadConfig, IOException {
         JsonNode root;
         try {
             root = new ObjectMapper().readTree(path.toFile());
@@ -76,24 +76,24 @@
         return parse(path.toString(), root, seed);
     }
 
-    static Day parse(String file, JsonNode root, long seed) throws BadConfig {
+    static Scenario parse(String file, JsonNode root, long seed) throws BadConfig {
         if (!root.path("family").asText().equals("trunks")
                 || root.path("fam").path("n").asInt() < 2
                 || root.path("fam").path("pools").asBoolean()) {
             throw new BadConfig(file + ":1: family: not a scenario of a mesh of exchanges");
         }
-        return new BenchDay(root).toScenario(seed);
+        return new BenchScenario(root).toScenario(seed);
     }
 
-    private Day toScenario(long seed) {
+    private Scenario toScenario(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        List<Day.Service> services = new ArrayList<>();
+        List<Scenario.Service> services = new ArrayList<>();
         List<TrafficGenerator.ServiceShare> serviceShares = new ArrayList<>();
         int index = 0;
         for (JsonNode entry : root.path("classes")) {
             long meanHoldTime = family.path("hold").path(index).asLong();
             services.add(
-                    new Day.Service(
+                    new Scenario.Service(
                             entry.path("name").asText(),
                             entry.path("aim").asLong(),
                             entry.path("deadline").asLong(),
@@ -176,8 +176,8 @@
                         0,
                         0,
                         0);
-        Day.RouterLimits routerLimits =
-                new Day.RouterLimits(
+        Scenario.RouterLimits routerLimits =
+                new Scenario.RouterLimits(
                         allowed.path("max_attempts").asInt(),
                         allowed.path("retry_after").asBoolean()
                                 ? clients.path("max_retry_after").asLong()
@@ -186,7 +186,7 @@
                         marksRedials,
                         20_000,
                         allowed.path("max_open").asInt(20_000));
-        return new Day(
+        return new Scenario(
                 root.path("site").asText() + " " + root.path("kind").asText(),
                 length,
                 zones,
@@ -197,7 +197,7 @@
                 speeds,
                 callerModel,
                 Math.max(1, family.path("hot_lines").asInt()),
-                new Day.DirectoryDelays(
+                new Scenario.DirectoryDelays(
                         discovery.path("notice").asLong(),
                         Math.max(1_500_000, discovery.path("silent_notice").asLong()),
                         discovery.path("add").asLong()),
--- a/src/main/java/coralcove/rehearsal/CaptureLine.java
+++ b/src/main/java/coralcove/rehearsal/CaptureFormat.java
@@ -16,10 +16,10 @@
  * Writes and reads capture files. Each line is a JSON object for one captured message: time in µs,
  * node, direction, transport, peer and the message as text, or as Base64 if it is not valid UTF-8.
  */
-public final class CaptureLine {
+public final class CaptureFormat {
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private CaptureLine() {}
+    private CaptureFormat() {}
 
     /** Returns the line for a message that {@code node} sent ({@code out}) or received. */
     static String formatMessage(long now, String node, boolean out, Hop peer, byte[] bytes)
@@ -56,7 +56,7 @@
      * Replays a capture file to {@code tap}; returns the time of its last line in µs, 0 for an
      * empty file.
      */
-    public static long read(Path path, Network.MessageObserver tap) throws IOException {
+    public static long replay(Path path, Network.MessageObserver tap) throws IOException {
         long lastTime = 0;
         int lineNumber = 0;
         try (BufferedReader reader = Files.newBufferedReader(path)) {
--- a/src/main/java/coralcove/rehearsal/DialPlan.java
+++ b/src/main/java/coralcove/rehearsal/DialPlan.java
@@ -27,12 +27,12 @@
     private static final String UNUSED_PREFIX = "84";
 
     private final int exchangeCount;
-    private final Day.NumberPlan settings;
+    private final Scenario.NumberPlan settings;
 
     /** Packed prefixes that are never dialled; built with the first table, null before. */
     private long[] unusedPrefixes;
 
-    DialPlan(int exchangeCount, Day.NumberPlan settings) {
+    DialPlan(int exchangeCount, Scenario.NumberPlan settings) {
         this.exchangeCount = exchangeCount;
         this.settings = settings;
     }
--- a/src/main/java/coralcove/rehearsal/Day.java
+++ b/src/main/java/coralcove/rehearsal/Scenario.java
@@ -16,9 +16,9 @@
  * records in seconds, is above 0, routers are also discovered by DNS. {@code unmapped} describes
  * the settings of a foreign format that have no counterpart here.
  */
-public record Day(
+public record Scenario(
         String name,
-        long length,
+        long duration,
         int[] zones,
         int[][] groups,
         List<List<Arrival>> arrivals,
@@ -33,7 +33,7 @@
         NetworkConditions networkConditions,
         String transport,
         List<InjectedFault> faults,
-        List<String> unmapped,
+        List<String> unmappedSettings,
         NumberPlan numberPlan,
         Planners planners,
         int directoryCount,
@@ -52,7 +52,7 @@
             double value,
             double lateValue,
             int width,
-            long hold) {}
+            long meanHoldTime) {}
 
     /**
      * The dialled numbers that routers resolve to far ends; null where callers name the far end
@@ -97,7 +97,7 @@
             int maxOpenSessions) {}
 
     /** Number of exchanges. */
-    public int exchanges() {
+    public int exchangeCount() {
         return zones.length;
     }
 
@@ -111,12 +111,12 @@
                             each.value,
                             each.lateValue,
                             each.width,
-                            each.hold,
+                            each.meanHoldTime,
                             true,
                             List.of()));
         }
         return new Settings(
-                exchanges(),
+                exchangeCount(),
                 number,
                 false,
                 settings,
--- a/src/main/java/coralcove/rehearsal/DayFile.java
+++ b/src/main/java/coralcove/rehearsal/ScenarioFile.java
@@ -19,14 +19,14 @@
  * Reads a scenario in TOML and draws from its seed what the file leaves open: destination weights,
  * group sizes and arrivals.
  */
-public final class DayFile {
+public final class ScenarioFile {
     private static final int MAX_EXCHANGES = 500;
 
-    private DayFile() {}
+    private ScenarioFile() {}
 
     /** Reads a scenario file and draws it from {@code seed}; 0 takes the seed of the file. */
-    public static Day read(Path path, long seed) throws BadConfig {
-        return of(TomlSettings.read(path), seed);
+    public static Scenario read(Path path, long seed) throws BadConfig {
+        return parse(TomlSettings.read(path), seed);
     }
 
     /**
@@ -34,7 +34,7 @@
      *
      * @throws BadConfig if a setting is missing, out of bounds or unknown
      */
-    public static Day of(TomlSettings toml, long seed) throws BadConfig {
+    public static Scenario parse(TomlSettings toml, long seed) throws BadConfig {
         TomlSettings.Table day = toml.table("day");
         String name = day.text("name");
         long length = day.microsFromSeconds("length_s", 1, 3600);
@@ -47,13 +47,13 @@
         for (int i = 0; i < exchangeCount; i++) {
             zones[i] = i % districts;
         }
-        List<Day.Service> services = new ArrayList<>();
+        List<Scenario.Service> services = new ArrayList<>();
         List<TrafficGenerator.ServiceShare> serviceShares = new ArrayList<>();
         List<TomlSettings.Table> serviceTables = toml.list("service");
         Path directoryPath = Path.of(toml.file()).toAbsolutePath().getParent();
         for (ServiceTable each : ServiceTable.read(toml, true)) {
             services.add(
-                    new Day.Service(
+                    new Scenario.Service(
                             each.name(),
                             each.target(),
                             each.limit(),
@@ -123,7 +123,7 @@
         int hotNumberLines = traffic.integer("hot_lines", 1, 1000, 8);
         ExchangeSettings.ProcessingTimes times =
                 readProcessingTimes(toml.table("processor"), exchangeRate);
-        Day.RouterLimits routerLimits = readRouterLimits(toml.table("router"));
+        Scenario.RouterLimits routerLimits = readRouterLimits(toml.table("router"));
         TomlSettings.Table callers = toml.table("callers");
         ExchangeSettings.CallerModel callerModel =
                 new ExchangeSettings.CallerModel(
@@ -133,12 +133,12 @@
                         callers.number("honour", 0, 1, 0.7),
                         routerLimits.redialsMarked());
         TomlSettings.Table directory = toml.table("directory");
-        Day.DirectoryDelays directoryDelays =
-                new Day.DirectoryDelays(
+        Scenario.DirectoryDelays directoryDelays =
+                new Scenario.DirectoryDelays(
                         directory.microsFromMillis("notice_ms", 0, 60_000, 1000),
                         directory.microsFromMillis("silence_ms", 1500, 120_000, 8000),
                         directory.microsFromMillis("add_ms", 0, 60_000, 800));
-        int directoryCount = directory.integer("count", 1, Day.MAX_DIRECTORIES, 1);
+        int directoryCount = directory.integer("count", 1, Scenario.MAX_DIRECTORIES, 1);
         long dnsTtl = directory.integer("dns_life_s", 0, 86_400, 0);
         if (dnsTtl == 0 && faults.stream().anyMatch(fault -> fault.kind().startsWith("dns"))) {
             throw directory.invalid("dns_life_s", "is 0 or missing, and a trouble of DNS needs it");
@@ -156,7 +156,7 @@
                         net.number("reordered", 0, 0.9, 0),
                         net.number("reset", 0, 0.5, 0));
         String transport = net.oneOf("transport", List.of("udp", "tcp", "mixed"), "udp");
-        Day.NumberPlan numberPlan =
+        Scenario.NumberPlan numberPlan =
                 toml.has("numbers") ? readNumberPlan(toml.table("numbers")) : null;
         if (numberPlan == null
                 && faults.stream().anyMatch(fault -> fault.kind().startsWith("portability"))) {
@@ -167,8 +167,10 @@
         }
         TomlSettings.Table planner = toml.has("planner") ? toml.table("planner") : null;
         boolean planAhead = planner != null && planner.flag("ahead", false);
-        Day.Planners planners =
-                planner != null && planner.flag("apart", true) ? new Day.Planners(planAhead) : null;
+        Scenario.Planners planners =
+                planner != null && planner.flag("apart", true)
+                        ? new Scenario.Planners(planAhead)
+                        : null;
         if (planners == null
                 && faults.stream().anyMatch(fault -> fault.kind().startsWith("planner"))) {
             throw toml.table("planner")
@@ -197,7 +199,7 @@
                                                     .toList())
                             .toList();
         }
-        return new Day(
+        return new Scenario(
                 name,
                 length,
                 zones,
@@ -221,8 +223,8 @@
                 dnsTtl);
     }
 
-    private static Day.NumberPlan readNumberPlan(TomlSettings.Table table) throws BadConfig {
-        return new Day.NumberPlan(
+    private static Scenario.NumberPlan readNumberPlan(TomlSettings.Table table) throws BadConfig {
+        return new Scenario.NumberPlan(
                 table.number("ported", 0, 1, 0),
                 table.integer("lines", 1, 100_000, 1000),
                 table.integer("beside", 0, 5_000_000, 0),
@@ -309,7 +311,7 @@
             double[][] plannedWeights,
             double exchangeRate,
             List<TrafficGenerator.ServiceShare> serviceShares,
-            List<Day.Service> services,
+            List<Scenario.Service> services,
             double spare,
             double unlinked,
             RandomGenerator random) {
@@ -392,8 +394,9 @@
                 1e6 / times.setUp());
     }
 
-    private static Day.RouterLimits readRouterLimits(TomlSettings.Table table) throws BadConfig {
-        return new Day.RouterLimits(
+    private static Scenario.RouterLimits readRouterLimits(TomlSettings.Table table)
+            throws BadConfig {
+        return new Scenario.RouterLimits(
                 table.integer("invites", 1, 20, 4),
                 table.microsFromMillis("come_back_ms", 0, 60_000, 2000),
                 table.flag("peers", true),
--- a/src/main/java/coralcove/rehearsal/Result.java
+++ b/src/main/java/coralcove/rehearsal/ScenarioResult.java
@@ -16,35 +16,38 @@
  * that drained or ended, the µs from the notification to the last INVITE that the router sent
  * there.
  */
-public record Result(
-        String day,
+public record ScenarioResult(
+        String scenario,
         String policy,
         long seed,
-        boolean virtual,
+        boolean virtualTime,
         double durationSeconds,
-        double offered,
+        double offeredValue,
         CallerStats stats,
-        Histogram added,
+        Histogram addedDelay,
         long cpuTime,
-        Map<String, RuleResult> rules,
+        Map<String, RuleResult> ruleResults,
         long[] portabilityCounts,
         Histogram planAges,
-        long zero,
-        Histogram lastSent) {
+        long startTime,
+        Histogram lastInviteDelays) {
     /** Share of the offered value that was served, 0 if none was offered. */
-    public double share() {
-        return offered == 0 ? 0 : stats.valueServed / offered;
+    public double servedShare() {
+        return offeredValue == 0 ? 0 : stats.valueServed / offeredValue;
     }
 
     /** Whether no rule was broken. */
-    public boolean kept() {
-        return rules.values().stream().allMatch(v -> v.broken() == 0);
+    public boolean allRulesKept() {
+        return ruleResults.values().stream().allMatch(v -> v.broken() == 0);
     }
 
     /** Returns the summary as a JSON object; its fields are described in docs/operating.md. */
-    public ObjectNode json() {
+    public ObjectNode toJson() {
         ObjectNode summary = new ObjectMapper().createObjectNode();
-        summary.put("day", day).put("policy", policy).put("seed", seed).put("virtual", virtual);
+        summary.put("day", scenario)
+                .put("policy", policy)
+                .put("seed", seed)
+                .put("virtual", virtualTime);
         summary.put("sessions", stats.sessions)
                 .put("final_answers", stats.finalAnswers)
                 .put("stood", stats.established);
@@ -52,11 +55,12 @@
         summary.put("gave_up", stats.abandoned)
                 .put("turned_away", stats.rejectedLocally)
                 .put("cut", stats.cutOff);
-        summary.put("value_offered", round(offered)).put("value_served", round(stats.valueServed));
+        summary.put("value_offered", round(offeredValue))
+                .put("value_served", round(stats.valueServed));
         summary.put("sessions_per_second", round(stats.sessions / durationSeconds));
-        summary.put("added_p50_us", added.getValueAtPercentile(50))
-                .put("added_p99_us", added.getValueAtPercentile(99));
-        summary.put("added_p999_us", added.getValueAtPercentile(99.9));
+        summary.put("added_p50_us", addedDelay.getValueAtPercentile(50))
+                .put("added_p99_us", addedDelay.getValueAtPercentile(99));
+        summary.put("added_p999_us", addedDelay.getValueAtPercentile(99.9));
         summary.put("set_up_p50_us", stats.postDialDelay.getValueAtPercentile(50));
         summary.put("set_up_p99_us", stats.postDialDelay.getValueAtPercentile(99));
         summary.put("set_up_p999_us", stats.postDialDelay.getValueAtPercentile(99.9));
@@ -65,9 +69,9 @@
             summary.put("plan_age_p50_us", planAges.getValueAtPercentile(50));
             summary.put("plan_age_p99_us", planAges.getValueAtPercentile(99));
         }
-        if (lastSent.getTotalCount() > 0) {
-            summary.put("last_invite_after_off_p99_us", lastSent.getValueAtPercentile(99));
-            summary.put("last_invite_after_off_most_us", lastSent.getMaxValue());
+        if (lastInviteDelays.getTotalCount() > 0) {
+            summary.put("last_invite_after_off_p99_us", lastInviteDelays.getValueAtPercentile(99));
+            summary.put("last_invite_after_off_most_us", lastInviteDelays.getMaxValue());
         }
         if (portabilityCounts.length > 0) {
             summary.putObject("ported")
@@ -77,7 +81,7 @@
                     .put("donor", portabilityCounts[3]);
         }
         ObjectNode rulesNode = summary.putObject("rules");
-        rules.forEach(
+        ruleResults.forEach(
                 (name, verdict) ->
                         rulesNode
                                 .putObject(name)
--- a/src/main/java/coralcove/rehearsal/ScenarioRun.java
+++ b/src/main/java/coralcove/rehearsal/ScenarioRun.java
@@ -67,7 +67,7 @@
     /** Number of ports for senders of forged messages. */
     private static final int FORGED_SENDER_PORTS = 1;
 
-    private final Day scenario;
+    private final Scenario scenario;
     private final long seed;
     private final String policy;
     private final Network network;
@@ -90,7 +90,7 @@
 
     /** Prepares a run; the network's nodes are added by {@link #run}. */
     public ScenarioRun(
-            Day scenario,
+            Scenario scenario,
             long seed,
             String policy,
             Network network,
@@ -107,14 +107,18 @@
         dialPlan =
                 scenario.numberPlan() == null
                         ? null
-                        : new DialPlan(scenario.exchanges(), scenario.numberPlan());
-        stats = new CallerStats[scenario.exchanges()];
-        exchangeIds = new long[scenario.exchanges()];
+                        : new DialPlan(scenario.exchangeCount(), scenario.numberPlan());
+        stats = new CallerStats[scenario.exchangeCount()];
+        exchangeIds = new long[scenario.exchangeCount()];
     }
 
     /** Number of consecutive ports that a live run of {@code scenario} needs. */
-    public static int portCount(Day scenario) {
-        return 3 * scenario.exchanges() + 2 + Day.MAX_DIRECTORIES + FORGED_SENDER_PORTS + 1;
+    public static int portCount(Scenario scenario) {
+        return 3 * scenario.exchangeCount()
+                + 2
+                + Scenario.MAX_DIRECTORIES
+                + FORGED_SENDER_PORTS
+                + 1;
     }
 
     private boolean usesTcp(int number) {
@@ -131,7 +135,7 @@
     }
 
     private Hop directoryAddress(int index) {
-        return new Hop(false, "127.0.0.1", firstPort + 3 * scenario.exchanges() + 2 + index);
+        return new Hop(false, "127.0.0.1", firstPort + 3 * scenario.exchangeCount() + 2 + index);
     }
 
     private List<Hop> directoryAddresses() {
@@ -143,7 +147,7 @@
     }
 
     private void addDirectory(int index) {
-        Day.DirectoryDelays delays = scenario.directoryDelays();
+        Scenario.DirectoryDelays delays = scenario.directoryDelays();
         network.addNode(
                 "directory-" + index,
                 directoryAddress(index),
@@ -165,42 +169,42 @@
             dnsDiscovery =
                     new DnsDiscovery(
                             network,
-                            scenario.exchanges(),
+                            scenario.exchangeCount(),
                             firstPort,
                             scenario.dnsTtl(),
                             network instanceof VirtualNetwork
                                     ? 0
                                     : firstPort
-                                            + 3 * scenario.exchanges()
+                                            + 3 * scenario.exchangeCount()
                                             + 2
-                                            + Day.MAX_DIRECTORIES
+                                            + Scenario.MAX_DIRECTORIES
                                             + FORGED_SENDER_PORTS,
                             seed);
         }
-        for (int i = 0; i < scenario.exchanges(); i++) {
+        for (int i = 0; i < scenario.exchangeCount(); i++) {
             stats[i] = new CallerStats();
             exchangeIds[i] = 100 + i;
             addExchange(i, 0);
         }
-        for (int i = 0; i < scenario.exchanges(); i++) {
+        for (int i = 0; i < scenario.exchangeCount(); i++) {
             addEdge(i);
         }
         scenario.faults().forEach(this::scheduleFault);
         if (dialPlan != null && scenario.numberPlan().replaceInterval() > 0) {
             for (long at = scenario.numberPlan().replaceInterval();
-                    at < scenario.length();
+                    at < scenario.duration();
                     at += scenario.numberPlan().replaceInterval()) {
                 network.schedule(startTime + at, this::replaceNumberTable);
             }
         }
         if (scenario.planners() != null) {
             for (long at = PLAN_AGE_SAMPLING_START_US;
-                    at < scenario.length();
+                    at < scenario.duration();
                     at += PLAN_AGE_SAMPLING_INTERVAL_US) {
                 network.schedule(startTime + at, this::recordPlanAges);
             }
         }
-        network.run(startTime + scenario.length() + TAIL_US);
+        network.run(startTime + scenario.duration() + TAIL_US);
         planners.values().forEach(RouterPlanner::kill);
         if (dnsDiscovery != null) {
             dnsDiscovery.close();
@@ -224,7 +228,9 @@
                                 "edge-" + number,
                                 (now, out) -> {
                                     synchronized (planAges) {
-                                        for (int group = 0; group < scenario.exchanges(); group++) {
+                                        for (int group = 0;
+                                                group < scenario.exchangeCount();
+                                                group++) {
                                             GroupTargets groupPlan =
                                                     planner.plannedTargets.currentTargets(
                                                             now, group);
@@ -245,7 +251,8 @@
 
     /**
      * Returns the portability counters summed over all routers, as in {@link
-     * Result#portabilityCounts}; complete after {@link #run}. Empty if no numbers are dialled.
+     * ScenarioResult#portabilityCounts}; complete after {@link #run}. Empty if no numbers are
+     * dialled.
      */
     public long[] portabilityCounts() {
         long[] total =
@@ -272,10 +279,10 @@
     }
 
     /** Returns the far ends that the judge accepts for a number dialled at a given time. */
-    static RuleChecker.AllowedFarEnds farEnds(Day scenario, long startTime) {
-        DialPlan dialPlan = new DialPlan(scenario.exchanges(), scenario.numberPlan());
+    static RuleChecker.AllowedFarEnds farEnds(Scenario scenario, long startTime) {
+        DialPlan dialPlan = new DialPlan(scenario.exchangeCount(), scenario.numberPlan());
         long interval = scenario.numberPlan().replaceInterval();
-        long lastVersion = interval == 0 ? 1 : 1 + (scenario.length() - 1) / interval;
+        long lastVersion = interval == 0 ? 1 : 1 + (scenario.duration() - 1) / interval;
         return (at, dialled) -> {
             long fromVersion =
                     interval == 0
@@ -336,7 +343,7 @@
                                         settings.policySettings(),
                                         seed * 1000 + number,
                                         scenario.planners().planAhead(),
-                                        firstPort + 2 * scenario.exchanges() + 2 + number);
+                                        firstPort + 2 * scenario.exchangeCount() + 2 + number);
         EdgeCore core =
                 new EdgeCore(
                         settings,
@@ -384,7 +391,7 @@
      */
     private void addExchange(int number, long since) {
         Map<Integer, Integer> groups = new HashMap<>();
-        for (int other = 0; other < scenario.exchanges(); other++) {
+        for (int other = 0; other < scenario.exchangeCount(); other++) {
             if (other != number) {
                 groups.put(other, scenario.groups()[number][other]);
             }
@@ -483,7 +490,7 @@
             return;
         }
         int ordinal = 0;
-        for (int number = 0; number < scenario.exchanges(); number++) {
+        for (int number = 0; number < scenario.exchangeCount(); number++) {
             if (fault.affects(number)) {
                 scheduleExchangeFault(fault, number, ordinal++);
             }
@@ -492,7 +499,7 @@
 
     private void scheduleDnsFault(InjectedFault fault) {
         if (fault.kind().equals("dns-stale")) {
-            for (int number = 0; number < scenario.exchanges(); number++) {
+            for (int number = 0; number < scenario.exchangeCount(); number++) {
                 if (fault.affects(number)) {
                     int affected = number;
                     network.schedule(
@@ -531,7 +538,7 @@
                         startTime + fault.at() + RESTART_DELAY_US, () -> addDirectory(index));
             }
             case "directory-cut" -> {
-                for (int number = 0; number < scenario.exchanges(); number++) {
+                for (int number = 0; number < scenario.exchangeCount(); number++) {
                     if (fault.affects(number)) {
                         String edge = "edge-" + number;
                         network.schedule(
@@ -548,9 +555,12 @@
                         new Hop(
                                 false,
                                 "127.0.0.1",
-                                firstPort + 3 * scenario.exchanges() + 2 + Day.MAX_DIRECTORIES);
+                                firstPort
+                                        + 3 * scenario.exchangeCount()
+                                        + 2
+                                        + Scenario.MAX_DIRECTORIES);
                 List<Hop> targets = new ArrayList<>();
-                for (int number = 0; number < scenario.exchanges(); number++) {
+                for (int number = 0; number < scenario.exchangeCount(); number++) {
                     if (fault.affects(number)) {
                         targets.add(edgeAddress(number).over(false));
                     }
@@ -682,7 +692,7 @@
      */
     private void scheduleGroupSizes(
             long at, int number, InjectedFault fault, double remainingShare) {
-        for (int other = 0; other < scenario.exchanges(); other++) {
+        for (int other = 0; other < scenario.exchangeCount(); other++) {
             if (fault.on().contains(other)) {
                 continue;
             }
--- a/src/main/java/coralcove/rehearsal/Rehearse.java
+++ b/src/main/java/coralcove/rehearsal/ScenarioRunner.java
@@ -26,7 +26,7 @@
 import org.HdrHistogram.Histogram;
 
 /** Runs a scenario in virtual time or live and returns its result. */
-public final class Rehearse {
+public final class ScenarioRunner {
     /** Start of virtual time; any time after the epoch would do. */
     private static final long VIRTUAL_START_US = 1_000_000_000_000L;
 
@@ -74,16 +74,20 @@
                 public void coldStarted(int number, long since) {}
             };
 
-    private Rehearse() {}
+    private ScenarioRunner() {}
 
     /**
      * Runs a scenario in virtual time, judged and with message texts. The capture is written to
      * {@code capture} and log lines are passed to {@code log}; both may be null.
      */
-    public static Result virtual(
-            Day scenario, long seed, String policy, Path capture, VirtualNetwork.LogListener log)
+    public static ScenarioResult runVirtual(
+            Scenario scenario,
+            long seed,
+            String policy,
+            Path capture,
+            VirtualNetwork.LogListener log)
             throws IOException {
-        return virtual(scenario, seed, policy, capture, log, true, true);
+        return runVirtual(scenario, seed, policy, capture, log, true, true);
     }
 
     /**
@@ -91,8 +95,8 @@
      * as objects, neither serialized nor parsed, with the same decisions at the same times. A
      * capture needs both.
      */
-    public static Result virtual(
-            Day scenario,
+    public static ScenarioResult runVirtual(
+            Scenario scenario,
             long seed,
             String policy,
             Path capture,
@@ -107,7 +111,7 @@
         AddedDelayMeter meter = new AddedDelayMeter();
         try (CaptureWriter file = CaptureWriter.open(capture)) {
             Map<String, Integer> zones = new HashMap<>();
-            for (int i = 0; i < scenario.exchanges(); i++) {
+            for (int i = 0; i < scenario.exchangeCount(); i++) {
                 zones.put("edge-" + i, scenario.zones()[i]);
                 zones.put("exchange-" + i, scenario.zones()[i]);
             }
@@ -159,7 +163,7 @@
      * of time, with a small delay; the sessions of a killed router are closed at its place in that
      * order.
      */
-    public static Result live(Day scenario, long seed, String policy, Path capture)
+    public static ScenarioResult runLive(Scenario scenario, long seed, String policy, Path capture)
             throws IOException {
         RuleChecker judge = new RuleChecker(scenario.rules());
         AddedDelayMeter meter = new AddedDelayMeter();
@@ -183,7 +187,7 @@
                                         network,
                                         portabilityServer(scenario, seed),
                                         "127.0.0.1",
-                                        firstPort + 2 * scenario.exchanges() + 1)) {
+                                        firstPort + 2 * scenario.exchangeCount() + 1)) {
                     ScenarioRun run =
                             new ScenarioRun(
                                     scenario,
@@ -214,9 +218,9 @@
     }
 
     /** Creates the simulated portability server of a scenario with dialled numbers. */
-    private static SimulatedDnsServer portabilityServer(Day scenario, long seed) {
-        Day.NumberPlan numberPlan = scenario.numberPlan();
-        DialPlan dialPlan = new DialPlan(scenario.exchanges(), numberPlan);
+    private static SimulatedDnsServer portabilityServer(Scenario scenario, long seed) {
+        Scenario.NumberPlan numberPlan = scenario.numberPlan();
+        DialPlan dialPlan = new DialPlan(scenario.exchangeCount(), numberPlan);
         return new SimulatedDnsServer(
                 PortabilityService.SUFFIX,
                 dialPlan::routingNumber,
@@ -225,8 +229,8 @@
                 new SplittableRandom(seed));
     }
 
-    private static Result buildResult(
-            Day scenario,
+    private static ScenarioResult buildResult(
+            Scenario scenario,
             long seed,
             String policy,
             boolean virtual,
@@ -236,12 +240,12 @@
             long[] portabilityCounts,
             Histogram planAges,
             long startTime) {
-        return new Result(
+        return new ScenarioResult(
                 scenario.name(),
                 policy,
                 seed,
                 virtual,
-                scenario.length() / 1e6,
+                scenario.duration() / 1e6,
                 scenario.offeredValue(),
                 stats,
                 meter.addedDelay,
@@ -285,7 +289,8 @@
     }
 
     /**
-     * Writes a capture file in the format of {@link CaptureLine}; without a path it writes nothing.
+     * Writes a capture file in the format of {@link CaptureFormat}; without a path it writes
+     * nothing.
      */
     static final class CaptureWriter implements Network.MessageObserver, AutoCloseable {
         private final BufferedWriter out;
@@ -304,7 +309,7 @@
                 return;
             }
             try {
-                out.write(CaptureLine.formatMessage(now, node, sent, peer, bytes));
+                out.write(CaptureFormat.formatMessage(now, node, sent, peer, bytes));
                 out.newLine();
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
@@ -317,7 +322,7 @@
                 return;
             }
             try {
-                out.write(CaptureLine.formatStreamFailure(now, node, peer, refused));
+                out.write(CaptureFormat.formatStreamFailure(now, node, peer, refused));
                 out.newLine();
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
--- a/src/test/java/coralcove/config/TomlTest.java
+++ b/src/test/java/coralcove/config/TomlTest.java
@@ -5,7 +5,7 @@
 import coralcove.TraceFiles;
 import coralcove.edge.EdgeSettingsFile;
 import coralcove.exchange.ExchangeSettingsFile;
-import coralcove.rehearsal.DayFile;
+import coralcove.rehearsal.ScenarioFile;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -54,7 +54,7 @@
             recordResult(
                     "day.toml",
                     day.substring(0, start) + change[1] + day.substring(start + change[0].length()),
-                    toml -> DayFile.of(toml, 1).name());
+                    toml -> ScenarioFile.parse(toml, 1).name());
         }
         String edge = Files.readString(Path.of("deploy/examples/edge-0.toml"));
         String[][] edgeChanges = {
--- a/src/test/java/coralcove/rehearsal/DirectoryDaysTest.java
+++ b/src/test/java/coralcove/rehearsal/DirectoryFaultTest.java
@@ -23,16 +23,20 @@
  * or names wrong addresses. The judge checks the rules; the share of value served has a lower
  * bound.
  */
-class DirectoryDaysTest {
-    private static Result play(long seed, String directorySettings, String faults)
+class DirectoryFaultTest {
+    private static ScenarioResult play(long seed, String directorySettings, String faults)
             throws Exception {
         String template = Files.readString(Path.of("days/bad-day.toml"));
         String toml =
                 template.substring(0, template.indexOf("[[trouble]]"))
                                 .replace("[directory]", "[directory]\n" + directorySettings)
                         + faults;
-        return Rehearse.virtual(
-                DayFile.of(TomlSettings.from("day.toml", toml), seed), seed, "choice", null, null);
+        return ScenarioRunner.runVirtual(
+                ScenarioFile.parse(TomlSettings.from("day.toml", toml), seed),
+                seed,
+                "choice",
+                null,
+                null);
     }
 
     private static String faultTable(String kind, int at, int length, String settings) {
@@ -47,11 +51,14 @@
                 + "\n";
     }
 
-    private static void assertRulesKept(Result result, double minShare) {
-        assertThat(result.rules().values().stream().flatMap(v -> v.breaches().stream()).toList())
+    private static void assertRulesKept(ScenarioResult result, double minShare) {
+        assertThat(
+                        result.ruleResults().values().stream()
+                                .flatMap(v -> v.breaches().stream())
+                                .toList())
                 .isEmpty();
-        assertThat(result.rules().get("drain").checked()).isPositive();
-        assertThat(result.share()).isGreaterThan(minShare);
+        assertThat(result.ruleResults().get("drain").checked()).isPositive();
+        assertThat(result.servedShare()).isGreaterThan(minShare);
     }
 
     @Test
@@ -73,17 +80,18 @@
                 faultTable("drain", 4, 1, "on = [1]\nextra = 20")
                         + faultTable("directory-death", 7, 18, "")
                         + faultTable("router-death", 9, 1, "on = [0, 3, 5]");
-        Result result = play(2, "", text);
+        ScenarioResult result = play(2, "", text);
         assertRulesKept(result, 0.5);
-        assertThat(result.lastSent().getMaxValue()).isLessThanOrEqualTo(1_000_000);
+        assertThat(result.lastInviteDelays().getMaxValue()).isLessThanOrEqualTo(1_000_000);
     }
 
     @Test
     void lossOfOneOfTwoDirectoriesCostsNoValue() throws Exception {
         double undisturbedShare =
-                play(3, "count = 2", faultTable("drain", 8, 1, "on = [4]\nextra = 4")).share();
+                play(3, "count = 2", faultTable("drain", 8, 1, "on = [4]\nextra = 4"))
+                        .servedShare();
         for (String kind : List.of("directory-cut", "directory-death")) {
-            Result result =
+            ScenarioResult result =
                     play(
                             3,
                             "count = 2",
@@ -96,7 +104,7 @@
     @Test
     void hundredForgedListsPerSecondCostNoValue() throws Exception {
         String drain = faultTable("drain", 8, 1, "on = [4]\nextra = 4");
-        double undisturbedShare = play(4, "", drain).share();
+        double undisturbedShare = play(4, "", drain).servedShare();
         assertRulesKept(
                 play(4, "", drain + faultTable("directory-forged", 1, 28, "size = 100")),
                 undisturbedShare - 0.01);
@@ -119,8 +127,8 @@
      */
     @Test
     void resubscriptionsOf94RoutersAreSpreadOut() throws Exception {
-        Day scenario =
-                DayFile.of(
+        Scenario scenario =
+                ScenarioFile.parse(
                         TomlSettings.from(
                                 "day.toml", Files.readString(Path.of("days/bad-day.toml"))),
                         1);
--- a/src/test/java/coralcove/rehearsal/EmulatorSpeed.java
+++ b/src/test/java/coralcove/rehearsal/EmulatorSpeed.java
@@ -33,9 +33,9 @@
         for (int seed = 1; seed <= Integer.parseInt(args[1]); seed++) {
             long start = System.nanoTime();
             long cpuStart = threads.getCurrentThreadCpuTime();
-            Result result =
-                    Rehearse.virtual(
-                            DayFile.of(TomlSettings.from("day", toml), seed),
+            ScenarioResult result =
+                    ScenarioRunner.runVirtual(
+                            ScenarioFile.parse(TomlSettings.from("day", toml), seed),
                             seed,
                             "choice",
                             null,
@@ -59,7 +59,7 @@
                     args[0],
                     seed,
                     result.stats().sessions,
-                    result.share(),
+                    result.servedShare(),
                     cpuSeconds,
                     1e3 * cpuSeconds / result.stats().sessions,
                     result.durationSeconds() / cpuSeconds,
--- a/src/test/java/coralcove/rehearsal/ShortcutTest.java
+++ b/src/test/java/coralcove/rehearsal/MessageTextTest.java
@@ -13,7 +13,7 @@
  * Messages that are passed on as objects, without serialization and parsing, lead to the same log
  * lines at the same times and the same value as messages with text.
  */
-class ShortcutTest {
+class MessageTextTest {
     /**
      * Returns one line with the number and checksum of all log lines of routers and simulated
      * peers, the callers' statistics and the verdicts of the judge.
@@ -21,9 +21,9 @@
     static String digest(String toml, long seed, boolean text) throws Exception {
         CRC32C checksum = new CRC32C();
         long[] lineCount = new long[1];
-        Result result =
-                Rehearse.virtual(
-                        DayFile.of(TomlSettings.from("day", toml), seed),
+        ScenarioResult result =
+                ScenarioRunner.runVirtual(
+                        ScenarioFile.parse(TomlSettings.from("day", toml), seed),
                         seed,
                         "choice",
                         null,
@@ -36,7 +36,11 @@
                         text,
                         true);
         return String.format(
-                Locale.ROOT, "%d lines %08x, %s", lineCount[0], checksum.getValue(), result.json());
+                Locale.ROOT,
+                "%d lines %08x, %s",
+                lineCount[0],
+                checksum.getValue(),
+                result.toJson());
     }
 
     /** Compares more seeds. Arguments: DAY SEEDS. */
--- a/src/test/java/coralcove/rehearsal/PlannerDays.java
+++ b/src/test/java/coralcove/rehearsal/PlannerComparison.java
@@ -12,13 +12,13 @@
  * or in one process with the routers. Arguments: SEEDS, or SEEDS "ahead" to measure the gain of
  * planning ahead, with and without a surge.
  */
-public final class PlannerDays {
-    private PlannerDays() {}
+public final class PlannerComparison {
+    private PlannerComparison() {}
 
-    private static Result run(String text, int seed) {
+    private static ScenarioResult run(String text, int seed) {
         try {
-            return Rehearse.virtual(
-                    DayFile.of(TomlSettings.from("planner.toml", text), seed),
+            return ScenarioRunner.runVirtual(
+                    ScenarioFile.parse(TomlSettings.from("planner.toml", text), seed),
                     seed,
                     "choice",
                     null,
@@ -67,12 +67,12 @@
                 .forEach(
                         i -> {
                             int day = i % count;
-                            Result result = run(scenarioTexts[day], 1 + i / count);
-                            servedShares[day][i / count] = result.share();
+                            ScenarioResult result = run(scenarioTexts[day], 1 + i / count);
+                            servedShares[day][i / count] = result.servedShare();
                             synchronized (brokenRules) {
                                 ages[day].add(result.planAges());
                                 brokenRules[day] +=
-                                        result.rules().values().stream()
+                                        result.ruleResults().values().stream()
                                                 .mapToLong(v -> v.broken())
                                                 .sum();
                             }
--- a/src/test/java/coralcove/rehearsal/ScenarioRunTest.java
+++ b/src/test/java/coralcove/rehearsal/ScenarioRunTest.java
@@ -13,17 +13,21 @@
 
 /** Runs complete scenarios in virtual time; the judge sees only the traffic. */
 class ScenarioRunTest {
-    private static Day badDayScenario(long seed, String... changes) throws IOException, BadConfig {
+    private static Scenario badDayScenario(long seed, String... changes)
+            throws IOException, BadConfig {
         String text = Files.readString(Path.of("days/bad-day.toml"));
         for (int i = 0; i < changes.length; i += 2) {
             assertThat(text).contains(changes[i]);
             text = text.replace(changes[i], changes[i + 1]);
         }
-        return DayFile.of(TomlSettings.from("bad-day.toml", text), seed);
+        return ScenarioFile.parse(TomlSettings.from("bad-day.toml", text), seed);
     }
 
-    private static void assertRulesKept(Result result) {
-        assertThat(result.rules().values().stream().flatMap(v -> v.breaches().stream()).toList())
+    private static void assertRulesKept(ScenarioResult result) {
+        assertThat(
+                        result.ruleResults().values().stream()
+                                .flatMap(v -> v.breaches().stream())
+                                .toList())
                 .isEmpty();
         assertThat(result.stats().finalAnswers).isGreaterThan(result.stats().sessions * 9 / 10);
     }
@@ -33,18 +37,18 @@
         double[] shares = new double[3];
         for (long seed = 1; seed <= 3; seed++) {
             for (int i = 0; i < 3; i++) {
-                Result result =
-                        Rehearse.virtual(
+                ScenarioResult result =
+                        ScenarioRunner.runVirtual(
                                 badDayScenario(seed),
                                 seed,
                                 coralcove.baseline.RoutingPolicies.NAMES.get(i),
                                 null,
                                 null);
-                shares[i] += result.share();
+                shares[i] += result.servedShare();
                 if (i == 0) {
                     assertRulesKept(result);
-                    assertThat(result.rules().get("cold").checked()).isPositive();
-                    assertThat(result.rules().get("drain").checked()).isPositive();
+                    assertThat(result.ruleResults().get("cold").checked()).isPositive();
+                    assertThat(result.ruleResults().get("drain").checked()).isPositive();
                 }
             }
         }
@@ -54,7 +58,7 @@
     @Test
     void lossyNetworkBreaksNoRule() throws Exception {
         assertRulesKept(
-                Rehearse.virtual(
+                ScenarioRunner.runVirtual(
                         badDayScenario(
                                 4,
                                 "loss = 0.002",
@@ -96,16 +100,16 @@
                         + "life_s = 2\n"
                         + faults;
         toml = toml.replace("[directory]", "[directory]\ndns_life_s = 3\ncount = 2");
-        Result result =
-                Rehearse.virtual(
-                        DayFile.of(TomlSettings.from("all.toml", toml), 5),
+        ScenarioResult result =
+                ScenarioRunner.runVirtual(
+                        ScenarioFile.parse(TomlSettings.from("all.toml", toml), 5),
                         5,
                         "choice",
                         null,
                         null);
         assertRulesKept(result);
         assertThat(result.stats().cutOff).isPositive();
-        assertThat(result.rules().get("one_table").checked()).isGreaterThan(1000);
+        assertThat(result.ruleResults().get("one_table").checked()).isGreaterThan(1000);
         // Each kind occurs: answered from memory, queried, answered past the time to live, and sent
         // to the donor exchange.
         assertThat(result.portabilityCounts()).hasSize(4).doesNotContain(0L);
@@ -115,16 +119,16 @@
     void equalSeedsGiveIdenticalCaptures(@TempDir Path folder) throws Exception {
         Path first = folder.resolve("1");
         Path second = folder.resolve("2");
-        Rehearse.virtual(
+        ScenarioRunner.runVirtual(
                 badDayScenario(6, "length_s = 30", "length_s = 20"), 6, "choice", first, null);
-        Rehearse.virtual(
+        ScenarioRunner.runVirtual(
                 badDayScenario(6, "length_s = 30", "length_s = 20"), 6, "choice", second, null);
         assertThat(Files.mismatch(first, second)).isEqualTo(-1);
         // Replaying the capture gives the same verdict on the rules that do not depend on
         // starts and kills.
-        Day scenario = badDayScenario(6);
+        Scenario scenario = badDayScenario(6);
         coralcove.judge.RuleChecker judge = new coralcove.judge.RuleChecker(scenario.rules());
-        judge.finish(CaptureLine.read(first, judge));
+        judge.finish(CaptureFormat.replay(first, judge));
         assertThat(judge.malformedMessages()).isZero();
         assertThat(judge.verdicts().get("one_invite").checked()).isGreaterThan(1000);
         assertThat(judge.verdicts().values().stream().mapToLong(v -> v.broken()).sum()).isZero();
@@ -157,8 +161,8 @@
                   "tells_wait":true,"resend":500000,"release":300000,
                   "pull":[[0,1,1],[1,0,1],[1,1,0]],"size":[0,9,8,0,0,7,0,0,0]}}\
                 """;
-        Day scenario =
-                BenchDay.parse(
+        Scenario scenario =
+                BenchScenario.parse(
                         "day.json",
                         new com.fasterxml.jackson.databind.ObjectMapper().readTree(json),
                         1);
@@ -169,12 +173,12 @@
                             + " size=4.0, extra=0.0], InjectedFault[kind=drain, at=3000000,"
                             + " length=0, on=[1], size=0.0, extra=1.5], InjectedFault[kind=death,"
                             + " at=1000000, length=2000000, on=[0], size=0.0, extra=0.0]]");
-        assertThat(scenario.unmapped())
+        assertThat(scenario.unmappedSettings())
                 .anyMatch(l -> l.startsWith("trouble report_late"))
                 .anyMatch(l -> l.startsWith("tenants"))
                 .anyMatch(l -> l.startsWith("fam.advice"))
                 .anyMatch(l -> l.startsWith("trouble of machine 9"))
                 .anyMatch(l -> l.startsWith("traffic.shape"));
-        assertRulesKept(Rehearse.virtual(scenario, 1, "choice", null, null));
+        assertRulesKept(ScenarioRunner.runVirtual(scenario, 1, "choice", null, null));
     }
 }
--- a/src/test/java/coralcove/rehearsal/SmallNets.java
+++ b/src/test/java/coralcove/rehearsal/SmallNetworkRuns.java
@@ -8,8 +8,8 @@
  * Runs many small networks of {@link SmallNetworkTest} in parallel and prints each broken rule.
  * Argument: the number of networks. Not run by the build.
  */
-public final class SmallNets {
-    private SmallNets() {}
+public final class SmallNetworkRuns {
+    private SmallNetworkRuns() {}
 
     public static void main(String[] args) {
         int count = Integer.parseInt(args[0]);
@@ -22,7 +22,7 @@
                         seed -> {
                             SplittableRandom random = new SplittableRandom(seed);
                             try {
-                                Result result =
+                                ScenarioResult result =
                                         SmallNetworkTest.play(
                                                 seed,
                                                 random.nextDouble(0.1),
@@ -33,7 +33,7 @@
                                                 random.nextInt(
                                                         SmallNetworkTest.FAULT_KINDS.size()));
                                 sessions.addAndGet(result.stats().sessions);
-                                result.rules()
+                                result.ruleResults()
                                         .values()
                                         .forEach(
                                                 verdict -> {
--- a/src/test/java/coralcove/rehearsal/SmallNetworkTest.java
+++ b/src/test/java/coralcove/rehearsal/SmallNetworkTest.java
@@ -11,8 +11,8 @@
 
 /**
  * A small network breaks no rule under any mix of loss, duplication, reordering and resets. CI runs
- * 150 tries; {@link SmallNets} runs more (docs/measurements). A failure that jqwik has shrunk is
- * retained as a trace test.
+ * 150 tries; {@link SmallNetworkRuns} runs more (docs/measurements). A failure that jqwik has
+ * shrunk is retained as a trace test.
  */
 class SmallNetworkTest {
     private static final String SCENARIO =
@@ -75,7 +75,7 @@
                                             && !kind.equals("mass-call"))
                     .toList();
 
-    static Result play(
+    static ScenarioResult play(
             long seed,
             double loss,
             double doubled,
@@ -96,8 +96,8 @@
                         1 + seed % 2,
                         FAULT_KINDS.get(faultKind),
                         seed % 3);
-        return Rehearse.virtual(
-                DayFile.of(TomlSettings.from("small.toml", toml), seed),
+        return ScenarioRunner.runVirtual(
+                ScenarioFile.parse(TomlSettings.from("small.toml", toml), seed),
                 seed,
                 "choice",
                 null,
@@ -114,8 +114,11 @@
             @ForAll @IntRange(max = 2) int transport,
             @ForAll @IntRange(max = 18) int faultKind)
             throws Exception {
-        Result result = play(seed, loss, doubled, reordered, reset, transport, faultKind);
-        assertThat(result.rules().values().stream().flatMap(v -> v.breaches().stream()).toList())
+        ScenarioResult result = play(seed, loss, doubled, reordered, reset, transport, faultKind);
+        assertThat(
+                        result.ruleResults().values().stream()
+                                .flatMap(v -> v.breaches().stream())
+                                .toList())
                 .isEmpty();
         assertThat(result.stats().sessions).isPositive();
     }
