--- a/src/main/java/coralcove/cli/Commands.java
+++ b/src/main/java/coralcove/cli/Commands.java
@@ -44,8 +44,8 @@
 import coralcove.rehearsal.ScenarioFile;
 import coralcove.rehearsal.ScenarioResult;
 import coralcove.rehearsal.ScenarioRunner;
-import coralcove.sip.Core;
-import coralcove.sip.Hop;
+import coralcove.sip.SipCore;
+import coralcove.sip.TransportAddress;
 import coralcove.sources.store.RosterStore;
 import coralcove.store.EntryStore;
 import java.io.IOException;
@@ -161,7 +161,8 @@
         }
     }
 
-    private static void run(TomlSettings toml, String table, String name, Hop self, Core core)
+    private static void run(
+            TomlSettings toml, String table, String name, TransportAddress self, SipCore core)
             throws BadConfig {
         run(toml, table, name, self, core, null, null);
     }
@@ -170,8 +171,8 @@
             TomlSettings toml,
             String table,
             String name,
-            Hop self,
-            Core core,
+            TransportAddress self,
+            SipCore core,
             EdgeSettingsFile file,
             EdgeLinkCore link)
             throws BadConfig {
--- a/src/main/java/coralcove/cli/SourcesCommand.java
+++ b/src/main/java/coralcove/cli/SourcesCommand.java
@@ -8,7 +8,7 @@
 import coralcove.edge.SourceQueryCore;
 import coralcove.network.LiveNetwork;
 import coralcove.portability.RouterLocators;
-import coralcove.sip.Hop;
+import coralcove.sip.TransportAddress;
 import coralcove.sources.Liveness;
 import coralcove.sources.Roster;
 import coralcove.sources.RosterEntry;
@@ -72,7 +72,7 @@
         EdgeSettings settings =
                 new EdgeSettings(
                         router.number(),
-                        new Hop(
+                        new TransportAddress(
                                 false,
                                 router.listenAddress().host(),
                                 freePort(router.listenAddress().host())),
--- a/src/main/java/coralcove/config/AddressSettings.java
+++ b/src/main/java/coralcove/config/AddressSettings.java
@@ -1,7 +1,7 @@
 package coralcove.config;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import coralcove.sip.Hop;
+import coralcove.sip.TransportAddress;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -13,12 +13,12 @@
     private AddressSettings() {}
 
     /**
-     * Parses an address without checks, in the format of {@link Hop#toString}. The last colon
-     * precedes the port, as an IPv6 host contains colons too.
+     * Parses an address without checks, in the format of {@link TransportAddress#toString}. The
+     * last colon precedes the port, as an IPv6 host contains colons too.
      */
-    public static Hop parse(String text) {
+    public static TransportAddress parse(String text) {
         int colon = text.lastIndexOf(':');
-        return new Hop(
+        return new TransportAddress(
                 text.startsWith("tcp:"),
                 text.substring(4, colon),
                 Integer.parseInt(text.substring(colon + 1)));
@@ -29,13 +29,14 @@
      *
      * @throws BadConfig if an address is invalid or repeated, or there are none or too many
      */
-    public static List<Hop> readAll(TomlSettings.Table table, String key) throws BadConfig {
+    public static List<TransportAddress> readAll(TomlSettings.Table table, String key)
+            throws BadConfig {
         if (table.node(key) == null || !table.node(key).isArray()) {
             return List.of(read(table, key));
         }
-        List<Hop> hops = new ArrayList<>();
+        List<TransportAddress> hops = new ArrayList<>();
         for (JsonNode element : table.node(key)) {
-            Hop hop = read(table, key, element.asText());
+            TransportAddress hop = read(table, key, element.asText());
             if (hops.contains(hop)) {
                 throw table.invalid(key, "has \"" + hop + "\" twice");
             }
@@ -50,11 +51,12 @@
     }
 
     /** Reads a key that holds one address. */
-    public static Hop read(TomlSettings.Table table, String key) throws BadConfig {
+    public static TransportAddress read(TomlSettings.Table table, String key) throws BadConfig {
         return read(table, key, table.text(key));
     }
 
-    private static Hop read(TomlSettings.Table table, String key, String text) throws BadConfig {
+    private static TransportAddress read(TomlSettings.Table table, String key, String text)
+            throws BadConfig {
         int colon = text.lastIndexOf(':');
         boolean tcp = text.startsWith("tcp:");
         if (!tcp && !text.startsWith("udp:") || colon < 5) {
@@ -67,7 +69,7 @@
         try {
             int port = Integer.parseInt(text.substring(colon + 1));
             if (port > 0 && port < 65_536) {
-                return new Hop(tcp, text.substring(4, colon), port);
+                return new TransportAddress(tcp, text.substring(4, colon), port);
             }
         } catch (NumberFormatException e) {
             // Reported below.
--- a/src/main/java/coralcove/directory/DirectorySettingsFile.java
+++ b/src/main/java/coralcove/directory/DirectorySettingsFile.java
@@ -3,11 +3,11 @@
 import coralcove.config.AddressSettings;
 import coralcove.config.BadConfig;
 import coralcove.config.TomlSettings;
-import coralcove.sip.Hop;
+import coralcove.sip.TransportAddress;
 
 /** The settings file of the simulated directory. */
 public record DirectorySettingsFile(
-        Hop listenAddress, SimulatedDirectory.NotificationDelays delays) {
+        TransportAddress listenAddress, SimulatedDirectory.NotificationDelays delays) {
     /** Reads a settings file. */
     public static DirectorySettingsFile read(TomlSettings toml) throws BadConfig {
         TomlSettings.Table directory = toml.table("directory");
--- a/src/main/java/coralcove/directory/SimulatedDirectory.java
+++ b/src/main/java/coralcove/directory/SimulatedDirectory.java
@@ -1,13 +1,13 @@
 package coralcove.directory;
 
 import coralcove.protocol.ExchangeListFormat;
-import coralcove.sip.Hop;
-import coralcove.sip.Out;
 import coralcove.sip.SipMessage;
-import coralcove.sip.dialog.CallFreeCore;
+import coralcove.sip.SipOutput;
+import coralcove.sip.TransportAddress;
+import coralcove.sip.dialog.InviteRejectingCore;
 import coralcove.sip.event.Notifier;
-import coralcove.sip.transaction.ClientTx;
-import coralcove.sip.transaction.ServerTx;
+import coralcove.sip.transaction.ClientTransaction;
+import coralcove.sip.transaction.ServerTransaction;
 import coralcove.sources.DirectoryListing;
 import java.util.LinkedHashMap;
 import java.util.Map;
@@ -18,7 +18,7 @@
  * start; until it has been up for longer than the silence time-out it marks its lists as learning,
  * because it cannot know which exchanges are missing.
  */
-public final class SimulatedDirectory extends CallFreeCore {
+public final class SimulatedDirectory extends InviteRejectingCore {
     /**
      * Delays in µs until subscribers are notified: {@code drainOrLeave} after an exchange announced
      * it, {@code silenceTimeout} after the last REGISTER of a silent exchange, and {@code addition}
@@ -74,7 +74,7 @@
         }
     }
 
-    private final Hop address;
+    private final TransportAddress address;
     private final NotificationDelays delays;
     private final String epoch;
     private final Notifier notifier;
@@ -85,29 +85,30 @@
     /**
      * {@code startTag} is also the epoch: lower-case letters and digits, different for each start.
      */
-    public SimulatedDirectory(Hop address, NotificationDelays delays, String startTag) {
+    public SimulatedDirectory(
+            TransportAddress address, NotificationDelays delays, String startTag) {
         super(address, startTag);
         this.address = address;
         this.delays = delays;
         epoch = startTag;
-        notifier = new Notifier(agent, timers, "exchanges", startTag, this::state);
+        notifier = new Notifier(userAgent, timers, "exchanges", startTag, this::state);
     }
 
     @Override
-    public void start(long now, Out out) {
+    public void start(long now, SipOutput out) {
         out.log("directory", "", address + " epoch " + epoch);
-        timers.set(now + delays.silenceTimeout + LEARNING_MARGIN_US, this::endLearning);
+        timers.schedule(now + delays.silenceTimeout + LEARNING_MARGIN_US, this::endLearning);
     }
 
-    private void endLearning(long now, Out out) {
+    private void endLearning(long now, SipOutput out) {
         learning = false;
         version++;
         out.log("learnt", "", exchanges.size() + " exchanges");
-        Notifier.State state = state(now);
-        notifier.changed(now, state.tag(), state.text(), out);
+        Notifier.EventState state = state(now);
+        notifier.notifySubscribers(now, state.entityTag(), state.body(), out);
     }
 
-    private Notifier.State state(long now) {
+    private Notifier.EventState state(long now) {
         StringBuilder body =
                 new StringBuilder(
                         ExchangeListFormat.formatHeader(
@@ -123,7 +124,7 @@
                                 each.notifiedPhase.equals("ready")
                                         || each.notifiedPhase.equals("draining"))
                 .forEach(each -> body.append(each.format(now)).append('\n'));
-        return new Notifier.State(versionTag(), body.toString());
+        return new Notifier.EventState(versionTag(), body.toString());
     }
 
     private String versionTag() {
@@ -131,12 +132,16 @@
     }
 
     @Override
-    public void request(long now, ServerTx tx, Hop from, Out out) {
+    public void requestReceived(
+            long now, ServerTransaction tx, TransportAddress from, SipOutput out) {
         switch (tx.request().method()) {
             case "REGISTER" -> register(now, tx, out);
-            case "SUBSCRIBE" -> notifier.subscribe(now, tx, out);
-            case "OPTIONS" -> agent.respond(now, tx, agent.reply(tx, 200, "OK"), out);
-            default -> agent.respond(now, tx, agent.reply(tx, 405, "Method Not Allowed"), out);
+            case "SUBSCRIBE" -> notifier.handleSubscribe(now, tx, out);
+            case "OPTIONS" ->
+                    userAgent.respond(now, tx, userAgent.createResponse(tx, 200, "OK"), out);
+            default ->
+                    userAgent.respond(
+                            now, tx, userAgent.createResponse(tx, 405, "Method Not Allowed"), out);
         }
     }
 
@@ -144,25 +149,26 @@
      * Handles a REGISTER, whose X-Exchange header has the format of a list's line; an exchange
      * reports itself as ready, draining or left.
      */
-    private void register(long now, ServerTx tx, Out out) {
+    private void register(long now, ServerTransaction tx, SipOutput out) {
         DirectoryListing.Entry line;
         try {
             line = ExchangeListFormat.parseLine(tx.request().header("X-Exchange", "").strip());
         } catch (IllegalArgumentException e) {
-            agent.respond(now, tx, agent.reply(tx, 400, "Bad Request"), out);
+            userAgent.respond(now, tx, userAgent.createResponse(tx, 400, "Bad Request"), out);
             return;
         }
         if (line.liveness().isSilent()
                 || exchanges.size() >= MAX_EXCHANGES && !exchanges.containsKey(line.id())) {
-            agent.respond(
+            userAgent.respond(
                     now,
                     tx,
-                    agent.reply(tx, line.liveness().isSilent() ? 400 : 503, "Not taken"),
+                    userAgent.createResponse(
+                            tx, line.liveness().isSilent() ? 400 : 503, "Not taken"),
                     out);
             return;
         }
         RegisteredExchange exchange = exchanges.computeIfAbsent(line.id(), RegisteredExchange::new);
-        SipMessage reply = agent.reply(tx, 200, "OK");
+        SipMessage reply = userAgent.createResponse(tx, 200, "OK");
         boolean outdated =
                 line.liveness().startNumber() < exchange.startNumber
                         || line.liveness().startNumber() == exchange.startNumber
@@ -172,7 +178,7 @@
             // Its clock went back, or it had left: it must register with a higher start number.
             reply.add("X-Start", Long.toString(exchange.startNumber));
         }
-        agent.respond(now, tx, reply, out);
+        userAgent.respond(now, tx, reply, out);
         if (!outdated) {
             applyRegistration(now, exchange, line);
         }
@@ -209,12 +215,13 @@
                             ? 0
                             : phase.equals("ready") ? delays.addition : delays.drainOrLeave;
             long startNumber = exchange.startNumber;
-            timers.set(now + wait, (at, o) -> notifyChange(at, exchange, startNumber, phase, o));
+            timers.schedule(
+                    now + wait, (at, o) -> notifyChange(at, exchange, startNumber, phase, o));
         }
-        timers.set(now + delays.silenceTimeout, (at, o) -> checkSilence(at, exchange, o));
+        timers.schedule(now + delays.silenceTimeout, (at, o) -> checkSilence(at, exchange, o));
     }
 
-    private void checkSilence(long now, RegisteredExchange exchange, Out out) {
+    private void checkSilence(long now, RegisteredExchange exchange, SipOutput out) {
         if (now - exchange.lastHeardAt >= delays.silenceTimeout
                 && !exchange.phase.equals("left")
                 && !exchange.phase.equals("silent")) {
@@ -224,7 +231,7 @@
     }
 
     private void notifyChange(
-            long now, RegisteredExchange exchange, long startNumber, String phase, Out out) {
+            long now, RegisteredExchange exchange, long startNumber, String phase, SipOutput out) {
         if (startNumber < exchange.notifiedStartNumber
                 || startNumber == exchange.notifiedStartNumber
                         && phase.equals(exchange.notifiedPhase)
@@ -237,7 +244,7 @@
         long previousVersion = version++;
         String line = exchange.format(now);
         out.log("change", "", line);
-        notifier.changed(
+        notifier.notifySubscribers(
                 now,
                 versionTag(),
                 ExchangeListFormat.formatHeader(
@@ -248,8 +255,9 @@
     }
 
     @Override
-    public void replied(long now, ClientTx tx, SipMessage response, Out out) {
+    public void responseReceived(
+            long now, ClientTransaction tx, SipMessage response, SipOutput out) {
         // A router that missed a change notices the gap at the next one and subscribes again.
-        notifier.replied(tx, response);
+        notifier.handleResponse(tx, response);
     }
 }
--- a/src/main/java/coralcove/edge/DnsDiscoveryCore.java
+++ b/src/main/java/coralcove/edge/DnsDiscoveryCore.java
@@ -1,7 +1,7 @@
 package coralcove.edge;
 
 import coralcove.dns.DnsQueryClient;
-import coralcove.sip.Out;
+import coralcove.sip.SipOutput;
 import java.util.function.Consumer;
 
 /** A core that can use DNS as a further source of router addresses. */
@@ -17,5 +17,5 @@
             Consumer<LocatorResult> results);
 
     /** The result of a DNS query. */
-    void dnsAnswered(long now, LocatorResult result, Out out);
+    void dnsAnswered(long now, LocatorResult result, SipOutput out);
 }
--- a/src/main/java/coralcove/edge/EdgeCore.java
+++ b/src/main/java/coralcove/edge/EdgeCore.java
@@ -16,16 +16,16 @@
 import coralcove.protocol.CallHeaders;
 import coralcove.protocol.FailureResponse;
 import coralcove.protocol.InviteOutcomes;
-import coralcove.sip.Hop;
-import coralcove.sip.Out;
 import coralcove.sip.SipMessage;
+import coralcove.sip.SipOutput;
 import coralcove.sip.SipUri;
-import coralcove.sip.Timers;
-import coralcove.sip.dialog.Agent;
-import coralcove.sip.dialog.AgentCore;
+import coralcove.sip.TimerWheel;
+import coralcove.sip.TransportAddress;
 import coralcove.sip.dialog.Call;
-import coralcove.sip.transaction.ClientTx;
-import coralcove.sip.transaction.ServerTx;
+import coralcove.sip.dialog.UserAgent;
+import coralcove.sip.dialog.UserAgentCore;
+import coralcove.sip.transaction.ClientTransaction;
+import coralcove.sip.transaction.ServerTransaction;
 import coralcove.sources.Roster;
 import coralcove.sources.RosterEntry;
 import java.util.HashMap;
@@ -41,7 +41,8 @@
  * another, outbound legs, all through the local exchange. It informs the routing policy of every
  * event and carries out the policy's decisions; it makes no routing decision itself.
  */
-public final class EdgeCore extends AgentCore implements RosterManager.Listener, DnsDiscoveryCore {
+public final class EdgeCore extends UserAgentCore
+        implements RosterManager.Listener, DnsDiscoveryCore {
     private static final String TEMPORARILY_UNAVAILABLE = "Temporarily Unavailable";
 
     /**
@@ -74,7 +75,7 @@
         OutboundLeg outboundLeg;
 
         /** Runs while the session waits for its next INVITE or for the portability server. */
-        Timers.Timer waitTimer;
+        TimerWheel.Timer waitTimer;
 
         RejectionCause lastCause = RejectionCause.NONE;
         boolean answered;
@@ -100,7 +101,7 @@
         final long exchangeId;
         final long sentAt;
         Call call;
-        Timers.Timer timeoutTimer;
+        TimerWheel.Timer timeoutTimer;
         boolean holdsCircuits;
 
         OutboundLeg(ActiveSession activeSession, int exchangeNumber, long exchangeId, long sentAt) {
@@ -120,7 +121,7 @@
     private final TreeMap<Integer, int[]> reportedCircuits = new TreeMap<>();
     private long nextSessionId = 1;
     private int unansweredCount;
-    private Timers.Timer wakeTimer;
+    private TimerWheel.Timer wakeTimer;
     private long wakeAt;
     private boolean stopping;
     private NumberAnalysisContext numberAnalysis;
@@ -134,7 +135,7 @@
         rosterManager =
                 new RosterManager(
                         settings,
-                        agent,
+                        userAgent,
                         timers,
                         this,
                         new SplittableRandom(settings.seed() ^ settings.startTag().hashCode()));
@@ -161,7 +162,7 @@
     }
 
     @Override
-    public void dnsAnswered(long now, LocatorResult result, Out out) {
+    public void dnsAnswered(long now, LocatorResult result, SipOutput out) {
         rosterManager.dnsAnswered(now, result, out);
         performPendingActions(now, out);
     }
@@ -192,44 +193,45 @@
     // ---- inputs
 
     @Override
-    public void start(long now, Out out) {
+    public void start(long now, SipOutput out) {
         rosterManager.start(now, out);
         if (numberAnalysis != null) {
-            timers.set(now + PORTING_SWEEP_INTERVAL_US, this::sweepPortingCache);
+            timers.schedule(now + PORTING_SWEEP_INTERVAL_US, this::sweepPortingCache);
         }
         performPendingActions(now, out);
     }
 
     @Override
-    public void receive(long now, Hop from, SipMessage message, Out out) {
+    public void receive(long now, TransportAddress from, SipMessage message, SipOutput out) {
         super.receive(now, from, message, out);
         performPendingActions(now, out);
     }
 
     @Override
-    public void turnAway(long now, Hop from, SipMessage message, long retryAfter, Out out) {
-        agent.turnAway(now, from, message, InviteOutcomes.retryAfter(retryAfter), out);
+    public void rejectOverloaded(
+            long now, TransportAddress from, SipMessage message, long retryAfter, SipOutput out) {
+        userAgent.rejectOverloaded(now, from, message, InviteOutcomes.retryAfter(retryAfter), out);
         performPendingActions(now, out);
     }
 
     @Override
-    public boolean repeat(SipMessage message) {
-        return agent.repeat(message);
+    public boolean isRetransmission(SipMessage message) {
+        return userAgent.isRetransmission(message);
     }
 
     @Override
-    public void broken(long now, Hop peer, boolean refused, Out out) {
-        super.broken(now, peer, refused, out);
+    public void connectionFailed(long now, TransportAddress peer, boolean refused, SipOutput out) {
+        super.connectionFailed(now, peer, refused, out);
         performPendingActions(now, out);
     }
 
     @Override
-    public void tick(long now, Out out) {
+    public void tick(long now, SipOutput out) {
         super.tick(now, out);
         performPendingActions(now, out);
     }
 
-    private void performPendingActions(long now, Out out) {
+    private void performPendingActions(long now, SipOutput out) {
         PendingActions waiting = policy.pendingActions(now);
         if (waiting.subscribe()) {
             rosterManager.subscribe(now, out);
@@ -241,20 +243,20 @@
         if (waiting.wakeAt() > 0 && waiting.wakeAt() != wakeAt) {
             timers.cancel(wakeTimer);
             wakeAt = waiting.wakeAt();
-            wakeTimer = timers.set(wakeAt, (at, o) -> {});
+            wakeTimer = timers.schedule(wakeAt, (at, o) -> {});
         }
     }
 
     // ---- sessions
 
     @Override
-    public void invited(long now, Call call, Hop from, Out out) {
+    public void callReceived(long now, Call call, TransportAddress from, SipOutput out) {
         CallHeaders headers;
         try {
             headers = CallHeaders.parse(call.invite(), settings.policySettings().services().size());
         } catch (IllegalArgumentException e) {
-            agent.count("bad-invite");
-            agent.reject(
+            userAgent.incrementCounter("bad-invite");
+            userAgent.reject(
                     now,
                     call,
                     400,
@@ -266,8 +268,8 @@
         }
         boolean dialled = headers.farEnd() < 0;
         if (dialled && numberAnalysis == null) {
-            agent.count("bad-invite");
-            agent.reject(
+            userAgent.incrementCounter("bad-invite");
+            userAgent.reject(
                     now,
                     call,
                     400,
@@ -278,19 +280,19 @@
             return;
         }
         if (!dialled && !isReachable(headers.farEnd())) {
-            agent.count("404");
-            agent.reject(now, call, 404, "Not Found", out);
+            userAgent.incrementCounter("404");
+            userAgent.reject(now, call, 404, "Not Found", out);
             return;
         }
         if (bySessionId.containsKey(call.sessionId())) {
             // The session is already active here, so the request has looped (RFC 3261 16.3).
-            agent.count("482");
-            agent.reject(now, call, 482, "Loop Detected", out);
+            userAgent.incrementCounter("482");
+            userAgent.reject(now, call, 482, "Loop Detected", out);
             return;
         }
         if (stopping || unansweredCount >= settings.maxOpenSessions()) {
-            agent.count(stopping ? "stopping" : "too-many-open");
-            agent.reject(
+            userAgent.incrementCounter(stopping ? "stopping" : "too-many-open");
+            userAgent.reject(
                     now,
                     call,
                     503,
@@ -354,7 +356,7 @@
      * Continues a session whose far end is known: delivers it if it is for a local line, otherwise
      * asks the routing policy.
      */
-    private void startSession(long now, ActiveSession activeSession, Out out) {
+    private void startSession(long now, ActiveSession activeSession, SipOutput out) {
         CallHeaders headers = activeSession.headers;
         boolean isLocal = headers.farEnd() == settings.number();
         boolean inTransit = headers.origin() >= 0;
@@ -389,12 +391,12 @@
     public void attachPlanner(long now, EdgeLinkCore link, EdgeLinkCore.Actions out) {
         plannerLink = link;
         plannerLinkOut = out;
-        timers.set(now, this::tickPlannerLink);
+        timers.schedule(now, this::tickPlannerLink);
     }
 
-    private void tickPlannerLink(long now, Out out) {
+    private void tickPlannerLink(long now, SipOutput out) {
         plannerLink.tick(now, plannerLinkOut);
-        timers.set(now + EdgeLinkCore.tickIntervalMicros(), this::tickPlannerLink);
+        timers.schedule(now + EdgeLinkCore.tickIntervalMicros(), this::tickPlannerLink);
     }
 
     // ---- dialled numbers
@@ -404,13 +406,13 @@
         numberAnalysis = context;
     }
 
-    private void sweepPortingCache(long now, Out out) {
+    private void sweepPortingCache(long now, SipOutput out) {
         numberAnalysis.porting.evictExpired(now);
-        timers.set(now + PORTING_SWEEP_INTERVAL_US, this::sweepPortingCache);
+        timers.schedule(now + PORTING_SWEEP_INTERVAL_US, this::sweepPortingCache);
     }
 
     private void applySearchStep(
-            long now, ActiveSession activeSession, NumberAnalysis.Step step, Out out) {
+            long now, ActiveSession activeSession, NumberAnalysis.Step step, SipOutput out) {
         String id = activeSession.inboundCall.sessionId();
         String table = "table " + activeSession.numberSearch.tableVersion();
         if (step instanceof NumberAnalysis.Route route) {
@@ -422,12 +424,12 @@
             if (isReachable(route.farEnd())) {
                 startSession(now, activeSession, out);
             } else {
-                agent.count("404");
+                userAgent.incrementCounter("404");
                 rejectSession(now, activeSession, 404, "Not Found", out);
             }
         } else if (step instanceof NumberAnalysis.Refused refused) {
             out.log("no-far-end", id, table + " " + refused.status());
-            agent.count(Integer.toString(refused.status()));
+            userAgent.incrementCounter(Integer.toString(refused.status()));
             if (refused.number().isEmpty()) {
                 rejectSession(now, activeSession, refused.status(), refused.reason(), out);
             } else {
@@ -443,7 +445,7 @@
         } else if (step instanceof NumberAnalysis.Wait wait) {
             out.log("portability", id, table + (wait.sendQuery() ? " asks" : " waits"));
             activeSession.waitTimer =
-                    timers.set(
+                    timers.schedule(
                             wait.deadline(), (at, o) -> resumeNumberSearch(at, activeSession, o));
             if (wait.sendQuery()) {
                 numberAnalysis.portabilityClient.query(now, wait.number());
@@ -451,7 +453,7 @@
         }
     }
 
-    private void resumeNumberSearch(long now, ActiveSession activeSession, Out out) {
+    private void resumeNumberSearch(long now, ActiveSession activeSession, SipOutput out) {
         if (!activeSession.answered && !activeSession.numberSearch.isFinished()) {
             timers.cancel(activeSession.waitTimer);
             applySearchStep(
@@ -472,7 +474,7 @@
             PortabilityCache.QueryOutcome outcome,
             long routingNumber,
             long lifetime,
-            Out out) {
+            SipOutput out) {
         for (long id :
                 numberAnalysis.porting.queryEnded(now, number, outcome, routingNumber, lifetime)) {
             ActiveSession activeSession = activeSessions.get(id);
@@ -484,7 +486,7 @@
     }
 
     /** Puts a number table in service; one that is not newer is logged and ignored. */
-    public void replaceNumberTable(long now, NumberTable table, Out out) {
+    public void replaceNumberTable(long now, NumberTable table, SipOutput out) {
         List<Long> discardedVersions;
         try {
             discardedVersions = numberAnalysis.numberTables.replace(table);
@@ -541,9 +543,9 @@
         return digits.isEmpty() || digits.length() > 18 ? 0 : Long.parseLong(digits);
     }
 
-    private void rejectForNoCircuit(long now, Call call, CallHeaders headers, Out out) {
-        agent.count("no-circuit");
-        agent.reject(
+    private void rejectForNoCircuit(long now, Call call, CallHeaders headers, SipOutput out) {
+        userAgent.incrementCounter("no-circuit");
+        userAgent.reject(
                 now,
                 call,
                 503,
@@ -556,28 +558,30 @@
     }
 
     /** Sends a call for a local line to the local exchange; there is no route to choose. */
-    private void deliverToLocalLine(long now, ActiveSession activeSession, long deadline, Out out) {
+    private void deliverToLocalLine(
+            long now, ActiveSession activeSession, long deadline, SipOutput out) {
         OutboundLeg leg = new OutboundLeg(activeSession, settings.number(), 0, now);
         activeSession.outboundLeg = leg;
         SipMessage invite = buildOutgoingInvite(activeSession, deadline - now);
-        leg.call = agent.invite(now, invite, settings.exchangeAddress(), leg, out);
+        leg.call = userAgent.invite(now, invite, settings.exchangeAddress(), leg, out);
         leg.timeoutTimer =
-                timers.set(
+                timers.schedule(
                         deadline,
                         (at, o) -> {
-                            agent.cancel(at, leg.call, o);
+                            userAgent.cancel(at, leg.call, o);
                             rejectSession(at, activeSession, 408, "Request Timeout", o);
                         });
     }
 
     private SipMessage buildOutgoingInvite(ActiveSession activeSession, long remainingTime) {
         SipMessage invite =
-                agent.request(
+                userAgent.createRequest(
                         "INVITE",
-                        SipUri.text(activeSession.headers.number(), settings.exchangeAddress()));
+                        SipUri.format(activeSession.headers.number(), settings.exchangeAddress()));
         invite.set(
                 "Max-Forwards",
-                Long.toString(activeSession.inboundCall.invite().number("Max-Forwards", 70) - 1));
+                Long.toString(
+                        activeSession.inboundCall.invite().numericHeader("Max-Forwards", 70) - 1));
         CallHeaders.copyEndToEndFields(activeSession.inboundCall.invite(), invite);
         return CallHeaders.addTo(
                 invite,
@@ -588,7 +592,7 @@
     }
 
     private void applyDecision(
-            long now, ActiveSession activeSession, RoutingDecision decision, Out out) {
+            long now, ActiveSession activeSession, RoutingDecision decision, SipOutput out) {
         switch (decision.kind()) {
             case SEND -> sendInvite(now, activeSession, decision, out);
             case LATER -> {
@@ -597,7 +601,7 @@
                         activeSession.inboundCall.sessionId(),
                         "in " + (decision.time() - now) / 1000 + " ms");
                 activeSession.waitTimer =
-                        timers.set(
+                        timers.schedule(
                                 decision.time(),
                                 (at, o) -> {
                                     if (!activeSession.answered) {
@@ -616,7 +620,7 @@
     }
 
     private void sendInvite(
-            long now, ActiveSession activeSession, RoutingDecision decision, Out out) {
+            long now, ActiveSession activeSession, RoutingDecision decision, SipOutput out) {
         RosterManager.RouterLocation location = rosterManager.locationOf(decision.exchange());
         int exchangeNumber = location == null ? -1 : location.exchange().number();
         OutboundLeg leg = new OutboundLeg(activeSession, exchangeNumber, decision.exchange(), now);
@@ -636,19 +640,19 @@
         invite.set("X-Origin", Integer.toString(settings.number()));
         invite.add(
                 "Route",
-                "<" + SipUri.text(Integer.toString(exchangeNumber), location.router()) + ";lr>");
+                "<" + SipUri.format(Integer.toString(exchangeNumber), location.router()) + ";lr>");
         out.log(
                 "invite",
                 activeSession.inboundCall.sessionId(),
                 "to " + decision.exchange() + " number " + exchangeNumber);
-        leg.call = agent.invite(now, invite, settings.exchangeAddress(), leg, out);
+        leg.call = userAgent.invite(now, invite, settings.exchangeAddress(), leg, out);
         leg.timeoutTimer =
-                timers.set(
+                timers.schedule(
                         now + decision.time(),
                         (at, o) -> {
-                            agent.cancel(at, leg.call, o);
+                            userAgent.cancel(at, leg.call, o);
                             // Its circuits stay busy at most for the release wait.
-                            timers.set(
+                            timers.schedule(
                                     at + settings.policySettings().releaseWait(),
                                     (releaseAt, unused) -> releaseCircuits(releaseAt, leg));
                             finishInvite(
@@ -662,7 +666,7 @@
             InviteOutcome outcome,
             RejectionCause cause,
             long namedWait,
-            Out out) {
+            SipOutput out) {
         ActiveSession activeSession = leg.activeSession;
         timers.cancel(leg.timeoutTimer);
         if (activeSession.outboundLeg != leg) {
@@ -698,7 +702,8 @@
      * Rejects a session that the policy refused: with a crankback if it is in transit, otherwise
      * with the time after which the caller may retry, if there is one.
      */
-    private void rejectByPolicy(long now, ActiveSession activeSession, long retryAfter, Out out) {
+    private void rejectByPolicy(
+            long now, ActiveSession activeSession, long retryAfter, SipOutput out) {
         if (activeSession.headers.origin() >= 0) {
             boolean fullBeyond = activeSession.lastCause == RejectionCause.PROCESSOR_FULL;
             rejectSession(
@@ -735,13 +740,13 @@
             ActiveSession activeSession,
             int status,
             String reason,
-            Out out,
+            SipOutput out,
             String... extraHeaders) {
         if (activeSession.answered) {
             return;
         }
         out.log("answer", activeSession.inboundCall.sessionId(), status + " " + reason);
-        agent.reject(now, activeSession.inboundCall, status, reason, out, extraHeaders);
+        userAgent.reject(now, activeSession.inboundCall, status, reason, out, extraHeaders);
         endSession(now, activeSession);
     }
 
@@ -763,15 +768,15 @@
     }
 
     @Override
-    public void progressed(long now, Call call, SipMessage response, Out out) {
+    public void provisionalReceived(long now, Call call, SipMessage response, SipOutput out) {
         OutboundLeg leg = (OutboundLeg) call.owner();
         if (response.status() == 180 && !leg.activeSession.answered) {
-            agent.progress(now, leg.activeSession.inboundCall, 180, "Ringing", out);
+            userAgent.sendProvisional(now, leg.activeSession.inboundCall, 180, "Ringing", out);
         }
     }
 
     @Override
-    public void answered(long now, Call call, SipMessage response, Out out) {
+    public void callAnswered(long now, Call call, SipMessage response, SipOutput out) {
         OutboundLeg leg = (OutboundLeg) call.owner();
         ActiveSession activeSession = leg.activeSession;
         timers.cancel(leg.timeoutTimer);
@@ -779,7 +784,7 @@
         unansweredCount--;
         releaseNumberTable(activeSession);
         out.log("stands", activeSession.inboundCall.sessionId(), (now - leg.sentAt) / 1000 + " ms");
-        agent.answer(now, activeSession.inboundCall, response, out);
+        userAgent.answer(now, activeSession.inboundCall, response, out);
         if (activeSession.session != null) {
             policy.onInviteOutcome(
                     now,
@@ -794,7 +799,8 @@
     }
 
     @Override
-    public void rejected(long now, Call call, SipMessage response, Agent.Lost lost, Out out) {
+    public void callFailed(
+            long now, Call call, SipMessage response, UserAgent.CallFailure lost, SipOutput out) {
         OutboundLeg leg = (OutboundLeg) call.owner();
         ActiveSession activeSession = leg.activeSession;
         timers.cancel(leg.timeoutTimer);
@@ -802,15 +808,15 @@
         if (response != null && response.header("X-Circuits") != null) {
             // After the release, since the far end does not count the INVITE that it rejected.
             trunkGroups.farEndReportedBusy(
-                    now, leg.exchangeNumber, (int) response.number("X-Circuits", 0));
+                    now, leg.exchangeNumber, (int) response.numericHeader("X-Circuits", 0));
             if (trunkGroups.excessExpiresAt(now, leg.exchangeNumber) < Long.MAX_VALUE) {
-                timers.set(
+                timers.schedule(
                         trunkGroups.excessExpiresAt(now, leg.exchangeNumber),
                         (at, o) -> reportCircuits(at, leg.exchangeNumber));
             }
             reportCircuits(now, leg.exchangeNumber);
         }
-        if (activeSession.outboundLeg != leg || call.cancelled()) {
+        if (activeSession.outboundLeg != leg || call.isCancelled()) {
             return;
         }
         if (activeSession.session == null) {
@@ -826,7 +832,7 @@
     }
 
     @Override
-    public void cancelled(long now, Call call, Out out) {
+    public void callCancelled(long now, Call call, SipOutput out) {
         ActiveSession activeSession = (ActiveSession) call.owner();
         out.log("caller-gone", call.sessionId(), "");
         OutboundLeg leg = activeSession.outboundLeg;
@@ -835,8 +841,8 @@
             policy.onSessionEnded(now, activeSession.id);
         }
         if (leg != null) {
-            agent.cancel(now, leg.call, out);
-            timers.set(
+            userAgent.cancel(now, leg.call, out);
+            timers.schedule(
                     now + settings.policySettings().releaseWait(),
                     (releaseAt, unused) -> releaseCircuits(releaseAt, leg));
             if (activeSession.session != null) {
@@ -848,7 +854,7 @@
     }
 
     @Override
-    public void hungUp(long now, Call call, SipMessage bye, Out out) {
+    public void callEnded(long now, Call call, SipMessage bye, SipOutput out) {
         ActiveSession activeSession =
                 call.owner() instanceof OutboundLeg leg
                         ? leg.activeSession
@@ -858,7 +864,7 @@
                 bye == null || InviteOutcomes.causeOf(bye) == InviteOutcomes.NETWORK_OUT_OF_ORDER;
         Call otherCall = call == activeSession.inboundCall ? leg.call : activeSession.inboundCall;
         out.log("over", activeSession.inboundCall.sessionId(), wasCut ? "cut" : "");
-        agent.bye(
+        userAgent.bye(
                 now,
                 otherCall,
                 wasCut
@@ -885,26 +891,26 @@
      * is glare and answered 491.
      */
     @Override
-    public void changing(long now, Call call, SipMessage invite, Out out) {
+    public void reinviteReceived(long now, Call call, SipMessage invite, SipOutput out) {
         Call otherCall = otherLeg(call);
         boolean forwarded =
                 otherCall != null
-                        && agent.change(
+                        && userAgent.sendReinvite(
                                 now,
                                 otherCall,
                                 invite.header("Content-Type", "application/sdp"),
                                 invite.body(),
                                 out);
         if (!forwarded) {
-            agent.answerChange(now, call, 491, "Request Pending", "", new byte[0], out);
+            userAgent.answerReinvite(now, call, 491, "Request Pending", "", new byte[0], out);
         }
     }
 
     @Override
-    public void changed(long now, Call call, SipMessage response, Out out) {
+    public void reinviteAnswered(long now, Call call, SipMessage response, SipOutput out) {
         Call otherCall = otherLeg(call);
         if (otherCall != null) {
-            agent.answerChange(
+            userAgent.answerReinvite(
                     now,
                     otherCall,
                     response.status(),
@@ -944,49 +950,55 @@
 
     // ---- probes, peer messages and the roster
 
-    private void probe(long now, long id, Out out) {
+    private void probe(long now, long id, SipOutput out) {
         RosterManager.RouterLocation location = rosterManager.locationOf(id);
         if (location != null) {
             SipMessage request =
-                    agent.request("OPTIONS", SipUri.text("", location.router()))
+                    userAgent
+                            .createRequest("OPTIONS", SipUri.format("", location.router()))
                             .add("X-Probe", "yes");
-            agent.send(now, request, location.router(), new Object[] {id, now}, out);
+            userAgent.send(now, request, location.router(), new Object[] {id, now}, out);
         }
     }
 
-    private void broadcastToPeers(byte[] body, Out out) {
+    private void broadcastToPeers(byte[] body, SipOutput out) {
         for (RosterEntry entry : rosterManager.entries()) {
             if (entry.exchange().number() != settings.number()
                     && entry.exchange().phase() == Phase.READY) {
-                Hop peer = rosterManager.routerHop(entry);
-                SipMessage message = agent.request("MESSAGE", SipUri.text("", peer));
+                TransportAddress peer = rosterManager.routerHop(entry);
+                SipMessage message = userAgent.createRequest("MESSAGE", SipUri.format("", peer));
                 message.add("X-Number", Integer.toString(settings.number()));
-                agent.sendOnce(
-                        message.body("application/octet-stream", body), peer.over(false), out);
+                userAgent.sendWithoutTransaction(
+                        message.body("application/octet-stream", body),
+                        peer.withTransport(false),
+                        out);
             }
         }
     }
 
     @Override
-    public void request(long now, ServerTx tx, Hop from, Out out) {
+    public void requestReceived(
+            long now, ServerTransaction tx, TransportAddress from, SipOutput out) {
         SipMessage request = tx.request();
         switch (request.method()) {
-            case "NOTIFY" -> rosterManager.subscriber().notified(now, tx, from, out);
+            case "NOTIFY" -> rosterManager.subscriber().handleNotify(now, tx, from, out);
             case "MESSAGE" -> {
                 if (request.body().length <= MAX_PEER_MESSAGE_BYTES) {
-                    policy.onPeerMessage(now, (int) request.number("X-Number", -1), request.body());
+                    policy.onPeerMessage(
+                            now, (int) request.numericHeader("X-Number", -1), request.body());
                 } else {
-                    agent.count("long-news");
+                    userAgent.incrementCounter("long-news");
                 }
-                agent.respond(now, tx, agent.reply(tx, 200, "OK"), out);
+                userAgent.respond(now, tx, userAgent.createResponse(tx, 200, "OK"), out);
             }
             case "OPTIONS" -> {
                 if (request.header("X-Probe") == null) {
-                    agent.respond(now, tx, agent.reply(tx, 200, "OK"), out);
+                    userAgent.respond(now, tx, userAgent.createResponse(tx, 200, "OK"), out);
                 } else {
                     SipMessage forwarded =
-                            agent.request("OPTIONS", SipUri.text("", settings.exchangeAddress()));
-                    agent.send(
+                            userAgent.createRequest(
+                                    "OPTIONS", SipUri.format("", settings.exchangeAddress()));
+                    userAgent.send(
                             now,
                             forwarded.add("X-Probe", "yes"),
                             settings.exchangeAddress(),
@@ -994,24 +1006,27 @@
                             out);
                 }
             }
-            default -> agent.respond(now, tx, agent.reply(tx, 405, "Method Not Allowed"), out);
+            default ->
+                    userAgent.respond(
+                            now, tx, userAgent.createResponse(tx, 405, "Method Not Allowed"), out);
         }
     }
 
     @Override
-    public void replied(long now, ClientTx tx, SipMessage response, Out out) {
+    public void responseReceived(
+            long now, ClientTransaction tx, SipMessage response, SipOutput out) {
         boolean succeeded = response != null && response.status() < 300;
-        if (rosterManager.subscriber().replied(now, tx, response, out)) {
+        if (rosterManager.subscriber().handleResponse(now, tx, response, out)) {
             return;
         }
-        if (tx.owner() instanceof ServerTx probeRequest) {
+        if (tx.owner() instanceof ServerTransaction probeRequest) {
             SipMessage reply =
-                    agent.reply(
+                    userAgent.createResponse(
                             probeRequest, succeeded ? 200 : 503, succeeded ? "OK" : "No Answer");
             if (succeeded) {
                 reply.add("X-Load", response.header("X-Load", ""));
             }
-            agent.respond(now, probeRequest, reply, out);
+            userAgent.respond(now, probeRequest, reply, out);
         } else if (tx.owner() instanceof Object[] probe) {
             policy.onProbeReply(
                     now,
--- a/src/main/java/coralcove/edge/EdgeSettings.java
+++ b/src/main/java/coralcove/edge/EdgeSettings.java
@@ -1,7 +1,7 @@
 package coralcove.edge;
 
 import coralcove.Settings;
-import coralcove.sip.Hop;
+import coralcove.sip.TransportAddress;
 import java.util.List;
 
 /**
@@ -20,9 +20,9 @@
  */
 public record EdgeSettings(
         int number,
-        Hop listenAddress,
-        Hop exchangeAddress,
-        List<Hop> directories,
+        TransportAddress listenAddress,
+        TransportAddress exchangeAddress,
+        List<TransportAddress> directories,
         Settings policySettings,
         long answerMargin,
         int maxOpenSessions,
--- a/src/main/java/coralcove/edge/EdgeSettingsFile.java
+++ b/src/main/java/coralcove/edge/EdgeSettingsFile.java
@@ -7,7 +7,7 @@
 import coralcove.config.ServiceTable;
 import coralcove.config.StartTags;
 import coralcove.config.TomlSettings;
-import coralcove.sip.Hop;
+import coralcove.sip.TransportAddress;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
@@ -31,7 +31,7 @@
         EdgeSettings settings,
         String policy,
         NumberAnalysisSettings numbers,
-        Hop planner,
+        TransportAddress planner,
         Path plannerStore,
         Path planStore,
         boolean planAhead,
@@ -120,7 +120,7 @@
                                 routerCount,
                                 new SplittableRandom(settings.startTag().hashCode()))
                         : null;
-        Hop planner = null;
+        TransportAddress planner = null;
         String plannerStore = "";
         String planStore = "";
         boolean planAhead = false;
--- a/src/main/java/coralcove/edge/RosterManager.java
+++ b/src/main/java/coralcove/edge/RosterManager.java
@@ -5,11 +5,11 @@
 import coralcove.dns.DnsQueryClient;
 import coralcove.dns.ServiceLocator;
 import coralcove.protocol.ExchangeListFormat;
-import coralcove.sip.Hop;
-import coralcove.sip.Out;
 import coralcove.sip.SipMessage;
-import coralcove.sip.Timers;
-import coralcove.sip.dialog.Agent;
+import coralcove.sip.SipOutput;
+import coralcove.sip.TimerWheel;
+import coralcove.sip.TransportAddress;
+import coralcove.sip.dialog.UserAgent;
 import coralcove.sip.event.Subscriber;
 import coralcove.sip.event.Subscription;
 import coralcove.sources.DirectoryListing;
@@ -29,7 +29,7 @@
  * directories and DNS report to the {@link Roster}, and changes of the roster to its listener. The
  * routing policy decides when a directory is subscribed to again.
  */
-final class RosterManager implements Subscriber.User, ServiceLocator.Listener {
+final class RosterManager implements Subscriber.Listener, ServiceLocator.Listener {
     static final String EXCHANGES_EVENT = "exchanges";
     static final String TRUNK_GROUPS_EVENT = "trunk-groups";
 
@@ -57,11 +57,11 @@
     }
 
     /** An exchange and the address of its router. */
-    record RouterLocation(Exchange exchange, Hop router) {}
+    record RouterLocation(Exchange exchange, TransportAddress router) {}
 
     private final EdgeSettings settings;
-    private final Agent agent;
-    private final Timers timers;
+    private final UserAgent agent;
+    private final TimerWheel timers;
     private final Listener listener;
     private final Subscriber subscriber;
     private final Roster roster;
@@ -69,7 +69,7 @@
     /** Subscriptions to directories, by the directory's index in the settings. */
     private final Map<Integer, Subscription> subscriptions = new HashMap<>();
 
-    private final Map<String, Hop> hopsByAddress = new HashMap<>();
+    private final Map<String, TransportAddress> hopsByAddress = new HashMap<>();
 
     /** The numbers in the roster; also read by other threads that check number tables. */
     private volatile Set<Integer> farEnds = Set.of();
@@ -77,15 +77,15 @@
     /** Receives all reports after each update; null if they are not stored. */
     private Consumer<List<Roster.SourceReport>> reportSink;
 
-    private Timers.Timer authorityTimer;
+    private TimerWheel.Timer authorityTimer;
     private ServiceLocator locator;
-    private Timers.Timer locatorTimer;
+    private TimerWheel.Timer locatorTimer;
     private final List<String> locatorLogLines = new ArrayList<>();
 
     RosterManager(
             EdgeSettings settings,
-            Agent agent,
-            Timers timers,
+            UserAgent agent,
+            TimerWheel timers,
             Listener listener,
             RandomGenerator random) {
         this.settings = settings;
@@ -93,7 +93,9 @@
         this.timers = timers;
         this.listener = listener;
         subscriber = new Subscriber(agent, timers, random, this);
-        roster = new Roster(settings.directories().stream().map(Hop::toString).toList());
+        roster =
+                new Roster(
+                        settings.directories().stream().map(TransportAddress::toString).toList());
     }
 
     Subscriber subscriber() {
@@ -116,12 +118,12 @@
         return roster.restore(now, stored);
     }
 
-    void start(long now, Out out) {
+    void start(long now, SipOutput out) {
         publishChanges(now, out);
         subscribeToTrunkGroups(now, out);
     }
 
-    private void subscribeToTrunkGroups(long now, Out out) {
+    private void subscribeToTrunkGroups(long now, SipOutput out) {
         subscriber.subscribe(
                 now,
                 settings.exchangeAddress(),
@@ -133,10 +135,10 @@
     }
 
     /** Subscribes to every directory that has no subscription in force. */
-    void subscribe(long now, Out out) {
+    void subscribe(long now, SipOutput out) {
         for (int i = 0; i < settings.directories().size(); i++) {
             Subscription subscription = subscriptions.get(i);
-            if (subscription == null || !subscription.stands()) {
+            if (subscription == null || !subscription.isActive()) {
                 roster.subscriptionStarted(i);
                 subscriptions.put(
                         i,
@@ -153,36 +155,36 @@
     }
 
     @Override
-    public Subscriber.News notified(
-            long now, Subscription subscription, SipMessage notify, Out out) {
+    public Subscriber.NotifyResult notifyReceived(
+            long now, Subscription subscription, SipMessage notify, SipOutput out) {
         if (subscription.event().equals(TRUNK_GROUPS_EVENT)) {
-            return listener.trunkGroupsReceived(now, notify.text().lines().toList())
-                    ? Subscriber.News.WHOLE
-                    : Subscriber.News.BAD;
+            return listener.trunkGroupsReceived(now, notify.bodyText().lines().toList())
+                    ? Subscriber.NotifyResult.COMPLETE
+                    : Subscriber.NotifyResult.MALFORMED;
         }
         int source = (Integer) subscription.owner();
         DirectoryListing listing;
         try {
-            listing = ExchangeListFormat.parse(notify.text());
+            listing = ExchangeListFormat.parse(notify.bodyText());
         } catch (IllegalArgumentException e) {
-            out.log("bad-list", "", subscription.to() + ": " + e.getMessage());
-            return Subscriber.News.BAD;
+            out.log("bad-list", "", subscription.notifierAddress() + ": " + e.getMessage());
+            return Subscriber.NotifyResult.MALFORMED;
         }
         Roster.ListingRejection rejection = roster.applyListing(now, source, listing);
         if (rejection != Roster.ListingRejection.NONE) {
-            agent.count(
+            agent.incrementCounter(
                     "list-"
                             + rejection
                                     .name()
                                     .toLowerCase(java.util.Locale.ROOT)
                                     .replace('_', '-'));
-            out.log("list-refused", "", subscription.to() + ": " + rejection);
-            return Subscriber.News.BAD;
+            out.log("list-refused", "", subscription.notifierAddress() + ": " + rejection);
+            return Subscriber.NotifyResult.MALFORMED;
         }
         out.log(
                 "list",
                 "",
-                subscription.to()
+                subscription.notifierAddress()
                         + " epoch "
                         + listing.epoch()
                         + " version "
@@ -194,7 +196,7 @@
                         + " lines");
         boolean gap = refreshIncompleteLists(now, source, out);
         publishChanges(now, out);
-        return gap ? Subscriber.News.GAP : Subscriber.News.WHOLE;
+        return gap ? Subscriber.NotifyResult.INCOMPLETE : Subscriber.NotifyResult.COMPLETE;
     }
 
     /**
@@ -202,7 +204,7 @@
      *
      * @return whether {@code source} is among them
      */
-    private boolean refreshIncompleteLists(long now, int source, Out out) {
+    private boolean refreshIncompleteLists(long now, int source, SipOutput out) {
         boolean sourceRefreshed = false;
         for (int i = 0; i < settings.directories().size(); i++) {
             Subscription subscription = subscriptions.get(i);
@@ -215,7 +217,7 @@
     }
 
     @Override
-    public void renewed(long now, Subscription subscription, Out out) {
+    public void subscriptionRenewed(long now, Subscription subscription, SipOutput out) {
         if (subscription.event().equals(EXCHANGES_EVENT)) {
             roster.listRenewed(now, (Integer) subscription.owner());
             publishChanges(now, out);
@@ -223,11 +225,12 @@
     }
 
     @Override
-    public void ended(long now, Subscription subscription, String reason, Out out) {
+    public void subscriptionEnded(
+            long now, Subscription subscription, String reason, SipOutput out) {
         if (subscription.event().equals(TRUNK_GROUPS_EVENT)) {
-            timers.set(now + TRUNK_GROUPS_RETRY_US, this::subscribeToTrunkGroups);
+            timers.schedule(now + TRUNK_GROUPS_RETRY_US, this::subscribeToTrunkGroups);
         } else {
-            out.log("directory-lost", "", subscription.to() + ": " + reason);
+            out.log("directory-lost", "", subscription.notifierAddress() + ": " + reason);
             listener.directorySubscriptionEnded(now);
         }
     }
@@ -253,21 +256,21 @@
                                                         new LocatorResult(name, type, result))),
                         this);
         locator.start(now);
-        locatorTimer = timers.set(now, this::tickLocator);
+        locatorTimer = timers.schedule(now, this::tickLocator);
     }
 
-    private void tickLocator(long now, Out out) {
+    private void tickLocator(long now, SipOutput out) {
         locator.tick(now);
         finishLocatorStep(now, out);
     }
 
     /** The result of a DNS query. */
-    void dnsAnswered(long now, LocatorResult result, Out out) {
+    void dnsAnswered(long now, LocatorResult result, SipOutput out) {
         locator.queryCompleted(now, result.name(), result.type(), result.result());
         finishLocatorStep(now, out);
     }
 
-    private void finishLocatorStep(long now, Out out) {
+    private void finishLocatorStep(long now, SipOutput out) {
         locatorLogLines.forEach(line -> out.log("dns", "", line));
         locatorLogLines.clear();
         timers.cancel(locatorTimer);
@@ -275,7 +278,7 @@
         locatorTimer =
                 deadline == Long.MAX_VALUE
                         ? null
-                        : timers.set(Math.max(now, deadline), this::tickLocator);
+                        : timers.schedule(Math.max(now, deadline), this::tickLocator);
         publishChanges(now, out);
     }
 
@@ -309,12 +312,12 @@
      * Passes changes of the roster to the listener, and sets a timer for the time at which the age
      * of a list alone will change it.
      */
-    private void publishChanges(long now, Out out) {
+    private void publishChanges(long now, SipOutput out) {
         List<Exchange> changes = roster.pollChanges(now);
         timers.cancel(authorityTimer);
         long deadline = roster.nextAuthorityChange(now);
         authorityTimer =
-                deadline == Long.MAX_VALUE ? null : timers.set(deadline, this::publishChanges);
+                deadline == Long.MAX_VALUE ? null : timers.schedule(deadline, this::publishChanges);
         if (reportSink != null) {
             reportSink.accept(roster.reports());
         }
@@ -341,7 +344,7 @@
         return entry == null ? null : new RouterLocation(entry.exchange(), routerHop(entry));
     }
 
-    Hop routerHop(RosterEntry entry) {
+    TransportAddress routerHop(RosterEntry entry) {
         return hopsByAddress.computeIfAbsent(entry.routerAddress(), AddressSettings::parse);
     }
 
--- a/src/main/java/coralcove/edge/SourceQueryCore.java
+++ b/src/main/java/coralcove/edge/SourceQueryCore.java
@@ -2,12 +2,12 @@
 
 import coralcove.Exchange;
 import coralcove.dns.DnsQueryClient;
-import coralcove.sip.Hop;
-import coralcove.sip.Out;
 import coralcove.sip.SipMessage;
-import coralcove.sip.dialog.CallFreeCore;
-import coralcove.sip.transaction.ClientTx;
-import coralcove.sip.transaction.ServerTx;
+import coralcove.sip.SipOutput;
+import coralcove.sip.TransportAddress;
+import coralcove.sip.dialog.InviteRejectingCore;
+import coralcove.sip.transaction.ClientTransaction;
+import coralcove.sip.transaction.ServerTransaction;
 import coralcove.sources.Roster;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -17,7 +17,7 @@
  * Queries all sources of a router as the router does, but routes nothing. For diagnosis: it shows
  * what the sources report and the roster that results.
  */
-public final class SourceQueryCore extends CallFreeCore
+public final class SourceQueryCore extends InviteRejectingCore
         implements RosterManager.Listener, DnsDiscoveryCore {
     private final RosterManager rosterManager;
 
@@ -26,14 +26,14 @@
         rosterManager =
                 new RosterManager(
                         settings,
-                        agent,
+                        userAgent,
                         timers,
                         this,
                         new SplittableRandom(settings.startTag().hashCode()));
     }
 
     @Override
-    public void start(long now, Out out) {
+    public void start(long now, SipOutput out) {
         rosterManager.subscribe(now, out);
     }
 
@@ -47,7 +47,7 @@
     }
 
     @Override
-    public void dnsAnswered(long now, LocatorResult result, Out out) {
+    public void dnsAnswered(long now, LocatorResult result, SipOutput out) {
         rosterManager.dnsAnswered(now, result, out);
     }
 
@@ -57,17 +57,20 @@
     }
 
     @Override
-    public void request(long now, ServerTx tx, Hop from, Out out) {
+    public void requestReceived(
+            long now, ServerTransaction tx, TransportAddress from, SipOutput out) {
         if (tx.request().method().equals("NOTIFY")) {
-            rosterManager.subscriber().notified(now, tx, from, out);
+            rosterManager.subscriber().handleNotify(now, tx, from, out);
         } else {
-            agent.respond(now, tx, agent.reply(tx, 405, "Method Not Allowed"), out);
+            userAgent.respond(
+                    now, tx, userAgent.createResponse(tx, 405, "Method Not Allowed"), out);
         }
     }
 
     @Override
-    public void replied(long now, ClientTx tx, SipMessage response, Out out) {
-        rosterManager.subscriber().replied(now, tx, response, out);
+    public void responseReceived(
+            long now, ClientTransaction tx, SipMessage response, SipOutput out) {
+        rosterManager.subscriber().handleResponse(now, tx, response, out);
     }
 
     @Override
--- a/src/main/java/coralcove/exchange/ExchangeSettings.java
+++ b/src/main/java/coralcove/exchange/ExchangeSettings.java
@@ -1,6 +1,6 @@
 package coralcove.exchange;
 
-import coralcove.sip.Hop;
+import coralcove.sip.TransportAddress;
 import java.util.List;
 import java.util.Map;
 
@@ -17,9 +17,9 @@
 public record ExchangeSettings(
         int number,
         long id,
-        Hop listenAddress,
-        Hop routerAddress,
-        List<Hop> directories,
+        TransportAddress listenAddress,
+        TransportAddress routerAddress,
+        List<TransportAddress> directories,
         ProcessingTimes processingTimes,
         List<Service> services,
         CallerModel callerModel,
--- a/src/main/java/coralcove/exchange/Processor.java
+++ b/src/main/java/coralcove/exchange/Processor.java
@@ -1,7 +1,7 @@
 package coralcove.exchange;
 
-import coralcove.sip.Out;
-import coralcove.sip.Timers;
+import coralcove.sip.SipOutput;
+import coralcove.sip.TimerWheel;
 
 /**
  * The processor of a simulated exchange: a single-server queue, first in, first out. Service times
@@ -9,7 +9,7 @@
  * processor drops it. Times in µs.
  */
 final class Processor {
-    private final Timers timers;
+    private final TimerWheel timers;
     private final long startedAt;
     private final double coldCapacityShare;
     private final long warmUpTime;
@@ -27,7 +27,7 @@
      * {@code startedAt} is when it was started cold, 0 if it is warm; capacity rises linearly from
      * {@code coldCapacityShare} to 1 within {@code warmUpTime}.
      */
-    Processor(Timers timers, long startedAt, double coldCapacityShare, long warmUpTime) {
+    Processor(TimerWheel timers, long startedAt, double coldCapacityShare, long warmUpTime) {
         this.timers = timers;
         this.startedAt = startedAt;
         this.coldCapacityShare = coldCapacityShare;
@@ -52,14 +52,14 @@
     }
 
     /** Enqueues work of {@code cost} µs at full capacity; {@code whenDone} runs when it is done. */
-    void enqueue(long now, long cost, Timers.Task whenDone) {
+    void enqueue(long now, long cost, TimerWheel.Task whenDone) {
         if (hung) {
             return;
         }
         long serviceTime = (long) Math.ceil(cost * slowdownFactor / capacity(now));
         busyTime += serviceTime;
         busyUntil = Math.max(now, busyUntil) + serviceTime;
-        timers.set(busyUntil, whenDone);
+        timers.schedule(busyUntil, whenDone);
     }
 
     /** Serves nothing before {@code until}. */
@@ -83,7 +83,7 @@
     }
 
     /** For work after which nothing happens. */
-    static void noAction(long now, Out out) {
+    static void noAction(long now, SipOutput out) {
         // Nothing follows.
     }
 }
--- a/src/main/java/coralcove/exchange/SimulatedExchange.java
+++ b/src/main/java/coralcove/exchange/SimulatedExchange.java
@@ -3,17 +3,17 @@
 import coralcove.protocol.CallHeaders;
 import coralcove.protocol.FailureResponse;
 import coralcove.protocol.InviteOutcomes;
-import coralcove.sip.Hop;
-import coralcove.sip.Out;
 import coralcove.sip.SipMessage;
+import coralcove.sip.SipOutput;
 import coralcove.sip.SipUri;
-import coralcove.sip.Timers;
-import coralcove.sip.dialog.Agent;
-import coralcove.sip.dialog.AgentCore;
+import coralcove.sip.TimerWheel;
+import coralcove.sip.TransportAddress;
 import coralcove.sip.dialog.Call;
+import coralcove.sip.dialog.UserAgent;
+import coralcove.sip.dialog.UserAgentCore;
 import coralcove.sip.event.Notifier;
-import coralcove.sip.transaction.ClientTx;
-import coralcove.sip.transaction.ServerTx;
+import coralcove.sip.transaction.ClientTransaction;
+import coralcove.sip.transaction.ServerTransaction;
 import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.LinkedHashSet;
@@ -29,7 +29,7 @@
  * callers. It forwards its call router's INVITEs to the next router, answers calls to its own
  * lines, and injects the faults that a scenario asks for.
  */
-public final class SimulatedExchange extends AgentCore {
+public final class SimulatedExchange extends UserAgentCore {
     /** Interval between REGISTERs to the directory. */
     private static final long REGISTER_INTERVAL_US = 1_000_000;
 
@@ -62,7 +62,7 @@
         int attempts;
         long attemptedAt;
         double valueServed;
-        Timers.Timer abandonTimer;
+        TimerWheel.Timer abandonTimer;
         boolean established;
 
         Caller(Arrival arrival, ExchangeSettings.Service service) {
@@ -86,9 +86,9 @@
     private long groupVersion;
 
     /** Directories that have not yet answered a REGISTER with the current start number. */
-    private final Set<Hop> unacknowledgedDirectories = new LinkedHashSet<>();
+    private final Set<TransportAddress> unacknowledgedDirectories = new LinkedHashSet<>();
 
-    private Timers.Timer nextRegister;
+    private TimerWheel.Timer nextRegister;
 
     /** The state sent in REGISTERs: ready, draining or left. */
     private String phase = "ready";
@@ -115,7 +115,8 @@
         random = new SplittableRandom(settings.seed());
         groups = new TreeMap<>(settings.groupCircuits());
         groupNotifier =
-                new Notifier(agent, timers, "trunk-groups", settings.startTag(), this::groupState);
+                new Notifier(
+                        userAgent, timers, "trunk-groups", settings.startTag(), this::groupState);
         unacknowledgedDirectories.addAll(settings.directories());
         ExchangeSettings.ColdStartRules rules = settings.coldStart();
         processor =
@@ -136,7 +137,7 @@
     // Start, input and registration.
 
     @Override
-    public void start(long now, Out out) {
+    public void start(long now, SipOutput out) {
         while (!arrivals.isEmpty() && arrivals.peek().arrivalTime() < now) {
             arrivals.poll();
         }
@@ -146,23 +147,23 @@
     }
 
     @Override
-    public void receive(long now, Hop from, SipMessage message, Out out) {
+    public void receive(long now, TransportAddress from, SipMessage message, SipOutput out) {
         if (!collapsed) {
-            agent.receive(now, from, message, out);
+            userAgent.receive(now, from, message, out);
         }
     }
 
-    private void register(long now, Out out) {
+    private void register(long now, SipOutput out) {
         if (collapsed) {
             return;
         }
         heartbeat++;
-        for (Hop directory : settings.directories()) {
+        for (TransportAddress directory : settings.directories()) {
             String age =
                     settings.coldStartedAt() == 0
                             ? "-"
                             : Long.toString(Math.max(0, now - settings.coldStartedAt()));
-            SipMessage register = agent.request("REGISTER", SipUri.text("", directory));
+            SipMessage register = userAgent.createRequest("REGISTER", SipUri.format("", directory));
             register.add(
                     "X-Exchange",
                     settings.id()
@@ -179,14 +180,14 @@
                             + " "
                             + settings.routerAddress());
             if (unacknowledgedDirectories.remove(directory)) {
-                agent.send(now, register, directory, REGISTER_OWNER, out);
+                userAgent.send(now, register, directory, REGISTER_OWNER, out);
             } else {
-                agent.sendOnce(register, directory, out);
+                userAgent.sendWithoutTransaction(register, directory, out);
             }
         }
         if (!phase.equals("left")) {
             timers.cancel(nextRegister);
-            nextRegister = timers.set(now + REGISTER_INTERVAL_US, this::register);
+            nextRegister = timers.schedule(now + REGISTER_INTERVAL_US, this::register);
         }
     }
 
@@ -194,11 +195,11 @@
      * If a directory knows a later start number, the clock has gone back: this start takes a number
      * after that one.
      */
-    private void registerAnswered(ClientTx tx, SipMessage response) {
+    private void registerAnswered(ClientTransaction tx, SipMessage response) {
         if (response == null) {
-            unacknowledgedDirectories.add(tx.to());
-        } else if (response.number("X-Start", -1) >= startNumber) {
-            startNumber = response.number("X-Start", -1) + 1;
+            unacknowledgedDirectories.add(tx.destination());
+        } else if (response.numericHeader("X-Start", -1) >= startNumber) {
+            startNumber = response.numericHeader("X-Start", -1) + 1;
             heartbeat = 0;
             unacknowledgedDirectories.addAll(settings.directories());
         }
@@ -227,28 +228,28 @@
     }
 
     /** Announces to the directories that the exchange is draining. */
-    public void drain(long now, Out out) {
+    public void drain(long now, SipOutput out) {
         phase = "draining";
         register(now, out);
     }
 
     /** Announces to the directories that the exchange is leaving. */
-    public void leave(long now, Out out) {
+    public void leave(long now, SipOutput out) {
         phase = "left";
         register(now, out);
     }
 
     /** Cuts off all calls through this exchange, as happens when its processor stops. */
-    public void cutOffAllCalls(long now, Out out) {
+    public void cutOffAllCalls(long now, SipOutput out) {
         for (ForwardedCall forwarded : List.copyOf(forwardedCalls)) {
             cutOff(now, forwarded, out);
         }
         String reason = InviteOutcomes.reasonHeader(InviteOutcomes.NETWORK_OUT_OF_ORDER, "cut");
-        localCalls.forEach(localCall -> agent.bye(now, localCall.call, reason, out));
+        localCalls.forEach(localCall -> userAgent.bye(now, localCall.call, reason, out));
         localCalls.clear();
         for (Caller caller : establishedCallers) {
             countCutOff(caller);
-            agent.bye(now, caller.call, reason, out);
+            userAgent.bye(now, caller.call, reason, out);
         }
         establishedCallers.clear();
     }
@@ -257,43 +258,44 @@
      * Sets the circuits of the trunk group to an exchange. Each established outgoing call on it is
      * cut off with probability {@code share}, for the case that the group has lost circuits.
      */
-    public void resizeGroup(long now, int number, int circuits, double share, Out out) {
+    public void resizeGroup(long now, int number, int circuits, double share, SipOutput out) {
         groups.put(number, circuits);
         for (ForwardedCall forwarded : List.copyOf(forwardedCalls)) {
             if (forwarded.nextExchange == number
-                    && forwarded.inbound.stands()
+                    && forwarded.inbound.isEstablished()
                     && random.nextDouble() < share) {
                 cutOff(now, forwarded, out);
             }
         }
         groupVersion++;
-        groupNotifier.changed(now, groupState(now).tag(), number + " " + circuits + "\n", out);
+        groupNotifier.notifySubscribers(
+                now, groupState(now).entityTag(), number + " " + circuits + "\n", out);
     }
 
-    private void cutOff(long now, ForwardedCall forwarded, Out out) {
-        if (forwarded.inbound.stands()) {
+    private void cutOff(long now, ForwardedCall forwarded, SipOutput out) {
+        if (forwarded.inbound.isEstablished()) {
             forwardedCalls.remove(forwarded);
             String reason = InviteOutcomes.reasonHeader(InviteOutcomes.NETWORK_OUT_OF_ORDER, "cut");
-            agent.bye(now, forwarded.inbound, reason, out);
-            agent.bye(now, forwarded.outbound, reason, out);
+            userAgent.bye(now, forwarded.inbound, reason, out);
+            userAgent.bye(now, forwarded.outbound, reason, out);
         }
     }
 
-    private Notifier.State groupState(long now) {
+    private Notifier.EventState groupState(long now) {
         StringBuilder body = new StringBuilder();
         groups.forEach((number, size) -> body.append(number).append(' ').append(size).append('\n'));
-        return new Notifier.State(settings.startTag() + "." + groupVersion, body.toString());
+        return new Notifier.EventState(settings.startTag() + "." + groupVersion, body.toString());
     }
 
     // Calls from the local router and from other routers.
 
     @Override
-    public void invited(long now, Call call, Hop from, Out out) {
+    public void callReceived(long now, Call call, TransportAddress from, SipOutput out) {
         CallHeaders headers;
         try {
             headers = CallHeaders.parse(call.invite(), settings.services().size());
         } catch (IllegalArgumentException e) {
-            agent.reject(now, call, 400, "Bad Request", out);
+            userAgent.reject(now, call, 400, "Bad Request", out);
             return;
         }
         boolean forLocalLines = call.invite().header("Route") == null;
@@ -312,7 +314,7 @@
                                 forLocalLines
                                         ? InviteOutcomes.SWITCHING_EQUIPMENT_CONGESTION
                                         : InviteOutcomes.TEMPORARY_FAILURE;
-                        agent.reject(
+                        userAgent.reject(
                                 at,
                                 call,
                                 503,
@@ -336,7 +338,7 @@
                 times.setUp() + retransmissions * times.retransmission(),
                 (at, o) -> {
                     // A set-up that was cancelled while it was queued is dropped.
-                    if (call.trying()) {
+                    if (call.isPending()) {
                         if (forLocalLines) {
                             answerLocally(at, call, headers, o);
                         } else {
@@ -350,7 +352,7 @@
      * Collapses if the set-ups from all routers within a window exceed what the cold processor can
      * bear (rule 4).
      */
-    private void checkColdOverload(long now, Out out) {
+    private void checkColdOverload(long now, SipOutput out) {
         if (!processor.isCold(now)) {
             return;
         }
@@ -369,11 +371,11 @@
         }
     }
 
-    private void answerLocally(long now, Call call, CallHeaders headers, Out out) {
+    private void answerLocally(long now, Call call, CallHeaders headers, SipOutput out) {
         long number = Long.parseLong(headers.number().isEmpty() ? "0" : headers.number());
         boolean limitedLines = number > 0 && number < 100;
         if (limitedLines && busyLines.getOrDefault(number, 0) >= settings.linesPerLimitedNumber()) {
-            agent.reject(
+            userAgent.reject(
                     now,
                     call,
                     486,
@@ -396,7 +398,7 @@
         processor.enqueue(
                 now,
                 settings.processingTimes().answer(),
-                (at, o) -> agent.answer(at, call, call.invite(), o));
+                (at, o) -> userAgent.answer(at, call, call.invite(), o));
     }
 
     private void releaseLine(LocalCall localCall) {
@@ -406,14 +408,18 @@
         }
     }
 
-    private void forward(long now, Call call, CallHeaders headers, long queueingDelay, Out out) {
-        SipUri route = SipUri.of(call.invite().header("Route"));
+    private void forward(
+            long now, Call call, CallHeaders headers, long queueingDelay, SipOutput out) {
+        SipUri route = SipUri.parse(call.invite().header("Route"));
         if (route == null) {
-            agent.reject(now, call, 400, "Route", out);
+            userAgent.reject(now, call, 400, "Route", out);
             return;
         }
-        SipMessage invite = agent.request("INVITE", SipUri.text(headers.number(), route.hop()));
-        invite.set("Max-Forwards", Long.toString(call.invite().number("Max-Forwards", 70) - 1));
+        SipMessage invite =
+                userAgent.createRequest(
+                        "INVITE", SipUri.format(headers.number(), route.transportAddress()));
+        invite.set(
+                "Max-Forwards", Long.toString(call.invite().numericHeader("Max-Forwards", 70) - 1));
         CallHeaders.copyEndToEndFields(call.invite(), invite);
         CallHeaders.addTo(
                 invite,
@@ -427,16 +433,17 @@
                         route.user().matches("\\d{1,5}") ? Integer.parseInt(route.user()) : -1);
         call.owner(forwarded);
         forwardedCalls.add(forwarded);
-        forwarded.outbound = agent.invite(now, invite, route.hop(), forwarded, out);
+        forwarded.outbound =
+                userAgent.invite(now, invite, route.transportAddress(), forwarded, out);
     }
 
     @Override
-    public void progressed(long now, Call call, SipMessage response, Out out) {
+    public void provisionalReceived(long now, Call call, SipMessage response, SipOutput out) {
         // Provisional responses are not forwarded: the router does not need them.
     }
 
     @Override
-    public void answered(long now, Call call, SipMessage response, Out out) {
+    public void callAnswered(long now, Call call, SipMessage response, SipOutput out) {
         if (call.owner() instanceof Caller caller) {
             processor.enqueue(
                     now,
@@ -449,16 +456,17 @@
                 now,
                 settings.processingTimes().answer(),
                 (at, o) -> {
-                    if (forwarded.inbound.trying()) {
-                        agent.answer(at, forwarded.inbound, response, o);
-                    } else if (!forwarded.inbound.stands()) {
-                        agent.bye(at, forwarded.outbound, null, o);
+                    if (forwarded.inbound.isPending()) {
+                        userAgent.answer(at, forwarded.inbound, response, o);
+                    } else if (!forwarded.inbound.isEstablished()) {
+                        userAgent.bye(at, forwarded.outbound, null, o);
                     }
                 });
     }
 
     @Override
-    public void rejected(long now, Call call, SipMessage response, Agent.Lost lost, Out out) {
+    public void callFailed(
+            long now, Call call, SipMessage response, UserAgent.CallFailure lost, SipOutput out) {
         if (call.owner() instanceof Caller caller) {
             attemptFailed(now, caller, call, response, out);
             return;
@@ -467,16 +475,16 @@
         forwardedCalls.remove(forwarded);
         FailureResponse refusal =
                 FailureResponse.forwarding(response, lost, "Reason", "Retry-After", "X-Circuits");
-        agent.reject(
+        userAgent.reject(
                 now, forwarded.inbound, refusal.status(), refusal.reason(), out, refusal.fields());
     }
 
     @Override
-    public void cancelled(long now, Call call, Out out) {
+    public void callCancelled(long now, Call call, SipOutput out) {
         if (call.owner() instanceof ForwardedCall forwarded) {
             forwardedCalls.remove(forwarded);
-            if (forwarded.outbound.trying()) {
-                agent.cancel(now, forwarded.outbound, out);
+            if (forwarded.outbound.isPending()) {
+                userAgent.cancel(now, forwarded.outbound, out);
             }
         } else if (call.owner() instanceof LocalCall localCall) {
             releaseLine(localCall);
@@ -484,7 +492,7 @@
     }
 
     @Override
-    public void hungUp(long now, Call call, SipMessage bye, Out out) {
+    public void callEnded(long now, Call call, SipMessage bye, SipOutput out) {
         processor.enqueue(now, settings.processingTimes().release(), Processor::noAction);
         if (call.owner() instanceof Caller caller) {
             if (establishedCallers.remove(caller)) {
@@ -496,17 +504,17 @@
             forwardedCalls.remove(forwarded);
             String reason = bye == null ? null : bye.header("Reason");
             Call other = call == forwarded.inbound ? forwarded.outbound : forwarded.inbound;
-            if (other.trying() && other == forwarded.outbound) {
-                agent.cancel(now, other, out);
+            if (other.isPending() && other == forwarded.outbound) {
+                userAgent.cancel(now, other, out);
             }
-            agent.bye(now, other, reason, out);
+            userAgent.bye(now, other, reason, out);
         }
     }
 
     @Override
-    public void changing(long now, Call call, SipMessage invite, Out out) {
+    public void reinviteReceived(long now, Call call, SipMessage invite, SipOutput out) {
         if (!(call.owner() instanceof ForwardedCall forwarded)) {
-            agent.answerChange(
+            userAgent.answerReinvite(
                     now,
                     call,
                     200,
@@ -517,16 +525,16 @@
             return;
         }
         Call other = call == forwarded.inbound ? forwarded.outbound : forwarded.inbound;
-        if (!agent.change(
+        if (!userAgent.sendReinvite(
                 now, other, invite.header("Content-Type", "application/sdp"), invite.body(), out)) {
-            agent.answerChange(now, call, 491, "Request Pending", "", new byte[0], out);
+            userAgent.answerReinvite(now, call, 491, "Request Pending", "", new byte[0], out);
         }
     }
 
     @Override
-    public void changed(long now, Call call, SipMessage response, Out out) {
+    public void reinviteAnswered(long now, Call call, SipMessage response, SipOutput out) {
         if (call.owner() instanceof ForwardedCall forwarded) {
-            agent.answerChange(
+            userAgent.answerReinvite(
                     now,
                     call == forwarded.inbound ? forwarded.outbound : forwarded.inbound,
                     response.status(),
@@ -542,7 +550,7 @@
     private void scheduleNextArrival() {
         Arrival next = arrivals.poll();
         if (next != null) {
-            timers.set(
+            timers.schedule(
                     next.arrivalTime(),
                     (at, out) -> {
                         scheduleNextArrival();
@@ -556,7 +564,7 @@
         }
     }
 
-    private void dial(long now, Caller caller, Out out) {
+    private void dial(long now, Caller caller, SipOutput out) {
         caller.attempts++;
         caller.attemptedAt = now;
         long timeout = attemptTimeout(caller, now);
@@ -566,7 +574,7 @@
             redialOrGiveUp(now, caller, 0, "own processor full");
             return;
         }
-        caller.abandonTimer = timers.set(now + timeout, (at, o) -> abandon(at, caller, o));
+        caller.abandonTimer = timers.schedule(now + timeout, (at, o) -> abandon(at, caller, o));
         processor.enqueue(
                 now,
                 settings.processingTimes().lookUp(),
@@ -586,13 +594,14 @@
         return Math.min(share, caller.arrival.arrivalTime() + caller.service.timerLimit() - now);
     }
 
-    private void sendInvite(long now, Caller caller, long timeLeft, Out out) {
+    private void sendInvite(long now, Caller caller, long timeLeft, SipOutput out) {
         Arrival arrival = caller.arrival;
         stats.sessions++;
         boolean needsNumberAnalysis = !arrival.dialled().isEmpty();
         String number =
                 needsNumberAnalysis ? arrival.dialled() : Long.toString(arrival.calledNumber());
-        SipMessage invite = agent.request("INVITE", SipUri.text(number, settings.routerAddress()));
+        SipMessage invite =
+                userAgent.createRequest("INVITE", SipUri.format(number, settings.routerAddress()));
         boolean redial = settings.callerModel().marksRedials() && caller.attempts > 1;
         CallHeaders headers =
                 new CallHeaders(
@@ -606,7 +615,7 @@
                         timeLeft,
                         number);
         CallHeaders.addTo(invite, headers, -1, timeLeft, sessionId());
-        caller.call = agent.invite(now, invite, settings.routerAddress(), caller, out);
+        caller.call = userAgent.invite(now, invite, settings.routerAddress(), caller, out);
     }
 
     /** A session id of 32 hexadecimal digits (RFC 7989), reproducible from the seed. */
@@ -615,22 +624,22 @@
         return String.format("%08x%08x%016x", settings.number(), sessionIdCount, random.nextLong());
     }
 
-    private void abandon(long now, Caller caller, Out out) {
+    private void abandon(long now, Caller caller, SipOutput out) {
         if (caller.established) {
             return;
         }
         stats.abandoned++;
-        if (caller.call != null && caller.call.trying()) {
-            agent.cancel(now, caller.call, out);
+        if (caller.call != null && caller.call.isPending()) {
+            userAgent.cancel(now, caller.call, out);
         } else if (caller.call != null) {
-            agent.bye(now, caller.call, null, out);
+            userAgent.bye(now, caller.call, null, out);
         }
         caller.call = null;
         redialOrGiveUp(now, caller, 0, "gave up");
     }
 
-    private void callEstablished(long now, Caller caller, Call call, Out out) {
-        if (caller.call != call || !call.stands()) {
+    private void callEstablished(long now, Caller caller, Call call, SipOutput out) {
+        if (caller.call != call || !call.isEstablished()) {
             return;
         }
         timers.cancel(caller.abandonTimer);
@@ -650,16 +659,16 @@
         if (caller.valueServed < caller.service.value()) {
             stats.addLostValue(CallerStats.LATE, caller.service.value() - caller.valueServed);
         }
-        timers.set(
+        timers.schedule(
                 now + caller.arrival.holdTime(),
                 (at, o) -> {
-                    if (call.stands()) {
+                    if (call.isEstablished()) {
                         establishedCallers.remove(caller);
                         processor.enqueue(
                                 at,
                                 settings.processingTimes().release(),
                                 (releasedAt, releaseOut) ->
-                                        agent.bye(releasedAt, call, null, releaseOut));
+                                        userAgent.bye(releasedAt, call, null, releaseOut));
                     }
                 });
     }
@@ -674,7 +683,8 @@
         caller.valueServed = 0;
     }
 
-    private void attemptFailed(long now, Caller caller, Call call, SipMessage response, Out out) {
+    private void attemptFailed(
+            long now, Caller caller, Call call, SipMessage response, SipOutput out) {
         if (caller.call != call) {
             return;
         }
@@ -718,7 +728,7 @@
                         ? retryAfter
                         : backoff;
         if (now + wait < caller.arrival.arrivalTime() + caller.service.timerLimit()) {
-            timers.set(now + wait, (at, o) -> dial(at, caller, o));
+            timers.schedule(now + wait, (at, o) -> dial(at, caller, o));
         } else {
             stats.addLostValue(outcome, caller.service.value());
         }
@@ -727,7 +737,8 @@
     // Other requests.
 
     @Override
-    public void request(long now, ServerTx tx, Hop from, Out out) {
+    public void requestReceived(
+            long now, ServerTransaction tx, TransportAddress from, SipOutput out) {
         SipMessage request = tx.request();
         switch (request.method()) {
             case "OPTIONS" ->
@@ -735,14 +746,17 @@
                             now,
                             settings.processingTimes().probe(),
                             (at, o) ->
-                                    agent.respond(
+                                    userAgent.respond(
                                             at,
                                             tx,
-                                            agent.reply(tx, 200, "OK")
+                                            userAgent
+                                                    .createResponse(tx, 200, "OK")
                                                     .add("X-Load", loadHeader(at)),
                                             o));
-            case "SUBSCRIBE" -> groupNotifier.subscribe(now, tx, out);
-            default -> agent.respond(now, tx, agent.reply(tx, 405, "Method Not Allowed"), out);
+            case "SUBSCRIBE" -> groupNotifier.handleSubscribe(now, tx, out);
+            default ->
+                    userAgent.respond(
+                            now, tx, userAgent.createResponse(tx, 405, "Method Not Allowed"), out);
         }
     }
 
@@ -764,11 +778,12 @@
     }
 
     @Override
-    public void replied(long now, ClientTx tx, SipMessage response, Out out) {
+    public void responseReceived(
+            long now, ClientTransaction tx, SipMessage response, SipOutput out) {
         if (tx.owner() == REGISTER_OWNER) {
             registerAnswered(tx, response);
         } else {
-            groupNotifier.replied(tx, response);
+            groupNotifier.handleResponse(tx, response);
         }
     }
 }
--- a/src/main/java/coralcove/judge/RuleChecker.java
+++ b/src/main/java/coralcove/judge/RuleChecker.java
@@ -3,11 +3,11 @@
 import coralcove.network.Network;
 import coralcove.protocol.CallHeaders;
 import coralcove.protocol.InviteOutcomes;
-import coralcove.sip.BadMessage;
-import coralcove.sip.Hop;
+import coralcove.sip.MalformedMessageException;
 import coralcove.sip.SipMessage;
 import coralcove.sip.SipParser;
 import coralcove.sip.SipUri;
+import coralcove.sip.TransportAddress;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -131,14 +131,14 @@
      * knows.
      */
     private static final class Subscription {
-        final Hop peer;
+        final TransportAddress peer;
         String remoteTag = "";
         long lastSequence = -1;
 
         /** Start number and heartbeat of each exchange in this directory's lists to the router. */
         final Map<Long, long[]> listed;
 
-        Subscription(Hop peer, Map<Long, long[]> listed) {
+        Subscription(TransportAddress peer, Map<Long, long[]> listed) {
             this.peer = peer;
             this.listed = listed;
         }
@@ -237,11 +237,11 @@
     }
 
     @Override
-    public void onMessage(long now, String node, boolean out, Hop peer, byte[] bytes) {
+    public void onMessage(long now, String node, boolean out, TransportAddress peer, byte[] bytes) {
         SipMessage message;
         try {
             message = SipParser.parse(bytes, 0, bytes.length);
-        } catch (BadMessage e) {
+        } catch (MalformedMessageException e) {
             countMalformed();
             return;
         }
@@ -249,7 +249,8 @@
     }
 
     /** Same as {@link #onMessage}, for a message that is already parsed. */
-    public void read(long now, String node, boolean out, Hop peer, SipMessage message) {
+    public void read(
+            long now, String node, boolean out, TransportAddress peer, SipMessage message) {
         switch (message.cseqMethod()) {
             case "INVITE" -> {
                 if (message.isRequest()) {
@@ -296,7 +297,7 @@
      * sent.
      */
     @Override
-    public void onStreamFailure(long now, String node, Hop peer, boolean refused) {
+    public void onStreamFailure(long now, String node, TransportAddress peer, boolean refused) {
         for (SentInvite sent : invitesByStream.getOrDefault(node + peer, Set.of())) {
             if (sent.endedAt == Long.MAX_VALUE) {
                 sent.endedAt = now;
@@ -358,7 +359,7 @@
         }
     }
 
-    private void inviteSent(long now, String node, Hop peer, SipMessage invite) {
+    private void inviteSent(long now, String node, TransportAddress peer, SipMessage invite) {
         ObservedSession session = sessionsById.get(node + "|" + invite.header("Session-ID", ""));
         if (session == null) {
             return;
@@ -430,7 +431,7 @@
     }
 
     private void checkDrainRule(long now, String node, ObservedSession session, SipMessage invite) {
-        SipUri route = SipUri.of(invite.header("Route", ""));
+        SipUri route = SipUri.parse(invite.header("Route", ""));
         if (route == null || !route.user().matches("\\d{1,5}")) {
             return;
         }
@@ -439,7 +440,8 @@
         boolean ready = false;
         boolean listed = false;
         for (KnownExchange exchange : knownExchanges.getOrDefault(node, Map.of()).values()) {
-            if (exchange.number == number && exchange.address.equals(route.hop().toString())) {
+            if (exchange.number == number
+                    && exchange.address.equals(route.transportAddress().toString())) {
                 listed = true;
                 ready |= exchange.ready;
                 last = Math.max(last, exchange.notReadyAt);
@@ -491,7 +493,7 @@
         }
     }
 
-    private void notified(long now, String node, Hop peer, SipMessage notify) {
+    private void notified(long now, String node, TransportAddress peer, SipMessage notify) {
         Subscription subscription =
                 subscriptions.get(node + "|" + notify.callId() + "|" + notify.toTag());
         if (subscription == null
@@ -503,9 +505,9 @@
             return;
         }
         subscription.remoteTag = notify.fromTag();
-        boolean inOrder = notify.sequence() > subscription.lastSequence;
-        subscription.lastSequence = Math.max(subscription.lastSequence, notify.sequence());
-        List<String> lines = notify.text().lines().toList();
+        boolean inOrder = notify.cseqNumber() > subscription.lastSequence;
+        subscription.lastSequence = Math.max(subscription.lastSequence, notify.cseqNumber());
+        List<String> lines = notify.bodyText().lines().toList();
         Map<Long, KnownExchange> list = knownExchanges.computeIfAbsent(node, n -> new HashMap<>());
         Set<Long> present = new LinkedHashSet<>();
         for (String line : lines) {
--- a/src/main/java/coralcove/network/InputQueue.java
+++ b/src/main/java/coralcove/network/InputQueue.java
@@ -1,7 +1,7 @@
 package coralcove.network;
 
 import coralcove.overload.OverloadControl;
-import coralcove.sip.Hop;
+import coralcove.sip.TransportAddress;
 import java.util.ArrayDeque;
 import java.util.concurrent.TimeUnit;
 
@@ -17,7 +17,7 @@
      * Exactly one of {@code bytes} and {@code action} is set. {@code receivedAt} is in µs.
      */
     record Input(
-            Hop source,
+            TransportAddress source,
             byte[] bytes,
             Network.NodeAction action,
             OverloadControl.Kind kind,
@@ -54,7 +54,7 @@
     }
 
     /** Queues a message, or drops and counts it if the queue is full. */
-    synchronized void offerMessage(Hop source, byte[] message, long now) {
+    synchronized void offerMessage(TransportAddress source, byte[] message, long now) {
         OverloadControl.Kind kind = classify(message);
         // A CANCEL must not overtake its INVITE, which may still be among the queued set-ups.
         boolean queueBehindInvite =
--- a/src/main/java/coralcove/network/LiveNetwork.java
+++ b/src/main/java/coralcove/network/LiveNetwork.java
@@ -2,13 +2,13 @@
 
 import coralcove.network.VirtualNetwork.NetworkConditions;
 import coralcove.overload.OverloadControl;
-import coralcove.sip.BadMessage;
-import coralcove.sip.Core;
-import coralcove.sip.Hop;
-import coralcove.sip.Out;
+import coralcove.sip.MalformedMessageException;
+import coralcove.sip.SipCore;
 import coralcove.sip.SipMessage;
+import coralcove.sip.SipOutput;
 import coralcove.sip.SipParser;
-import coralcove.sip.transport.Sockets;
+import coralcove.sip.TransportAddress;
+import coralcove.sip.transport.SipTransport;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.util.Map;
@@ -44,24 +44,25 @@
     /** An action to run at {@code time}; {@code sequence} orders actions of equal time. */
     private record ScheduledAction(long time, long sequence, Runnable action) {}
 
-    private final class Node implements Out, Sockets.Listener, Runnable {
+    private final class Node implements SipOutput, SipTransport.Listener, Runnable {
         final String name;
-        final Core core;
+        final SipCore core;
         final boolean observed;
-        final Sockets sockets;
+        final SipTransport sockets;
         final Logger log;
         final RandomGenerator random;
         final InputQueue inputQueue = new InputQueue();
         final Thread thread;
         volatile boolean alive = true;
 
-        Node(String name, Hop self, Core core, boolean observed) throws IOException {
+        Node(String name, TransportAddress self, SipCore core, boolean observed)
+                throws IOException {
             this.name = name;
             this.core = core;
             this.observed = observed;
             log = LoggerFactory.getLogger(name);
             random = new SplittableRandom(seed * 31 + name.hashCode());
-            sockets = new Sockets(self, this);
+            sockets = new SipTransport(self, this);
             thread = new Thread(this, name);
         }
 
@@ -71,14 +72,14 @@
             int inputsSinceTimerCheck = 0;
             while (alive) {
                 try {
-                    long timeout = Math.max(0, Math.min(MAX_WAIT_US, core.due() - now()));
+                    long timeout = Math.max(0, Math.min(MAX_WAIT_US, core.nextTickAt() - now()));
                     InputQueue.Input input = inputQueue.awaitNext(timeout);
                     if (input != null) {
                         process(input);
                     }
                     if (alive
                             && (input == null || ++inputsSinceTimerCheck >= INPUTS_PER_TIMER_CHECK)
-                            && core.due() <= now()) {
+                            && core.nextTickAt() <= now()) {
                         inputsSinceTimerCheck = 0;
                         processQueuedResponses();
                         core.tick(now(), this);
@@ -115,14 +116,15 @@
                 SipMessage message = SipParser.parse(input.bytes(), 0, input.bytes().length);
                 boolean setUp = message.method().equals("INVITE") && message.toTag().isEmpty();
                 if (setUp
-                        && inputQueue.decideSetUp(now, input, core.repeat(message))
+                        && inputQueue.decideSetUp(now, input, core.isRetransmission(message))
                                 == OverloadControl.Verdict.REJECT) {
-                    core.turnAway(now, input.source(), message, inputQueue.retryAfter(), this);
+                    core.rejectOverloaded(
+                            now, input.source(), message, inputQueue.retryAfter(), this);
                 } else {
                     core.receive(now, input.source(), message, this);
                 }
-            } catch (BadMessage e) {
-                core.malformed(now, input.source(), e, this);
+            } catch (MalformedMessageException e) {
+                core.malformedReceived(now, input.source(), e, this);
             }
         }
 
@@ -131,7 +133,7 @@
         }
 
         @Override
-        public void read(Hop source, byte[] bytes) {
+        public void messageReceived(TransportAddress source, byte[] bytes) {
             long receivedAt = now();
             if (observed && observer != null && alive) {
                 observer.onMessage(receivedAt, name, false, source, bytes);
@@ -140,24 +142,24 @@
         }
 
         @Override
-        public void broken(Hop peer, boolean refused) {
+        public void connectionFailed(TransportAddress peer, boolean refused) {
             if (observed && observer != null && alive) {
                 observer.onStreamFailure(now(), name, peer, refused);
             }
-            submit((now, out) -> core.broken(now, peer, refused, out));
+            submit((now, out) -> core.connectionFailed(now, peer, refused, out));
         }
 
         @Override
-        public void cutOff(Hop peer, String reason) {
+        public void peerCutOff(TransportAddress peer, String reason) {
             log("cut-off", "", peer + ": " + reason);
         }
 
         @Override
-        public void send(Hop destination, SipMessage message) {
+        public void send(TransportAddress destination, SipMessage message) {
             if (!alive) {
                 return;
             }
-            byte[] bytes = message.bytes();
+            byte[] bytes = message.encode();
             if (observed && observer != null) {
                 observer.onMessage(now(), name, true, destination, bytes);
             }
@@ -176,7 +178,7 @@
             } else {
                 sockets.send(destination, bytes);
                 if (conditions.reset() > 0 && random.nextDouble() < conditions.reset()) {
-                    sockets.cut(destination);
+                    sockets.closeConnection(destination);
                 }
             }
         }
@@ -238,7 +240,7 @@
     }
 
     @Override
-    public void addNode(String name, Hop self, Core core, boolean observed) {
+    public void addNode(String name, TransportAddress self, SipCore core, boolean observed) {
         try {
             Node node = new Node(name, self, core, observed);
             nodes.put(name, node);
--- a/src/main/java/coralcove/network/Network.java
+++ b/src/main/java/coralcove/network/Network.java
@@ -1,9 +1,9 @@
 package coralcove.network;
 
-import coralcove.sip.Core;
-import coralcove.sip.Hop;
-import coralcove.sip.Out;
+import coralcove.sip.SipCore;
 import coralcove.sip.SipMessage;
+import coralcove.sip.SipOutput;
+import coralcove.sip.TransportAddress;
 
 /**
  * Runs cores and carries their messages: over real sockets and the system clock, or over a seeded
@@ -12,31 +12,32 @@
 public interface Network {
     /** An action on a core, run on the core's own thread. */
     interface NodeAction {
-        void run(long now, Out out);
+        void run(long now, SipOutput out);
     }
 
     /** Observes every message that an observed node sends or receives. Times are in µs. */
     interface MessageObserver {
         /** A message was sent ({@code out}) to {@code peer} or received from it. */
-        void onMessage(long now, String node, boolean out, Hop peer, byte[] bytes);
+        void onMessage(long now, String node, boolean out, TransportAddress peer, byte[] bytes);
 
         /**
          * The same for networks that pass message objects without encoding them. The message must
          * not be retained.
          */
-        default void onMessage(long now, String node, boolean out, Hop peer, SipMessage message) {
-            onMessage(now, node, out, peer, message.bytes());
+        default void onMessage(
+                long now, String node, boolean out, TransportAddress peer, SipMessage message) {
+            onMessage(now, node, out, peer, message.encode());
         }
 
         /** A stream of an observed node broke, or could not be opened ({@code refused}). */
-        void onStreamFailure(long now, String node, Hop peer, boolean refused);
+        void onStreamFailure(long now, String node, TransportAddress peer, boolean refused);
     }
 
     /**
      * Starts a core as the node {@code name}, reachable over UDP and TCP at {@code self}. If {@code
      * observed}, the observer is informed of its messages.
      */
-    void addNode(String name, Hop self, Core core, boolean observed);
+    void addNode(String name, TransportAddress self, SipCore core, boolean observed);
 
     /**
      * Ends a node abruptly, as killing its process would: it sends nothing more, and messages for
--- a/src/main/java/coralcove/network/VirtualNetwork.java
+++ b/src/main/java/coralcove/network/VirtualNetwork.java
@@ -1,11 +1,11 @@
 package coralcove.network;
 
-import coralcove.sip.BadMessage;
-import coralcove.sip.Core;
-import coralcove.sip.Hop;
-import coralcove.sip.Out;
+import coralcove.sip.MalformedMessageException;
+import coralcove.sip.SipCore;
 import coralcove.sip.SipMessage;
+import coralcove.sip.SipOutput;
 import coralcove.sip.SipParser;
+import coralcove.sip.TransportAddress;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.Map;
@@ -48,17 +48,17 @@
      */
     private static final int MAX_PENDING_EVENTS = 2_000_000;
 
-    private final class Node implements Out {
+    private final class Node implements SipOutput {
         final String name;
-        final Hop self;
-        final Core core;
+        final TransportAddress self;
+        final SipCore core;
         final boolean observed;
         final int zone;
         final String site;
         boolean alive = true;
         long nextWakeUp = Long.MAX_VALUE;
 
-        Node(String name, Hop self, Core core, boolean observed, int zone) {
+        Node(String name, TransportAddress self, SipCore core, boolean observed, int zone) {
             this.name = name;
             this.self = self;
             this.core = core;
@@ -68,10 +68,10 @@
         }
 
         @Override
-        public void send(Hop to, SipMessage message) {
+        public void send(TransportAddress to, SipMessage message) {
             Packet packet =
                     serialized
-                            ? new Packet(message.bytes(), null)
+                            ? new Packet(message.encode(), null)
                             : new Packet(null, message.copy());
             if (observed && observer != null) {
                 notifyObserver(name, true, to, packet);
@@ -146,7 +146,7 @@
     }
 
     @Override
-    public void addNode(String name, Hop self, Core core, boolean observed) {
+    public void addNode(String name, TransportAddress self, SipCore core, boolean observed) {
         Node node = new Node(name, self, core, observed, zones.getOrDefault(name, 0));
         nodesByName.put(name, node);
         nodesByPort.put(self.port(), node);
@@ -202,7 +202,7 @@
     }
 
     private void scheduleWakeUp(Node node) {
-        long nextTick = node.core.due();
+        long nextTick = node.core.nextTickAt();
         if (node.alive && nextTick < node.nextWakeUp) {
             long wakeUpAt = Math.max(now, nextTick);
             node.nextWakeUp = wakeUpAt;
@@ -217,13 +217,13 @@
             return;
         }
         node.nextWakeUp = Long.MAX_VALUE;
-        if (node.core.due() <= now) {
+        if (node.core.nextTickAt() <= now) {
             node.core.tick(now, node);
         }
         scheduleWakeUp(node);
     }
 
-    private void notifyObserver(String node, boolean out, Hop peer, Packet packet) {
+    private void notifyObserver(String node, boolean out, TransportAddress peer, Packet packet) {
         if (serialized) {
             observer.onMessage(now, node, out, peer, packet.bytes);
         } else {
@@ -231,7 +231,7 @@
         }
     }
 
-    private void transmit(Node from, Hop to, Packet packet) {
+    private void transmit(Node from, TransportAddress to, Packet packet) {
         messageCount++;
         Node target = nodesByPort.get(to.port());
         if (target != null && partitions.isPartitioned(from.name, target.name)) {
@@ -260,7 +260,7 @@
         }
     }
 
-    private void transmitOnStream(Node from, Hop to, Packet packet, long delay) {
+    private void transmitOnStream(Node from, TransportAddress to, Packet packet, long delay) {
         boolean refused = nodesByPort.get(to.port()) == null;
         boolean broken = refused || random.nextDouble() < conditions.reset;
         long stream = (long) from.self.port() << 32 | to.port();
@@ -274,7 +274,7 @@
                             if (from.observed && observer != null) {
                                 observer.onStreamFailure(now, from.name, to, refused);
                             }
-                            from.core.broken(now, to, refused, from);
+                            from.core.connectionFailed(now, to, refused, from);
                             scheduleWakeUp(from);
                         }
                     });
@@ -293,8 +293,8 @@
         return Math.max(1, (long) (base * (1 + conditions.jitter * (2 * random.nextDouble() - 1))));
     }
 
-    private void scheduleDelivery(Node from, Hop to, Packet packet, long arrival) {
-        Hop source = from.self.over(to.tcp());
+    private void scheduleDelivery(Node from, TransportAddress to, Packet packet, long arrival) {
+        TransportAddress source = from.self.withTransport(to.tcp());
         schedule(
                 arrival,
                 () -> {
@@ -313,8 +313,8 @@
                                         ? SipParser.parse(packet.bytes, 0, packet.bytes.length)
                                         : packet.message,
                                 target);
-                    } catch (BadMessage e) {
-                        target.core.malformed(now, source, e, target);
+                    } catch (MalformedMessageException e) {
+                        target.core.malformedReceived(now, source, e, target);
                     }
                     scheduleWakeUp(target);
                 });
--- a/src/main/java/coralcove/platform/Exchanges.java
+++ b/src/main/java/coralcove/platform/Exchanges.java
@@ -541,7 +541,7 @@
     }
 
     private void checkConnection(long now, ExchangeConnection connection) {
-        boolean partial = connection.framer.partial();
+        boolean partial = connection.framer.hasPartialMessage();
         connection.partialSince =
                 partial ? connection.partialSince == 0 ? now : connection.partialSince : 0;
         if (partial && now - connection.partialSince > PARTIAL_MESSAGE_TIMEOUT_MICROS) {
--- a/src/main/java/coralcove/platform/RouterCore.java
+++ b/src/main/java/coralcove/platform/RouterCore.java
@@ -19,7 +19,7 @@
 import coralcove.platform.leg.SignalingMessages;
 import coralcove.platform.leg.SipOutcomes;
 import coralcove.protocol.InviteOutcomes;
-import coralcove.sip.BadMessage;
+import coralcove.sip.MalformedMessageException;
 import coralcove.sip.SipMessage;
 import coralcove.sip.SipParser;
 import java.util.ArrayDeque;
@@ -512,7 +512,7 @@
             return;
         }
         try {
-            connection.framer.take(
+            connection.framer.feed(
                     bytes,
                     0,
                     bytes.length,
@@ -521,7 +521,7 @@
                             handleExchangeMessage(arrivedAt, connection, messageBytes);
                         }
                     });
-        } catch (BadMessage e) {
+        } catch (MalformedMessageException e) {
             discardMalformed(connection, e.getMessage());
         }
     }
@@ -530,8 +530,8 @@
             long arrivedAt, ExchangeConnection connection, byte[] messageBytes) {
         SipMessage message;
         try {
-            message = SipParser.parseBare(messageBytes);
-        } catch (BadMessage e) {
+            message = SipParser.parseWithoutMandatoryHeaders(messageBytes);
+        } catch (MalformedMessageException e) {
             discardMalformed(connection, e.getMessage());
             return;
         }
@@ -662,7 +662,7 @@
                         connection.id,
                         SignalingMessages.ack(
                                 id,
-                                (int) Math.max(1, message.sequence()),
+                                (int) Math.max(1, message.cseqNumber()),
                                 SignalingMessages.formatCallId(id)));
                 actions.sendToExchange(
                         connection.id,
--- a/src/main/java/coralcove/platform/leg/SipOutcomes.java
+++ b/src/main/java/coralcove/platform/leg/SipOutcomes.java
@@ -28,7 +28,11 @@
         RejectionCause cause = cause(response.header("Fail-Word", ""));
         long retryAfter =
                 cause == RejectionCause.PROCESSOR_FULL
-                        ? Math.max(0, Math.min(MAX_RETRY_AFTER_MS, response.number("Proc-Wait", 0)))
+                        ? Math.max(
+                                        0,
+                                        Math.min(
+                                                MAX_RETRY_AFTER_MS,
+                                                response.numericHeader("Proc-Wait", 0)))
                                 * 1000
                         : 0;
         return switch (response.status()) {
--- a/src/main/java/coralcove/platform/live/SessionRouterServer.java
+++ b/src/main/java/coralcove/platform/live/SessionRouterServer.java
@@ -334,7 +334,7 @@
 
     @Override
     public void sendToExchange(long connectionId, SipMessage message) {
-        connections.sendToExchange(connectionId, message.bytes());
+        connections.sendToExchange(connectionId, message.encode());
     }
 
     @Override
--- a/src/main/java/coralcove/platform/trial/LoopbackTrial.java
+++ b/src/main/java/coralcove/platform/trial/LoopbackTrial.java
@@ -6,7 +6,7 @@
 import coralcove.platform.caller.MalformedCallerMessageException;
 import coralcove.platform.leg.SignalingMessages;
 import coralcove.platform.live.SessionRouterServer;
-import coralcove.sip.BadMessage;
+import coralcove.sip.MalformedMessageException;
 import coralcove.sip.SipMessage;
 import coralcove.sip.SipParser;
 import coralcove.sip.StreamFramer;
@@ -115,7 +115,7 @@
      * Stub exchange: answers each INVITE with the session description that it carried, and releases
      * the call at the ACK.
      */
-    private static void serveExchange(Socket socket) throws IOException, BadMessage {
+    private static void serveExchange(Socket socket) throws IOException, MalformedMessageException {
         OutputStream out = socket.getOutputStream();
         send(out, linkStateReport());
         StreamFramer framer = new StreamFramer();
@@ -123,13 +123,14 @@
         for (int count = socket.getInputStream().read(buffer);
                 count > 0;
                 count = socket.getInputStream().read(buffer)) {
-            framer.take(
+            framer.feed(
                     buffer,
                     0,
                     count,
                     messageBytes -> {
                         try {
-                            SipMessage message = SipParser.parseBare(messageBytes);
+                            SipMessage message =
+                                    SipParser.parseWithoutMandatoryHeaders(messageBytes);
                             if (message.method().equals("INVITE")) {
                                 send(
                                         out,
@@ -142,7 +143,7 @@
                                                 SignalingMessages.parseCallId(message), 16));
                                 send(out, linkStateReport());
                             }
-                        } catch (BadMessage | IOException e) {
+                        } catch (MalformedMessageException | IOException e) {
                             throw new IllegalStateException(e);
                         }
                     });
@@ -157,7 +158,7 @@
     }
 
     private static void send(OutputStream out, SipMessage message) throws IOException {
-        out.write(message.bytes());
+        out.write(message.encode());
         out.flush();
     }
 
--- a/src/main/java/coralcove/protocol/CallHeaders.java
+++ b/src/main/java/coralcove/protocol/CallHeaders.java
@@ -1,7 +1,7 @@
 package coralcove.protocol;
 
-import coralcove.sip.Field;
-import coralcove.sip.Params;
+import coralcove.sip.HeaderField;
+import coralcove.sip.ParameterizedValue;
 import coralcove.sip.SipMessage;
 import coralcove.sip.SipUri;
 import java.util.Set;
@@ -38,9 +38,9 @@
      * @throws IllegalArgumentException if a header is missing or invalid; the message names it
      */
     public static CallHeaders parse(SipMessage invite, int services) {
-        Params service = Params.of(require(invite, "X-Service"));
+        ParameterizedValue service = ParameterizedValue.parse(require(invite, "X-Service"));
         int index = parseNumber("X-Service", service.value(), 0, services - 1);
-        int width = parseNumber("X-Service", service.get("width", "1"), 1, 64);
+        int width = parseNumber("X-Service", service.parameter("width", "1"), 1, 64);
         String origin = invite.header("X-Origin");
         boolean onlyNumberDialled = origin == null && invite.header("X-Far-End") == null;
         int farEnd =
@@ -52,22 +52,22 @@
                 timeLeft != null
                         ? parseTimeLeft(timeLeft)
                         : 1_000_000L * parseNumber("Expires", require(invite, "Expires"), 0, 3600);
-        SipUri uri = SipUri.of(invite.uri());
+        SipUri uri = SipUri.parse(invite.uri());
         if (uri == null) {
             throw new IllegalArgumentException("Request-URI " + invite.uri());
         }
         double value;
         try {
-            value = Double.parseDouble(service.get("value", "1"));
+            value = Double.parseDouble(service.parameter("value", "1"));
         } catch (NumberFormatException e) {
-            throw new IllegalArgumentException("X-Service value " + service.get("value", ""));
+            throw new IllegalArgumentException("X-Service value " + service.parameter("value", ""));
         }
         return new CallHeaders(
                 index,
                 value,
                 width,
-                service.has("redial"),
-                service.has("cut"),
+                service.hasParameter("redial"),
+                service.hasParameter("cut"),
                 farEnd,
                 origin == null ? -1 : parseNumber("X-Origin", origin, 0, 65_535),
                 left,
@@ -144,7 +144,7 @@
 
     /** Copies the body and the end-to-end header fields of a received INVITE to a new one. */
     public static void copyEndToEndFields(SipMessage received, SipMessage forwarded) {
-        for (Field field : received.fields()) {
+        for (HeaderField field : received.fields()) {
             if (!CALL_LEG_FIELDS.contains(field.name())) {
                 forwarded.add(field.name(), field.value());
             }
--- a/src/main/java/coralcove/protocol/FailureResponse.java
+++ b/src/main/java/coralcove/protocol/FailureResponse.java
@@ -1,7 +1,7 @@
 package coralcove.protocol;
 
 import coralcove.sip.SipMessage;
-import coralcove.sip.dialog.Agent.Lost;
+import coralcove.sip.dialog.UserAgent.CallFailure;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -22,9 +22,10 @@
      * @param lost how the call leg ended without a response
      * @param names names of the headers to copy
      */
-    public static FailureResponse forwarding(SipMessage response, Lost lost, String... names) {
+    public static FailureResponse forwarding(
+            SipMessage response, CallFailure lost, String... names) {
         if (response == null) {
-            boolean unreachable = lost == Lost.UNREACHABLE;
+            boolean unreachable = lost == CallFailure.UNREACHABLE;
             return new FailureResponse(
                     unreachable ? 502 : 408,
                     "No Answer",
--- a/src/main/java/coralcove/protocol/InviteOutcomes.java
+++ b/src/main/java/coralcove/protocol/InviteOutcomes.java
@@ -3,7 +3,7 @@
 import coralcove.InviteOutcome;
 import coralcove.RejectionCause;
 import coralcove.sip.SipMessage;
-import coralcove.sip.dialog.Agent.Lost;
+import coralcove.sip.dialog.UserAgent.CallFailure;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
@@ -54,7 +54,7 @@
      * @param response the final response, or null if there was none
      * @param lost how the INVITE ended without a response; unused if there was one
      */
-    public static Outcome fromResponse(SipMessage response, Lost lost) {
+    public static Outcome fromResponse(SipMessage response, CallFailure lost) {
         if (response == null) {
             return switch (lost) {
                 // The first hop is the local exchange: if it accepts no connection, the INVITE was
@@ -128,10 +128,11 @@
         if (value == null) {
             return 0;
         }
-        coralcove.sip.Params params = coralcove.sip.Params.of(value);
+        coralcove.sip.ParameterizedValue params = coralcove.sip.ParameterizedValue.parse(value);
         try {
             long seconds = Long.parseLong(params.value().replaceFirst("\\s*\\(.*", ""));
-            return Math.max(0, Math.min(3600_000, params.number("ms", seconds * 1000))) * 1000;
+            return Math.max(0, Math.min(3600_000, params.numericParameter("ms", seconds * 1000)))
+                    * 1000;
         } catch (NumberFormatException e) {
             return 0;
         }
--- a/src/main/java/coralcove/rehearsal/CaptureFormat.java
+++ b/src/main/java/coralcove/rehearsal/CaptureFormat.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import coralcove.network.Network;
-import coralcove.sip.Hop;
+import coralcove.sip.TransportAddress;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -22,7 +22,8 @@
     private CaptureFormat() {}
 
     /** Returns the line for a message that {@code node} sent ({@code out}) or received. */
-    static String formatMessage(long now, String node, boolean out, Hop peer, byte[] bytes)
+    static String formatMessage(
+            long now, String node, boolean out, TransportAddress peer, byte[] bytes)
             throws JsonProcessingException {
         String text = new String(bytes, StandardCharsets.UTF_8);
         boolean validUtf8 = java.util.Arrays.equals(text.getBytes(StandardCharsets.UTF_8), bytes);
@@ -41,7 +42,7 @@
     /**
      * Returns the line for a TCP connection that broke or, if {@code refused}, was not accepted.
      */
-    static String formatStreamFailure(long now, String node, Hop peer, boolean refused)
+    static String formatStreamFailure(long now, String node, TransportAddress peer, boolean refused)
             throws JsonProcessingException {
         return JSON.writeValueAsString(
                 JSON.createObjectNode()
@@ -67,8 +68,8 @@
                     String peer = node.get("peer").asText();
                     int portSeparator = peer.lastIndexOf(':');
                     String direction = node.get("dir").asText();
-                    Hop hop =
-                            new Hop(
+                    TransportAddress hop =
+                            new TransportAddress(
                                     node.get("proto").asText().equals("tcp"),
                                     peer.substring(0, portSeparator),
                                     Integer.parseInt(peer.substring(portSeparator + 1)));
--- a/src/main/java/coralcove/rehearsal/ForgedNotifySender.java
+++ b/src/main/java/coralcove/rehearsal/ForgedNotifySender.java
@@ -1,11 +1,11 @@
 package coralcove.rehearsal;
 
-import coralcove.sip.BadMessage;
-import coralcove.sip.Core;
-import coralcove.sip.Hop;
-import coralcove.sip.Out;
+import coralcove.sip.MalformedMessageException;
+import coralcove.sip.SipCore;
 import coralcove.sip.SipMessage;
+import coralcove.sip.SipOutput;
 import coralcove.sip.SipUri;
+import coralcove.sip.TransportAddress;
 import coralcove.sip.Via;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
@@ -14,25 +14,25 @@
  * Sends routers forged NOTIFY requests that belong to none of their subscriptions, as anyone who
  * reaches their ports can.
  */
-final class ForgedNotifySender implements Core {
+final class ForgedNotifySender implements SipCore {
     private static final List<String> FORGED_BODIES =
             List.of(
                     "epoch forged version 99999 whole\n100 0 ready 1 1 - udp:127.0.0.1:9\n",
                     "epoch forged version 99999 changes after 99998\n"
                             + "101 1 left 9000000000000000 1 0 udp:127.0.0.1:9\n");
 
-    private final Hop localAddress;
+    private final TransportAddress localAddress;
     private final String idPrefix;
-    private final List<Hop> targets;
+    private final List<TransportAddress> targets;
     private final long sendInterval;
     private final long endTime;
     private long nextSendTime;
     private long sentCount;
 
     ForgedNotifySender(
-            Hop localAddress,
+            TransportAddress localAddress,
             String idPrefix,
-            List<Hop> targets,
+            List<TransportAddress> targets,
             double messagesPerSecond,
             long endTime) {
         this.localAddress = localAddress;
@@ -43,25 +43,25 @@
     }
 
     @Override
-    public void start(long now, Out out) {
+    public void start(long now, SipOutput out) {
         nextSendTime = now;
     }
 
     @Override
-    public void tick(long now, Out out) {
+    public void tick(long now, SipOutput out) {
         while (nextSendTime <= now && nextSendTime < endTime) {
             nextSendTime += sendInterval;
-            Hop target = targets.get((int) (sentCount % targets.size()));
+            TransportAddress target = targets.get((int) (sentCount % targets.size()));
             String id = idPrefix + "f" + sentCount++;
             SipMessage notify =
-                    SipMessage.request("NOTIFY", SipUri.text("", target))
-                            .add("Via", Via.text(localAddress, Via.COOKIE + id))
+                    SipMessage.request("NOTIFY", SipUri.format("", target))
+                            .add("Via", Via.format(localAddress, Via.MAGIC_COOKIE + id))
                             .add("Max-Forwards", "70")
                             .add("From", "<sip:directory>;tag=" + id)
                             .add("To", "<sip:" + target.host() + ":" + target.port() + ">")
                             .add("Call-ID", id)
                             .add("CSeq", "1 NOTIFY")
-                            .add("Contact", "<" + SipUri.text("", localAddress) + ">")
+                            .add("Contact", "<" + SipUri.format("", localAddress) + ">")
                             .add("Event", "exchanges")
                             .add("Subscription-State", "active;expires=60");
             String body =
@@ -71,22 +71,23 @@
     }
 
     @Override
-    public long due() {
+    public long nextTickAt() {
         return nextSendTime < endTime ? nextSendTime : Long.MAX_VALUE;
     }
 
     @Override
-    public void receive(long now, Hop from, SipMessage message, Out out) {
+    public void receive(long now, TransportAddress from, SipMessage message, SipOutput out) {
         // Responses are ignored.
     }
 
     @Override
-    public void malformed(long now, Hop from, BadMessage problem, Out out) {
+    public void malformedReceived(
+            long now, TransportAddress from, MalformedMessageException problem, SipOutput out) {
         // Responses are ignored.
     }
 
     @Override
-    public void broken(long now, Hop peer, boolean refused, Out out) {
+    public void connectionFailed(long now, TransportAddress peer, boolean refused, SipOutput out) {
         // It holds no connections.
     }
 }
--- a/src/main/java/coralcove/rehearsal/ReorderingBuffer.java
+++ b/src/main/java/coralcove/rehearsal/ReorderingBuffer.java
@@ -3,7 +3,7 @@
 import coralcove.judge.ScenarioListener;
 import coralcove.network.LiveNetwork;
 import coralcove.network.Network;
-import coralcove.sip.Hop;
+import coralcove.sip.TransportAddress;
 import java.util.PriorityQueue;
 import java.util.concurrent.ConcurrentLinkedQueue;
 
@@ -27,7 +27,7 @@
             long sequence,
             String node,
             boolean out,
-            Hop peer,
+            TransportAddress peer,
             byte[] bytes,
             boolean refused,
             Runnable notification) {}
@@ -54,12 +54,12 @@
     }
 
     @Override
-    public void onMessage(long now, String node, boolean out, Hop peer, byte[] bytes) {
+    public void onMessage(long now, String node, boolean out, TransportAddress peer, byte[] bytes) {
         incoming.add(new CapturedEvent(now, 0, node, out, peer, bytes, false, null));
     }
 
     @Override
-    public void onStreamFailure(long now, String node, Hop peer, boolean refused) {
+    public void onStreamFailure(long now, String node, TransportAddress peer, boolean refused) {
         incoming.add(new CapturedEvent(now, 0, node, false, peer, null, refused, null));
     }
 
--- a/src/main/java/coralcove/rehearsal/ScenarioRun.java
+++ b/src/main/java/coralcove/rehearsal/ScenarioRun.java
@@ -20,8 +20,8 @@
 import coralcove.numbers.NumberTable;
 import coralcove.planner.EdgeLinkCore;
 import coralcove.portability.PortabilityService;
-import coralcove.sip.Hop;
-import coralcove.sip.Out;
+import coralcove.sip.SipOutput;
+import coralcove.sip.TransportAddress;
 import coralcove.sources.Roster;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -126,20 +126,21 @@
                 || scenario.transport().equals("mixed") && number % 2 == 1;
     }
 
-    private Hop edgeAddress(int number) {
-        return new Hop(usesTcp(number), "127.0.0.1", firstPort + 2 * number);
+    private TransportAddress edgeAddress(int number) {
+        return new TransportAddress(usesTcp(number), "127.0.0.1", firstPort + 2 * number);
     }
 
-    private Hop exchangeAddress(int number) {
-        return new Hop(usesTcp(number), "127.0.0.1", firstPort + 2 * number + 1);
+    private TransportAddress exchangeAddress(int number) {
+        return new TransportAddress(usesTcp(number), "127.0.0.1", firstPort + 2 * number + 1);
     }
 
-    private Hop directoryAddress(int index) {
-        return new Hop(false, "127.0.0.1", firstPort + 3 * scenario.exchangeCount() + 2 + index);
+    private TransportAddress directoryAddress(int index) {
+        return new TransportAddress(
+                false, "127.0.0.1", firstPort + 3 * scenario.exchangeCount() + 2 + index);
     }
 
-    private List<Hop> directoryAddresses() {
-        List<Hop> addresses = new ArrayList<>();
+    private List<TransportAddress> directoryAddresses() {
+        List<TransportAddress> addresses = new ArrayList<>();
         for (int i = 0; i < scenario.directoryCount(); i++) {
             addresses.add(directoryAddress(i));
         }
@@ -453,7 +454,7 @@
     }
 
     private interface ExchangeAction {
-        void run(long now, SimulatedExchange core, Out out);
+        void run(long now, SimulatedExchange core, SipOutput out);
     }
 
     /** Schedules an action on a simulated exchange; {@code at} counts from the scenario's start. */
@@ -551,18 +552,18 @@
                 }
             }
             case "directory-forged" -> {
-                Hop senderAddress =
-                        new Hop(
+                TransportAddress senderAddress =
+                        new TransportAddress(
                                 false,
                                 "127.0.0.1",
                                 firstPort
                                         + 3 * scenario.exchangeCount()
                                         + 2
                                         + Scenario.MAX_DIRECTORIES);
-                List<Hop> targets = new ArrayList<>();
+                List<TransportAddress> targets = new ArrayList<>();
                 for (int number = 0; number < scenario.exchangeCount(); number++) {
                     if (fault.affects(number)) {
-                        targets.add(edgeAddress(number).over(false));
+                        targets.add(edgeAddress(number).withTransport(false));
                     }
                 }
                 network.schedule(
--- a/src/main/java/coralcove/rehearsal/ScenarioRunner.java
+++ b/src/main/java/coralcove/rehearsal/ScenarioRunner.java
@@ -8,10 +8,10 @@
 import coralcove.network.Network;
 import coralcove.network.VirtualNetwork;
 import coralcove.portability.PortabilityService;
-import coralcove.sip.BadMessage;
-import coralcove.sip.Hop;
+import coralcove.sip.MalformedMessageException;
 import coralcove.sip.SipMessage;
 import coralcove.sip.SipParser;
+import coralcove.sip.TransportAddress;
 import java.io.BufferedWriter;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -40,25 +40,27 @@
     private record CaptureObserver(RuleChecker judge, AddedDelayMeter meter, CaptureWriter file)
             implements Network.MessageObserver {
         @Override
-        public void onMessage(long now, String node, boolean out, Hop peer, byte[] bytes) {
+        public void onMessage(
+                long now, String node, boolean out, TransportAddress peer, byte[] bytes) {
             try {
                 SipMessage message = SipParser.parse(bytes, 0, bytes.length);
                 judge.read(now, node, out, peer, message);
                 meter.observe(now, node, out, message);
-            } catch (BadMessage e) {
+            } catch (MalformedMessageException e) {
                 judge.countMalformed();
             }
             file.onMessage(now, node, out, peer, bytes);
         }
 
         @Override
-        public void onMessage(long now, String node, boolean out, Hop peer, SipMessage message) {
+        public void onMessage(
+                long now, String node, boolean out, TransportAddress peer, SipMessage message) {
             judge.read(now, node, out, peer, message);
             meter.observe(now, node, out, message);
         }
 
         @Override
-        public void onStreamFailure(long now, String node, Hop peer, boolean refused) {
+        public void onStreamFailure(long now, String node, TransportAddress peer, boolean refused) {
             judge.onStreamFailure(now, node, peer, refused);
             file.onStreamFailure(now, node, peer, refused);
         }
@@ -304,7 +306,8 @@
         }
 
         @Override
-        public void onMessage(long now, String node, boolean sent, Hop peer, byte[] bytes) {
+        public void onMessage(
+                long now, String node, boolean sent, TransportAddress peer, byte[] bytes) {
             if (out == null) {
                 return;
             }
@@ -317,7 +320,7 @@
         }
 
         @Override
-        public void onStreamFailure(long now, String node, Hop peer, boolean refused) {
+        public void onStreamFailure(long now, String node, TransportAddress peer, boolean refused) {
             if (out == null) {
                 return;
             }
--- a/src/main/java/coralcove/sip/BadMessage.java
+++ b/src/main/java/coralcove/sip/MalformedMessageException.java
@@ -1,7 +1,7 @@
 package coralcove.sip;
 
 /** Thrown when the bytes read are not a valid SIP message. */
-public final class BadMessage extends Exception {
+public final class MalformedMessageException extends Exception {
     private static final long serialVersionUID = 1;
     private final transient SipMessage partialMessage;
 
@@ -9,7 +9,7 @@
      * {@code partialMessage} holds the part that could be parsed, so that a request can be answered
      * with 400; null if there is none.
      */
-    public BadMessage(String reason, SipMessage partialMessage) {
+    public MalformedMessageException(String reason, SipMessage partialMessage) {
         super(reason);
         this.partialMessage = partialMessage;
     }
--- a/src/main/java/coralcove/sip/Params.java
+++ b/src/main/java/coralcove/sip/ParameterizedValue.java
@@ -4,7 +4,7 @@
  * A header value split into the part before the first parameter and its parameters (RFC 3261
  * section 25.1, generic-param). Semicolons in quoted strings and angle brackets do not separate.
  */
-public final class Params {
+public final class ParameterizedValue {
     private static final String[] NO_PARAMETERS = {};
 
     private final String value;
@@ -17,14 +17,14 @@
 
     private int count;
 
-    private Params(String value) {
+    private ParameterizedValue(String value) {
         this.value = value;
     }
 
     /** Parses a header value; quotes around parameter values are removed. */
-    public static Params of(String text) {
+    public static ParameterizedValue parse(String text) {
         int end = indexOfUnquoted(text, 0, ';');
-        Params parsed = new Params(text.substring(0, end).strip());
+        ParameterizedValue parsed = new ParameterizedValue(text.substring(0, end).strip());
         while (end < text.length()) {
             int from = end + 1;
             end = indexOfUnquoted(text, from, ';');
@@ -99,18 +99,18 @@
     }
 
     /** Whether there is a parameter of this name. */
-    public boolean has(String name) {
+    public boolean hasParameter(String name) {
         return find(name) != null;
     }
 
     /** The value of a parameter, {@code defaultValue} if absent. */
-    public String get(String name, String defaultValue) {
+    public String parameter(String name, String defaultValue) {
         String found = find(name);
         return found == null ? defaultValue : found;
     }
 
     /** The value of a parameter as a number, {@code defaultValue} if absent or not a number. */
-    public long number(String name, long defaultValue) {
+    public long numericParameter(String name, long defaultValue) {
         try {
             String found = find(name);
             return found == null ? defaultValue : Long.parseLong(found);
--- a/src/main/java/coralcove/sip/SipMessage.java
+++ b/src/main/java/coralcove/sip/SipMessage.java
@@ -16,7 +16,7 @@
     private final String uri;
     private final int status;
     private final String reason;
-    private final List<Field> fields = new ArrayList<>(12);
+    private final List<HeaderField> fields = new ArrayList<>(12);
     private byte[] body = NO_BODY;
 
     /** The Via value that {@link #via} was parsed from. */
@@ -50,16 +50,17 @@
      * Creates a response to {@code request} with the fields that RFC 3261 8.2.6.2 copies; {@code
      * toTag} is added to To if it has no tag and the status is not 100.
      */
-    public static SipMessage reply(SipMessage request, int status, String reason, String toTag) {
+    public static SipMessage responseTo(
+            SipMessage request, int status, String reason, String toTag) {
         SipMessage reply = status(status, reason);
-        for (Field field : request.fields) {
+        for (HeaderField field : request.fields) {
             switch (field.name()) {
                 case "Via", "From", "Call-ID", "CSeq" -> reply.fields.add(field);
                 case "To" ->
                         reply.fields.add(
                                 status == 100 || field.value().contains(";tag=")
                                         ? field
-                                        : new Field("To", field.value() + ";tag=" + toTag));
+                                        : new HeaderField("To", field.value() + ";tag=" + toTag));
                 default -> {}
             }
         }
@@ -103,17 +104,17 @@
     }
 
     /** The body as UTF-8 text. */
-    public String text() {
+    public String bodyText() {
         return new String(body, StandardCharsets.UTF_8);
     }
 
-    public List<Field> fields() {
+    public List<HeaderField> fields() {
         return fields;
     }
 
     /** The first value of this header, or null. */
     public String header(String name) {
-        for (Field field : fields) {
+        for (HeaderField field : fields) {
             if (field.name() == name || field.name().equalsIgnoreCase(name)) {
                 return field.value();
             }
@@ -130,7 +131,7 @@
     /** All values of this header. */
     public List<String> headers(String name) {
         List<String> values = new ArrayList<>();
-        for (Field field : fields) {
+        for (HeaderField field : fields) {
             if (field.name().equalsIgnoreCase(name)) {
                 values.add(field.value());
             }
@@ -140,13 +141,13 @@
 
     /** Appends a header field. */
     public SipMessage add(String name, String value) {
-        fields.add(new Field(name, value));
+        fields.add(new HeaderField(name, value));
         return this;
     }
 
     /** Inserts a header field before all others. */
     public SipMessage addFirst(String name, String value) {
-        fields.add(0, new Field(name, value));
+        fields.add(0, new HeaderField(name, value));
         return this;
     }
 
@@ -154,7 +155,7 @@
     public SipMessage set(String name, String value) {
         for (int i = 0; i < fields.size(); i++) {
             if (fields.get(i).name().equalsIgnoreCase(name)) {
-                fields.set(i, new Field(name, value));
+                fields.set(i, new HeaderField(name, value));
                 return this;
             }
         }
@@ -177,7 +178,7 @@
         String text = header("Via");
         if (text != parsedViaText) {
             parsedViaText = text;
-            via = text == null ? null : Via.of(text);
+            via = text == null ? null : Via.parse(text);
         }
         return via;
     }
@@ -192,7 +193,7 @@
     }
 
     /** A header's value as a number, {@code defaultValue} if absent or not a number. */
-    public long number(String name, long defaultValue) {
+    public long numericHeader(String name, long defaultValue) {
         try {
             String value = header(name);
             return value == null ? defaultValue : Long.parseLong(value);
@@ -202,7 +203,7 @@
     }
 
     /** The number of CSeq, or -1 if absent or malformed. */
-    public long sequence() {
+    public long cseqNumber() {
         String value = header("CSeq");
         int space = value == null ? -1 : value.indexOf(' ');
         try {
@@ -231,20 +232,20 @@
         String text = header("From", "");
         if (text != parsedFromText) {
             parsedFromText = text;
-            fromTag = Params.of(text).get("tag", "");
+            fromTag = ParameterizedValue.parse(text).parameter("tag", "");
         }
         return fromTag;
     }
 
     /** The tag of To, or an empty string. */
     public String toTag() {
-        return Params.of(header("To", "")).get("tag", "");
+        return ParameterizedValue.parse(header("To", "")).parameter("tag", "");
     }
 
-    /** The length of {@link #bytes}, computed without encoding the message. */
+    /** The length of {@link #encode}, computed without encoding the message. */
     public int encodedLength() {
         int length = isRequest() ? method.length() + uri.length() + 11 : 14 + reason.length();
-        for (Field field : fields) {
+        for (HeaderField field : fields) {
             length +=
                     field.name().equals("Content-Length")
                             ? 0
@@ -258,14 +259,14 @@
     }
 
     /** The message encoded for transmission; Content-Length is always the last header field. */
-    public byte[] bytes() {
+    public byte[] encode() {
         StringBuilder header = new StringBuilder(512);
         if (isRequest()) {
             header.append(method).append(' ').append(uri).append(" SIP/2.0\r\n");
         } else {
             header.append("SIP/2.0 ").append(status).append(' ').append(reason).append("\r\n");
         }
-        for (Field field : fields) {
+        for (HeaderField field : fields) {
             if (!field.name().equals("Content-Length")) {
                 header.append(field.name()).append(": ").append(field.value()).append("\r\n");
             }
--- a/src/main/java/coralcove/sip/Out.java
+++ b/src/main/java/coralcove/sip/SipOutput.java
@@ -1,12 +1,12 @@
 package coralcove.sip;
 
 /**
- * Receives the actions of a {@link Core}: messages to send and lines to log, in order. They are
+ * Receives the actions of a {@link SipCore}: messages to send and lines to log, in order. They are
  * carried out after the core's method returns.
  */
-public interface Out {
+public interface SipOutput {
     /** Sends a message. */
-    void send(Hop to, SipMessage message);
+    void send(TransportAddress to, SipMessage message);
 
     /** Writes one log line; {@code session} is the Session-ID, or an empty string. */
     void log(String event, String session, String detail);
--- a/src/main/java/coralcove/sip/SipParser.java
+++ b/src/main/java/coralcove/sip/SipParser.java
@@ -70,7 +70,8 @@
      * Parses a complete datagram: the body is what follows the header, up to Content-Length if
      * present.
      */
-    public static SipMessage parse(byte[] data, int from, int length) throws BadMessage {
+    public static SipMessage parse(byte[] data, int from, int length)
+            throws MalformedMessageException {
         return parse(data, from, length, true);
     }
 
@@ -78,18 +79,21 @@
      * Parses a message of peers that omit From, To and Via by agreement, as on a trunk that matches
      * by Call-ID alone: the syntax is checked as strictly, but no header is mandatory.
      */
-    public static SipMessage parseBare(byte[] data) throws BadMessage {
+    public static SipMessage parseWithoutMandatoryHeaders(byte[] data)
+            throws MalformedMessageException {
         return parse(data, 0, data.length, false);
     }
 
     private static SipMessage parse(byte[] data, int from, int length, boolean headersMandatory)
-            throws BadMessage {
+            throws MalformedMessageException {
         if (length > MAX_MESSAGE_BYTES) {
-            throw new BadMessage("longer than " + MAX_MESSAGE_BYTES + " bytes", null);
+            throw new MalformedMessageException(
+                    "longer than " + MAX_MESSAGE_BYTES + " bytes", null);
         }
         int headerEnd = headerEnd(data, from, from + length);
         if (headerEnd < 0) {
-            throw new BadMessage("the header section is not terminated by an empty line", null);
+            throw new MalformedMessageException(
+                    "the header section is not terminated by an empty line", null);
         }
         // One char per byte, so that uninterpreted values are forwarded unchanged even if they are
         // not valid UTF-8.
@@ -130,7 +134,7 @@
         }
         problem = problem == null && headersMandatory ? validate(message) : problem;
         if (problem != null) {
-            throw new BadMessage(problem, message);
+            throw new MalformedMessageException(problem, message);
         }
         return message;
     }
@@ -158,7 +162,7 @@
         }
     }
 
-    private static SipMessage parseStartLine(String line) throws BadMessage {
+    private static SipMessage parseStartLine(String line) throws MalformedMessageException {
         if (line.startsWith("SIP/2.0 ")) {
             if (line.length() >= 11
                     && line.substring(8, 11).chars().allMatch(c -> c >= '0' && c <= '9')
@@ -169,7 +173,7 @@
                         Integer.parseInt(line.substring(8, 11)),
                         line.length() > 12 ? line.substring(12) : "");
             }
-            throw new BadMessage("status line: " + abbreviate(line), null);
+            throw new MalformedMessageException("status line: " + abbreviate(line), null);
         }
         int firstSpace = line.indexOf(' ');
         int lastSpace = line.lastIndexOf(' ');
@@ -178,7 +182,7 @@
                 || !line.substring(lastSpace + 1).equals("SIP/2.0")
                 || !isToken(line.substring(0, firstSpace))
                 || line.substring(firstSpace + 1, lastSpace).indexOf(' ') >= 0) {
-            throw new BadMessage("request line: " + abbreviate(line), null);
+            throw new MalformedMessageException("request line: " + abbreviate(line), null);
         }
         return SipMessage.request(
                 line.substring(0, firstSpace), line.substring(firstSpace + 1, lastSpace));
@@ -238,7 +242,7 @@
         }
         int from = 0;
         while (from <= value.length() && message.fields().size() <= MAX_HEADER_FIELDS) {
-            int comma = Params.indexOfUnquoted(value, from, ',');
+            int comma = ParameterizedValue.indexOfUnquoted(value, from, ',');
             message.add(name, trimmed(value, from, comma));
             from = comma + 1;
         }
@@ -319,7 +323,7 @@
                 return name + " is missing";
             }
         }
-        long sequence = message.sequence();
+        long sequence = message.cseqNumber();
         String cseq = message.header("CSeq");
         if (sequence < 0 || sequence > 0x7fffffffL) {
             return "CSeq: " + abbreviate(cseq);
--- a/src/main/java/coralcove/sip/SipUri.java
+++ b/src/main/java/coralcove/sip/SipUri.java
@@ -4,12 +4,12 @@
  * The parts of a SIP URI (RFC 3261 19.1) that are used here: user (empty if absent), host, port
  * (5060 if absent) and parameters.
  */
-public record SipUri(String user, String host, int port, Params params) {
+public record SipUri(String user, String host, int port, ParameterizedValue uriParameters) {
     /**
      * Parses a bare URI or the one between the angle brackets of a name-addr; null if there is no
      * valid one.
      */
-    public static SipUri of(String text) {
+    public static SipUri parse(String text) {
         int openBracket = text.indexOf('<');
         int closeBracket = openBracket < 0 ? -1 : text.indexOf('>', openBracket);
         String uri =
@@ -19,7 +19,7 @@
         if (!uri.regionMatches(true, 0, "sip:", 0, 4)) {
             return null;
         }
-        Params params = Params.of(uri.substring(4));
+        ParameterizedValue params = ParameterizedValue.parse(uri.substring(4));
         String userAndAddress = params.value();
         int at = userAndAddress.lastIndexOf('@');
         String user = at < 0 ? "" : userAndAddress.substring(0, at);
@@ -39,12 +39,13 @@
     }
 
     /** The transport address: TCP if the transport parameter says so, else UDP. */
-    public Hop hop() {
-        return new Hop(params.get("transport", "udp").equalsIgnoreCase("tcp"), host, port);
+    public TransportAddress transportAddress() {
+        return new TransportAddress(
+                uriParameters.parameter("transport", "udp").equalsIgnoreCase("tcp"), host, port);
     }
 
     /** Formats a URI for an address; {@code user} may be empty. */
-    public static String text(String user, Hop address) {
+    public static String format(String user, TransportAddress address) {
         return "sip:"
                 + (user.isEmpty() ? "" : user + "@")
                 + address.host()
--- a/src/main/java/coralcove/sip/StreamFramer.java
+++ b/src/main/java/coralcove/sip/StreamFramer.java
@@ -23,7 +23,7 @@
     }
 
     /** Whether the stream ends within a message so far. */
-    public boolean partial() {
+    public boolean hasPartialMessage() {
         return length > 0;
     }
 
@@ -31,8 +31,8 @@
      * Adds {@code count} bytes and passes on each message that is complete. After an exception the
      * stream cannot be read any further.
      */
-    public void take(byte[] data, int from, int count, Consumer<byte[]> consumer)
-            throws BadMessage {
+    public void feed(byte[] data, int from, int count, Consumer<byte[]> consumer)
+            throws MalformedMessageException {
         if (length + count > buffer.length) {
             buffer = Arrays.copyOf(buffer, Math.max(length + count, 2 * buffer.length));
         }
@@ -46,7 +46,8 @@
             int end = SipParser.headerEnd(buffer, at, length);
             int total = end < 0 ? length - at : end - at + bodyLength(at, end);
             if (total > maxMessageBytes) {
-                throw new BadMessage("a message longer than " + maxMessageBytes + " bytes", null);
+                throw new MalformedMessageException(
+                        "a message longer than " + maxMessageBytes + " bytes", null);
             }
             if (end < 0 || at + total > length) {
                 break;
@@ -59,7 +60,7 @@
     }
 
     /** The Content-Length of the header between these indices. */
-    private int bodyLength(int from, int end) throws BadMessage {
+    private int bodyLength(int from, int end) throws MalformedMessageException {
         int line = from;
         while (line < end - 2) {
             int lineEnd = line;
@@ -70,13 +71,13 @@
             if (text != null) {
                 int contentLength = SipParser.parseNumber(text);
                 if (contentLength < 0) {
-                    throw new BadMessage("Content-Length: " + text, null);
+                    throw new MalformedMessageException("Content-Length: " + text, null);
                 }
                 return contentLength;
             }
             line = lineEnd + 2;
         }
-        throw new BadMessage("a message on a stream without Content-Length", null);
+        throw new MalformedMessageException("a message on a stream without Content-Length", null);
     }
 
     /** The value of this header line if it is Content-Length, else null. */
--- a/src/main/java/coralcove/sip/Timers.java
+++ b/src/main/java/coralcove/sip/TimerWheel.java
@@ -10,10 +10,10 @@
  * deadlines, those of equal deadline in the order in which they were set, and never early, so that
  * equal inputs lead to equal actions.
  */
-public final class Timers {
+public final class TimerWheel {
     /** The action of a timer. */
     public interface Task {
-        void run(long now, Out out);
+        void run(long now, SipOutput out);
     }
 
     /** A timer that has been set. */
@@ -61,7 +61,7 @@
     private final List<Timer> expiredTimers = new ArrayList<>();
 
     /** Sets a timer for a time, which may lie in the past. */
-    public Timer set(long deadline, Task task) {
+    public Timer schedule(long deadline, Task task) {
         Timer timer = new Timer(deadline, nextSequence++, task);
         insert(timer);
         size++;
@@ -99,7 +99,7 @@
     }
 
     /** Fires all timers whose deadline has passed, also those set by the tasks that run. */
-    public void run(long now, Out out) {
+    public void fireExpired(long now, SipOutput out) {
         while (nextDeadline() <= now) {
             // advanceToEarliest() moves the earliest timers to the lowest level.
             earliestKnown = false;
--- a/src/main/java/coralcove/sip/Hop.java
+++ b/src/main/java/coralcove/sip/TransportAddress.java
@@ -8,8 +8,8 @@
  * address is kept in brackets and in the JDK's spelling, so that addresses compare as equal however
  * they were written (see RFC 5952).
  */
-public record Hop(boolean tcp, String host, int port) {
-    public Hop {
+public record TransportAddress(boolean tcp, String host, int port) {
+    public TransportAddress {
         if (host.indexOf(':') >= 0) {
             host = normalizeIpv6(host);
         }
@@ -29,8 +29,8 @@
     }
 
     /** The same host and port over TCP or UDP. */
-    public Hop over(boolean useTcp) {
-        return useTcp == tcp ? this : new Hop(useTcp, host, port);
+    public TransportAddress withTransport(boolean useTcp) {
+        return useTcp == tcp ? this : new TransportAddress(useTcp, host, port);
     }
 
     @Override
--- a/src/main/java/coralcove/sip/Via.java
+++ b/src/main/java/coralcove/sip/Via.java
@@ -4,13 +4,13 @@
  * The parts of a Via header that are used here: transport, sent-by host and port, and parameters
  * (RFC 3261 18.1, 20.42; RFC 3581).
  */
-public record Via(boolean tcp, String host, int port, Params params) {
+public record Via(boolean tcp, String host, int port, ParameterizedValue parameters) {
     /** The magic cookie with which a branch of RFC 3261 begins. */
-    public static final String COOKIE = "z9hG4bK";
+    public static final String MAGIC_COOKIE = "z9hG4bK";
 
     /** Parses a Via value; null if it is malformed or for another transport than UDP and TCP. */
-    public static Via of(String text) {
-        Params params = Params.of(text);
+    public static Via parse(String text) {
+        ParameterizedValue params = ParameterizedValue.parse(text);
         String value = params.value();
         if (!value.startsWith("SIP/2.0/")) {
             return null;
@@ -19,7 +19,7 @@
         if (space < 0) {
             return null;
         }
-        SipUri sentBy = SipUri.of("sip:" + value.substring(space + 1).strip());
+        SipUri sentBy = SipUri.parse("sip:" + value.substring(space + 1).strip());
         String transport = value.substring(8, space).strip();
         if (sentBy == null
                 || !isHost(sentBy.host())
@@ -31,7 +31,7 @@
 
     /** The branch parameter, or an empty string. */
     public String branch() {
-        return params.get("branch", "");
+        return parameters.parameter("branch", "");
     }
 
     /**
@@ -59,12 +59,15 @@
      * The address for responses (18.2.2): received and rport if the receiver added them, else
      * sent-by.
      */
-    public Hop responseAddress() {
-        return new Hop(tcp, params.get("received", host), (int) params.number("rport", port));
+    public TransportAddress responseAddress() {
+        return new TransportAddress(
+                tcp,
+                parameters.parameter("received", host),
+                (int) parameters.numericParameter("rport", port));
     }
 
     /** Formats a Via value with an empty rport parameter. */
-    public static String text(Hop from, String branch) {
+    public static String format(TransportAddress from, String branch) {
         return "SIP/2.0/"
                 + (from.tcp() ? "TCP " : "UDP ")
                 + from.host()
--- a/src/main/java/coralcove/sip/dialog/Call.java
+++ b/src/main/java/coralcove/sip/dialog/Call.java
@@ -1,15 +1,15 @@
 package coralcove.sip.dialog;
 
-import coralcove.sip.Hop;
 import coralcove.sip.SipMessage;
-import coralcove.sip.Timers;
-import coralcove.sip.transaction.ClientTx;
-import coralcove.sip.transaction.ServerTx;
+import coralcove.sip.TimerWheel;
+import coralcove.sip.TransportAddress;
+import coralcove.sip.transaction.ClientTransaction;
+import coralcove.sip.transaction.ServerTransaction;
 import java.util.List;
 
 /**
  * One call leg: an INVITE sent or received, and the dialog that its 2xx establishes. Belongs to one
- * {@link Agent}.
+ * {@link UserAgent}.
  */
 public final class Call {
     enum State {
@@ -33,30 +33,30 @@
     List<String> routeSet = List.of();
 
     /** The re-INVITE or UPDATE sent and not answered yet, or null. */
-    ClientTx outgoingChange;
+    ClientTransaction outgoingChange;
 
     /** The re-INVITE received and not answered yet, or null. */
-    ServerTx incomingChange;
+    ServerTransaction incomingChange;
 
     /** The session interval (RFC 4028), 0 without one. */
     long sessionIntervalMicros;
 
     /** Refreshes the session, or ends it if the other side does not. */
-    Timers.Timer sessionTimer;
+    TimerWheel.Timer sessionTimer;
 
     /** Where requests in the dialog are sent. */
-    Hop remoteAddress;
+    TransportAddress remoteAddress;
 
     long localSequence;
     long remoteSequence = -1;
-    ClientTx clientTransaction;
-    ServerTx serverTransaction;
+    ClientTransaction clientTransaction;
+    ServerTransaction serverTransaction;
 
     /** The ACK of the 2xx, sent again for each copy of the 2xx. */
     SipMessage ack;
 
     boolean provisionalReceived;
-    boolean cancelled;
+    boolean isCancelled;
     State state = State.TRYING;
 
     Call(boolean outgoing, SipMessage invite, String localTag) {
@@ -64,7 +64,7 @@
         this.invite = invite;
         this.localTag = localTag;
         sessionId = invite.header("Session-ID", "");
-        localSequence = outgoing ? invite.sequence() : 1;
+        localSequence = outgoing ? invite.cseqNumber() : 1;
     }
 
     /** The INVITE that started the call. */
@@ -92,18 +92,18 @@
     }
 
     /** Whether the call was answered and has not ended. */
-    public boolean stands() {
+    public boolean isEstablished() {
         return state == State.ESTABLISHED;
     }
 
     /** Whether the INVITE has no final response yet. */
-    public boolean trying() {
+    public boolean isPending() {
         return state == State.TRYING;
     }
 
     /** Whether this side cancelled the outgoing call before it was answered. */
-    public boolean cancelled() {
-        return cancelled;
+    public boolean isCancelled() {
+        return isCancelled;
     }
 
     String key() {
