--- a/src/main/java/coralcove/sip/dialog/Agent.java
+++ b/src/main/java/coralcove/sip/dialog/UserAgent.java
@@ -1,15 +1,15 @@
 package coralcove.sip.dialog;
 
-import coralcove.sip.BadMessage;
-import coralcove.sip.Hop;
-import coralcove.sip.Out;
-import coralcove.sip.Params;
+import coralcove.sip.MalformedMessageException;
+import coralcove.sip.ParameterizedValue;
 import coralcove.sip.SipMessage;
+import coralcove.sip.SipOutput;
 import coralcove.sip.SipUri;
-import coralcove.sip.Timers;
+import coralcove.sip.TimerWheel;
+import coralcove.sip.TransportAddress;
 import coralcove.sip.Via;
-import coralcove.sip.transaction.ClientTx;
-import coralcove.sip.transaction.ServerTx;
+import coralcove.sip.transaction.ClientTransaction;
+import coralcove.sip.transaction.ServerTransaction;
 import coralcove.sip.transaction.TransactionLayer;
 import java.util.Collections;
 import java.util.HashMap;
@@ -24,12 +24,12 @@
  * without choice: the ACK of each 2xx, the BYE for a 2xx that crossed a CANCEL, 481 for an unknown
  * dialog, 405 for an unknown method, 483 for Max-Forwards 0.
  */
-public final class Agent implements TransactionLayer.TransactionUser {
+public final class UserAgent implements TransactionLayer.TransactionUser {
     /**
      * Why a call failed without a final response; {@link #NO} if there was a response or the call
      * was cancelled.
      */
-    public enum Lost {
+    public enum CallFailure {
         NO,
         TIMED_OUT,
         UNREACHABLE,
@@ -37,49 +37,54 @@
     }
 
     /** The application that uses this user agent. */
-    public interface User {
-        /** A call arrived; answered by {@link Agent#answer} or {@link Agent#reject}. */
-        void invited(long now, Call call, Hop from, Out out);
+    public interface Application {
+        /** A call arrived; answered by {@link UserAgent#answer} or {@link UserAgent#reject}. */
+        void callReceived(long now, Call call, TransportAddress from, SipOutput out);
 
         /** A provisional response other than 100 arrived. */
-        void progressed(long now, Call call, SipMessage response, Out out);
+        void provisionalReceived(long now, Call call, SipMessage response, SipOutput out);
 
         /** An outgoing call was established; its 2xx has been acknowledged. */
-        void answered(long now, Call call, SipMessage response, Out out);
+        void callAnswered(long now, Call call, SipMessage response, SipOutput out);
 
         /**
          * An outgoing call was not established, also because it was cancelled; {@code response} is
          * null if there was no failure response.
          */
-        void rejected(long now, Call call, SipMessage response, Lost failure, Out out);
+        void callFailed(
+                long now, Call call, SipMessage response, CallFailure failure, SipOutput out);
 
         /** An incoming call was cancelled by its caller and has been answered with 487. */
-        void cancelled(long now, Call call, Out out);
+        void callCancelled(long now, Call call, SipOutput out);
 
         /**
          * An established call has ended; {@code bye} is null if not by a BYE of the other side: the
          * ACK never arrived, the session expired, or the other side no longer knows the dialog.
          */
-        void hungUp(long now, Call call, SipMessage bye, Out out);
+        void callEnded(long now, Call call, SipMessage bye, SipOutput out);
 
-        /** A re-INVITE arrived in an established call; answered by {@link Agent#answerChange}. */
-        default void changing(long now, Call call, SipMessage invite, Out out) {
+        /**
+         * A re-INVITE arrived in an established call; answered by {@link UserAgent#answerReinvite}.
+         */
+        default void reinviteReceived(long now, Call call, SipMessage invite, SipOutput out) {
             throw new UnsupportedOperationException("this application does not accept re-INVITEs");
         }
 
         /**
-         * The final response to a re-INVITE sent by {@link Agent#change}; 481 and timeouts end the
-         * call instead.
+         * The final response to a re-INVITE sent by {@link UserAgent#sendReinvite}; 481 and
+         * timeouts end the call instead.
          */
-        default void changed(long now, Call call, SipMessage response, Out out) {
+        default void reinviteAnswered(long now, Call call, SipMessage response, SipOutput out) {
             throw new UnsupportedOperationException("this application sends no re-INVITEs");
         }
 
-        /** A request outside of calls arrived; answered by {@link Agent#respond}. */
-        void request(long now, ServerTx transaction, Hop from, Out out);
+        /** A request outside of calls arrived; answered by {@link UserAgent#respond}. */
+        void requestReceived(
+                long now, ServerTransaction transaction, TransportAddress from, SipOutput out);
 
         /** The response to a request outside of calls, or null if none arrived. */
-        void replied(long now, ClientTx transaction, SipMessage response, Out out);
+        void responseReceived(
+                long now, ClientTransaction transaction, SipMessage response, SipOutput out);
     }
 
     /** A BYE without a response yet; {@code attempt} counts the BYEs of the call from 1. */
@@ -115,10 +120,10 @@
     private static final Set<String> APPLICATION_METHODS =
             Set.of("OPTIONS", "SUBSCRIBE", "NOTIFY", "MESSAGE", "REGISTER");
 
-    private final Hop localAddress;
-    private final Timers timers;
+    private final TransportAddress localAddress;
+    private final TimerWheel timers;
     private final TransactionLayer transactionLayer;
-    private final User user;
+    private final Application user;
     private final String startTag;
 
     /** Calls by Call-ID and local tag. */
@@ -136,7 +141,8 @@
     /**
      * {@code startTag} distinguishes the ids of this start from those of other nodes and starts.
      */
-    public Agent(Hop localAddress, Timers timers, String startTag, User user) {
+    public UserAgent(
+            TransportAddress localAddress, TimerWheel timers, String startTag, Application user) {
         this.localAddress = localAddress;
         this.timers = timers;
         this.startTag = startTag;
@@ -144,7 +150,7 @@
         transactionLayer = new TransactionLayer(localAddress, timers, startTag, this);
     }
 
-    public Hop localAddress() {
+    public TransportAddress localAddress() {
         return localAddress;
     }
 
@@ -159,12 +165,12 @@
     }
 
     /** Adds one to a counter. */
-    public void count(String name) {
+    public void incrementCounter(String name) {
         counters.merge(name, 1L, Long::sum);
     }
 
     /** Processes a message received from {@code from}. */
-    public void receive(long now, Hop from, SipMessage message, Out out) {
+    public void receive(long now, TransportAddress from, SipMessage message, SipOutput out) {
         transactionLayer.receive(now, from, message, out);
     }
 
@@ -172,27 +178,29 @@
      * Counts and logs a malformed message, and answers 400 if it is a request with all fields that
      * a response copies.
      */
-    public void malformed(long now, Hop from, BadMessage problem, Out out) {
+    public void malformedReceived(
+            long now, TransportAddress from, MalformedMessageException problem, SipOutput out) {
         SipMessage partial = problem.partialMessage();
-        count("malformed");
+        incrementCounter("malformed");
         out.log("malformed", "", from + ": " + problem.getMessage());
         if (partial != null
                 && partial.isRequest()
                 && !partial.method().equals("ACK")
                 && partial.canBeAnswered()) {
-            out.send(from, SipMessage.reply(partial, 400, "Bad Request", "m"));
+            out.send(from, SipMessage.responseTo(partial, 400, "Bad Request", "m"));
         }
     }
 
     /** Whether this request is a retransmission of one received before. */
-    public boolean repeat(SipMessage request) {
+    public boolean isRetransmission(SipMessage request) {
         return transactionLayer.isRetransmission(request);
     }
 
     /**
      * Rejects a request with 503 because of overload; its retransmissions get the same response.
      */
-    public void turnAway(long now, Hop from, SipMessage request, String retryAfter, Out out) {
+    public void rejectOverloaded(
+            long now, TransportAddress from, SipMessage request, String retryAfter, SipOutput out) {
         overloadRetryAfter = retryAfter;
         transactionLayer.receive(now, from, request, out);
         overloadRetryAfter = null;
@@ -202,14 +210,14 @@
      * Handles the loss of the connection to {@code peer}, or that it could not be opened ({@code
      * refused}).
      */
-    public void broken(long now, Hop peer, boolean refused, Out out) {
+    public void connectionFailed(long now, TransportAddress peer, boolean refused, SipOutput out) {
         transactionLayer.connectionFailed(now, peer, refused, out);
     }
 
     // ---- outgoing requests
 
     /** Creates a request outside any dialog, for the caller to complete and send. */
-    public SipMessage request(String method, String uri) {
+    public SipMessage createRequest(String method, String uri) {
         String id = Long.toString(nextId++, 36);
         return SipMessage.request(method, uri)
                 .add("Max-Forwards", "70")
@@ -225,66 +233,71 @@
                 .add("To", "<" + uri + ">")
                 .add("Call-ID", startTag + "-" + id)
                 .add("CSeq", "1 " + method)
-                .add("Contact", "<" + SipUri.text("", localAddress) + ">");
+                .add("Contact", "<" + SipUri.format("", localAddress) + ">");
     }
 
-    /** Starts a call; {@code invite} was created by {@link #request(String, String)}. */
-    public Call invite(long now, SipMessage invite, Hop to, Object owner, Out out) {
+    /** Starts a call; {@code invite} was created by {@link #createRequest(String, String)}. */
+    public Call invite(
+            long now, SipMessage invite, TransportAddress to, Object owner, SipOutput out) {
         invite.add("Supported", "timer")
                 .add("Session-Expires", SESSION_INTERVAL_SECONDS + ";refresher=uac")
                 .add("Min-SE", Integer.toString(SESSION_INTERVAL_SECONDS));
         Call call = new Call(true, invite, invite.fromTag());
         call.owner = owner;
         calls.put(call.key(), call);
-        Hop hop = selectTransport(invite, to);
+        TransportAddress hop = selectTransport(invite, to);
         call.remoteAddress = hop;
         call.clientTransaction = transactionLayer.send(now, invite, hop, call, out);
         return call;
     }
 
     /** Sends a request outside of calls in a transaction. */
-    public ClientTx send(long now, SipMessage request, Hop to, Object owner, Out out) {
+    public ClientTransaction send(
+            long now, SipMessage request, TransportAddress to, Object owner, SipOutput out) {
         return transactionLayer.send(now, request, selectTransport(request, to), owner, out);
     }
 
     /** Sends a request once, without a transaction: it may be lost, and gets no response. */
-    public void sendOnce(SipMessage request, Hop to, Out out) {
+    public void sendWithoutTransaction(SipMessage request, TransportAddress to, SipOutput out) {
         request.addFirst(
                 "Via",
-                Via.text(
-                        localAddress.over(to.tcp()),
-                        Via.COOKIE + startTag + TransactionLayer.NO_TRANSACTION_MARK + nextId++));
+                Via.format(
+                        localAddress.withTransport(to.tcp()),
+                        Via.MAGIC_COOKIE
+                                + startTag
+                                + TransactionLayer.NO_TRANSACTION_MARK
+                                + nextId++));
         out.send(to, request);
     }
 
-    private static Hop selectTransport(SipMessage request, Hop to) {
+    private static TransportAddress selectTransport(SipMessage request, TransportAddress to) {
         return to.tcp() || request.encodedLength() + VIA_BYTES <= MAX_DATAGRAM_BYTES
                 ? to
-                : to.over(true);
+                : to.withTransport(true);
     }
 
     /**
      * Cancels an outgoing call that has no final response. CANCEL is sent only after a provisional
      * response (RFC 3261 9.1); until one arrives the INVITE is no longer retransmitted. {@link
-     * User#rejected} follows when the call is over.
+     * Application#callFailed} follows when the call is over.
      */
-    public void cancel(long now, Call call, Out out) {
-        if (call.cancelled || call.state != Call.State.TRYING) {
+    public void cancel(long now, Call call, SipOutput out) {
+        if (call.isCancelled || call.state != Call.State.TRYING) {
             return;
         }
-        call.cancelled = true;
+        call.isCancelled = true;
         if (call.provisionalReceived) {
             transactionLayer.cancel(now, call.clientTransaction, out);
         } else {
             transactionLayer.stopRetransmitting(call.clientTransaction);
         }
         // 9.1: an INVITE without a final response within 64 T1 counts as cancelled.
-        timers.set(
+        timers.schedule(
                 now + 64 * TransactionLayer.T1_MICROS,
                 (at, o) -> {
                     if (call.state == Call.State.TRYING) {
                         transactionLayer.abandon(call.clientTransaction);
-                        failCall(at, call, Lost.TIMED_OUT, o);
+                        failCall(at, call, CallFailure.TIMED_OUT, o);
                     }
                 });
     }
@@ -292,7 +305,7 @@
     /**
      * Ends an established call by BYE; {@code reason} is the value of its Reason header or null.
      */
-    public void bye(long now, Call call, String reason, Out out) {
+    public void bye(long now, Call call, String reason, SipOutput out) {
         if (call.state != Call.State.ESTABLISHED) {
             return;
         }
@@ -305,9 +318,9 @@
     }
 
     /** Sends a BYE whose connection failed again, as a new request over a new connection. */
-    private void retryBye(long now, PendingBye previous, Out out) {
+    private void retryBye(long now, PendingBye previous, SipOutput out) {
         if (previous.attempt < MAX_BYE_ATTEMPTS) {
-            timers.set(
+            timers.schedule(
                     now + BYE_RETRY_MICROS,
                     (at, o) ->
                             transactionLayer.send(
@@ -347,36 +360,40 @@
         return createDialogRequest("ACK", call, sequence)
                 .addFirst(
                         "Via",
-                        Via.text(
-                                localAddress.over(call.remoteAddress.tcp()),
-                                Via.COOKIE + startTag + ".a" + nextId++));
+                        Via.format(
+                                localAddress.withTransport(call.remoteAddress.tcp()),
+                                Via.MAGIC_COOKIE + startTag + ".a" + nextId++));
     }
 
     private static String withTag(String value, String tag) {
-        return tag.isEmpty() || Params.of(value).has("tag") ? value : value + ";tag=" + tag;
+        return tag.isEmpty() || ParameterizedValue.parse(value).hasParameter("tag")
+                ? value
+                : value + ";tag=" + tag;
     }
 
     // ---- responses
 
     /** Sends a provisional response to an incoming call. */
-    public void progress(long now, Call call, int status, String reason, Out out) {
-        transactionLayer.respond(now, call.serverTransaction, reply(call, status, reason), out);
+    public void sendProvisional(long now, Call call, int status, String reason, SipOutput out) {
+        transactionLayer.respond(
+                now, call.serverTransaction, createResponse(call, status, reason), out);
     }
 
     /** Answers an incoming call with 200. */
-    public void answer(long now, Call call, Out out) {
+    public void answer(long now, Call call, SipOutput out) {
         answer(now, call, null, out);
     }
 
     /** Answers an incoming call with 200 and the body of {@code bodySource}, which may be null. */
-    public void answer(long now, Call call, SipMessage bodySource, Out out) {
+    public void answer(long now, Call call, SipMessage bodySource, SipOutput out) {
         if (call.state == Call.State.TRYING) {
             call.state = Call.State.ESTABLISHED;
             SipMessage ok =
-                    reply(call, 200, "OK")
-                            .add("Contact", "<" + SipUri.text("", localAddress) + ">");
+                    createResponse(call, 200, "OK")
+                            .add("Contact", "<" + SipUri.format("", localAddress) + ">");
             call.invite.headers("Record-Route").forEach(route -> ok.add("Record-Route", route));
-            Params expires = Params.of(call.invite.header("Session-Expires", ""));
+            ParameterizedValue expires =
+                    ParameterizedValue.parse(call.invite.header("Session-Expires", ""));
             if (!expires.value().isEmpty()) {
                 ok.add("Require", "timer")
                         .add("Session-Expires", expires.value() + ";refresher=uac");
@@ -394,20 +411,20 @@
      * fields.
      */
     public void reject(
-            long now, Call call, int status, String reason, Out out, String... extraHeaders) {
+            long now, Call call, int status, String reason, SipOutput out, String... extraHeaders) {
         if (call.state != Call.State.TRYING) {
             return;
         }
         terminate(call);
-        SipMessage reply = reply(call, status, reason);
+        SipMessage reply = createResponse(call, status, reason);
         for (int i = 0; i + 1 < extraHeaders.length; i += 2) {
             reply.add(extraHeaders[i], extraHeaders[i + 1]);
         }
         transactionLayer.respond(now, call.serverTransaction, reply, out);
     }
 
-    private SipMessage reply(Call call, int status, String reason) {
-        SipMessage reply = SipMessage.reply(call.invite, status, reason, call.localTag);
+    private SipMessage createResponse(Call call, int status, String reason) {
+        SipMessage reply = SipMessage.responseTo(call.invite, status, reason, call.localTag);
         if (!call.sessionId.isEmpty()) {
             reply.add("Session-ID", call.sessionId);
         }
@@ -415,13 +432,15 @@
     }
 
     /** Sends a response to a request passed to the application. */
-    public void respond(long now, ServerTx transaction, SipMessage response, Out out) {
+    public void respond(
+            long now, ServerTransaction transaction, SipMessage response, SipOutput out) {
         transactionLayer.respond(now, transaction, response, out);
     }
 
     /** Creates a response with a To tag of this node. */
-    public SipMessage reply(ServerTx transaction, int status, String reason) {
-        return SipMessage.reply(transaction.request(), status, reason, startTag + "r" + nextId++);
+    public SipMessage createResponse(ServerTransaction transaction, int status, String reason) {
+        return SipMessage.responseTo(
+                transaction.request(), status, reason, startTag + "r" + nextId++);
     }
 
     // ---- re-INVITE and session timer
@@ -430,7 +449,7 @@
      * Sends a re-INVITE with this body; returns false if another re-INVITE or a refresh is pending
      * (RFC 3261 14.1) or the call is not established.
      */
-    public boolean change(long now, Call call, String type, byte[] body, Out out) {
+    public boolean sendReinvite(long now, Call call, String type, byte[] body, SipOutput out) {
         if (call.state != Call.State.ESTABLISHED
                 || call.outgoingChange != null
                 || call.incomingChange != null) {
@@ -438,7 +457,7 @@
         }
         SipMessage invite =
                 nextDialogRequest("INVITE", call)
-                        .add("Contact", "<" + SipUri.text("", localAddress) + ">");
+                        .add("Contact", "<" + SipUri.format("", localAddress) + ">");
         if (body.length > 0) {
             invite.body(type, body);
         }
@@ -448,19 +467,28 @@
         return true;
     }
 
-    /** Answers the re-INVITE reported by {@link User#changing}, unless it was cancelled. */
-    public void answerChange(
-            long now, Call call, int status, String reason, String type, byte[] body, Out out) {
+    /**
+     * Answers the re-INVITE reported by {@link Application#reinviteReceived}, unless it was
+     * cancelled.
+     */
+    public void answerReinvite(
+            long now,
+            Call call,
+            int status,
+            String reason,
+            String type,
+            byte[] body,
+            SipOutput out) {
         if (call.incomingChange == null) {
             return;
         }
         SipMessage reply =
-                reply(call.incomingChange, status, reason)
-                        .add("Contact", "<" + SipUri.text("", localAddress) + ">");
+                createResponse(call.incomingChange, status, reason)
+                        .add("Contact", "<" + SipUri.format("", localAddress) + ">");
         if (body.length > 0) {
             reply.body(type, body);
         }
-        ServerTx transaction = call.incomingChange;
+        ServerTransaction transaction = call.incomingChange;
         call.incomingChange = null;
         transactionLayer.respond(now, transaction, reply, out);
     }
@@ -469,7 +497,8 @@
      * Starts or restarts the session timer: the refresher refreshes at half the interval, the other
      * side ends a session that was not refreshed.
      */
-    private void startSessionTimer(long now, Call call, Params expires, boolean refresher) {
+    private void startSessionTimer(
+            long now, Call call, ParameterizedValue expires, boolean refresher) {
         timers.cancel(call.sessionTimer);
         long seconds = parseSeconds(expires.value());
         if (seconds < SESSION_INTERVAL_SECONDS || call.state != Call.State.ESTABLISHED) {
@@ -478,7 +507,7 @@
         call.sessionIntervalMicros = seconds * 1_000_000;
         if (refresher) {
             call.sessionTimer =
-                    timers.set(
+                    timers.schedule(
                             now + call.sessionIntervalMicros / 2,
                             (at, o) -> sendRefresh(at, call, o));
         } else {
@@ -486,7 +515,7 @@
                     call.sessionIntervalMicros
                             - Math.min(MAX_END_MARGIN_MICROS, call.sessionIntervalMicros / 3);
             call.sessionTimer =
-                    timers.set(now + endDelay, (at, o) -> endExpiredSession(at, call, o));
+                    timers.schedule(now + endDelay, (at, o) -> endExpiredSession(at, call, o));
         }
     }
 
@@ -494,7 +523,7 @@
         return text.matches("\\d{1,9}") ? Long.parseLong(text) : 0;
     }
 
-    private void sendRefresh(long now, Call call, Out out) {
+    private void sendRefresh(long now, Call call, SipOutput out) {
         if (call.state != Call.State.ESTABLISHED) {
             return;
         }
@@ -502,7 +531,7 @@
         if (noChangePending) {
             SipMessage update =
                     nextDialogRequest("UPDATE", call)
-                            .add("Contact", "<" + SipUri.text("", localAddress) + ">")
+                            .add("Contact", "<" + SipUri.format("", localAddress) + ">")
                             .add("Supported", "timer")
                             .add("Session-Expires", SESSION_INTERVAL_SECONDS + ";refresher=uac");
             call.outgoingChange =
@@ -512,7 +541,7 @@
         // While another change is pending the refresh is retried soon: after another half interval
         // the other side would have ended the session.
         call.sessionTimer =
-                timers.set(
+                timers.schedule(
                         now
                                 + (noChangePending
                                         ? call.sessionIntervalMicros / 2
@@ -524,18 +553,22 @@
      * Ends a call whose session was not refreshed, so that its circuits are released (RFC 4028
      * section 10).
      */
-    private void endExpiredSession(long now, Call call, Out out) {
+    private void endExpiredSession(long now, Call call, SipOutput out) {
         if (call.state == Call.State.ESTABLISHED) {
-            count("session-expired");
+            incrementCounter("session-expired");
             out.log("session-expired", call.sessionId, "");
             bye(now, call, null, out);
-            user.hungUp(now, call, null, out);
+            user.callEnded(now, call, null, out);
         }
     }
 
     /** Handles a response to a re-INVITE or UPDATE; null if none arrived. */
     private void handleChangeResponse(
-            long now, Call call, ClientTx transaction, SipMessage response, Out out) {
+            long now,
+            Call call,
+            ClientTransaction transaction,
+            SipMessage response,
+            SipOutput out) {
         boolean invite = transaction.request().method().equals("INVITE");
         if (response != null && response.status() < 200) {
             return;
@@ -543,7 +576,7 @@
         int status = response == null ? 408 : response.status();
         if (invite && status < 300) {
             // Each copy of the 200 is acknowledged.
-            SipMessage ack = createAck(call, transaction.request().sequence());
+            SipMessage ack = createAck(call, transaction.request().cseqNumber());
             refreshTarget(call, response);
             out.send(call.remoteAddress, ack);
         }
@@ -555,24 +588,28 @@
             // RFC 3261 12.2.1.2: the dialog no longer exists at the other side.
             if (call.state == Call.State.ESTABLISHED) {
                 bye(now, call, null, out);
-                user.hungUp(now, call, null, out);
+                user.callEnded(now, call, null, out);
             }
         } else if (!invite) {
             if (status < 300) {
                 refreshTarget(call, response);
                 startSessionTimer(
-                        now, call, Params.of(response.header("Session-Expires", "0")), true);
+                        now,
+                        call,
+                        ParameterizedValue.parse(response.header("Session-Expires", "0")),
+                        true);
             }
         } else {
-            user.changed(now, call, response, out);
+            user.reinviteAnswered(now, call, response, out);
         }
     }
 
     private void refreshTarget(Call call, SipMessage message) {
-        SipUri contact = SipUri.of(message.header("Contact", ""));
+        SipUri contact = SipUri.parse(message.header("Contact", ""));
         if (contact != null) {
-            call.remoteTarget = SipUri.text(contact.user(), contact.hop());
-            call.remoteAddress = call.routeSet.isEmpty() ? contact.hop() : call.remoteAddress;
+            call.remoteTarget = SipUri.format(contact.user(), contact.transportAddress());
+            call.remoteAddress =
+                    call.routeSet.isEmpty() ? contact.transportAddress() : call.remoteAddress;
         }
     }
 
@@ -580,12 +617,12 @@
      * The address of the first route, or the target's without a route set (RFC 3261 12.2.1.1;
      * strict routing is not supported).
      */
-    private static Hop nextHop(Call call, Hop target) {
-        SipUri firstRoute = call.routeSet.isEmpty() ? null : SipUri.of(call.routeSet.get(0));
-        return firstRoute == null ? target : firstRoute.hop();
+    private static TransportAddress nextHop(Call call, TransportAddress target) {
+        SipUri firstRoute = call.routeSet.isEmpty() ? null : SipUri.parse(call.routeSet.get(0));
+        return firstRoute == null ? target : firstRoute.transportAddress();
     }
 
-    private void handleDialogRequest(long now, ServerTx transaction, Out out) {
+    private void handleDialogRequest(long now, ServerTransaction transaction, SipOutput out) {
         SipMessage request = transaction.request();
         String method = request.method();
         Call call = calls.get(request.callId() + "|" + request.toTag());
@@ -593,43 +630,45 @@
                 || call.state != Call.State.ESTABLISHED
                 || !request.fromTag().equals(call.remoteTag)) {
             rejectRequest(now, transaction, 481, "No such dialog", out);
-        } else if (request.sequence() <= call.remoteSequence) {
+        } else if (request.cseqNumber() <= call.remoteSequence) {
             rejectRequest(now, transaction, 500, "CSeq out of order", out);
         } else if (method.equals("BYE")) {
-            call.remoteSequence = request.sequence();
+            call.remoteSequence = request.cseqNumber();
             terminate(call);
-            respond(now, transaction, reply(transaction, 200, "OK"), out);
-            user.hungUp(now, call, request, out);
+            respond(now, transaction, createResponse(transaction, 200, "OK"), out);
+            user.callEnded(now, call, request, out);
         } else if (call.outgoingChange != null) {
             // Glare (14.1): both sides' requests crossed, and neither is accepted.
-            call.remoteSequence = request.sequence();
+            call.remoteSequence = request.cseqNumber();
             rejectRequest(now, transaction, 491, "Request Pending", out);
         } else if (call.incomingChange != null) {
-            call.remoteSequence = request.sequence();
-            count("500");
+            call.remoteSequence = request.cseqNumber();
+            incrementCounter("500");
             respond(
                     now,
                     transaction,
-                    reply(transaction, 500, "Earlier change pending").add("Retry-After", "1"),
+                    createResponse(transaction, 500, "Earlier change pending")
+                            .add("Retry-After", "1"),
                     out);
         } else if (method.equals("UPDATE")) {
-            call.remoteSequence = request.sequence();
+            call.remoteSequence = request.cseqNumber();
             refreshTarget(call, request);
-            Params expires = Params.of(request.header("Session-Expires", "0"));
+            ParameterizedValue expires =
+                    ParameterizedValue.parse(request.header("Session-Expires", "0"));
             SipMessage ok =
-                    reply(transaction, 200, "OK")
-                            .add("Contact", "<" + SipUri.text("", localAddress) + ">");
+                    createResponse(transaction, 200, "OK")
+                            .add("Contact", "<" + SipUri.format("", localAddress) + ">");
             if (parseSeconds(expires.value()) > 0) {
                 ok.add("Session-Expires", expires.value() + ";refresher=uac");
             }
             respond(now, transaction, ok, out);
             startSessionTimer(now, call, expires, false);
         } else {
-            call.remoteSequence = request.sequence();
+            call.remoteSequence = request.cseqNumber();
             refreshTarget(call, request);
             call.incomingChange = transaction;
             transaction.owner(call);
-            user.changing(now, call, request, out);
+            user.reinviteReceived(now, call, request, out);
         }
     }
 
@@ -643,16 +682,18 @@
     // ---- events of the transaction layer
 
     @Override
-    public void requestReceived(long now, ServerTx transaction, Hop from, Out out) {
+    public void requestReceived(
+            long now, ServerTransaction transaction, TransportAddress from, SipOutput out) {
         SipMessage request = transaction.request();
         String method = request.method();
         String toTag = request.toTag();
         if (overloadRetryAfter != null && toTag.isEmpty()) {
-            count("turned-away");
+            incrementCounter("turned-away");
             respond(
                     now,
                     transaction,
-                    reply(transaction, 503, "Overloaded").add("Retry-After", overloadRetryAfter),
+                    createResponse(transaction, 503, "Overloaded")
+                            .add("Retry-After", overloadRetryAfter),
                     out);
         } else if (request.header("Max-Forwards", "70").strip().equals("0")
                 && !method.equals("OPTIONS")
@@ -663,13 +704,13 @@
         } else if (method.equals("BYE") || method.equals("INVITE") || method.equals("UPDATE")) {
             handleDialogRequest(now, transaction, out);
         } else if (APPLICATION_METHODS.contains(method)) {
-            user.request(now, transaction, from, out);
+            user.requestReceived(now, transaction, from, out);
         } else {
-            count("unknown-method");
+            incrementCounter("unknown-method");
             respond(
                     now,
                     transaction,
-                    reply(transaction, 405, "Method Not Allowed")
+                    createResponse(transaction, 405, "Method Not Allowed")
                             .add(
                                     "Allow",
                                     "INVITE, ACK, CANCEL, BYE, UPDATE, OPTIONS, SUBSCRIBE, NOTIFY,"
@@ -678,14 +719,16 @@
         }
     }
 
-    private void rejectRequest(long now, ServerTx transaction, int status, String reason, Out out) {
-        count(Integer.toString(status));
-        respond(now, transaction, reply(transaction, status, reason), out);
+    private void rejectRequest(
+            long now, ServerTransaction transaction, int status, String reason, SipOutput out) {
+        incrementCounter(Integer.toString(status));
+        respond(now, transaction, createResponse(transaction, status, reason), out);
     }
 
-    private void handleInvite(long now, ServerTx transaction, Hop from, Out out) {
+    private void handleInvite(
+            long now, ServerTransaction transaction, TransportAddress from, SipOutput out) {
         SipMessage invite = transaction.request();
-        SipUri contact = SipUri.of(invite.header("Contact", ""));
+        SipUri contact = SipUri.parse(invite.header("Contact", ""));
         if (contact == null) {
             rejectRequest(now, transaction, 400, "Contact is missing", out);
             return;
@@ -701,49 +744,51 @@
         call.serverTransaction = transaction;
         transaction.owner(call);
         call.remoteTag = invite.fromTag();
-        call.remoteTarget = SipUri.text(contact.user(), contact.hop());
+        call.remoteTarget = SipUri.format(contact.user(), contact.transportAddress());
         call.routeSet = invite.headers("Record-Route");
-        call.remoteAddress = nextHop(call, contact.hop());
-        call.remoteSequence = invite.sequence();
+        call.remoteAddress = nextHop(call, contact.transportAddress());
+        call.remoteSequence = invite.cseqNumber();
         calls.put(call.key(), call);
         incomingCalls.put(callerKey, call);
-        user.invited(now, call, from, out);
+        user.callReceived(now, call, from, out);
     }
 
     @Override
-    public void cancelReceived(long now, ServerTx invite, Out out) {
+    public void cancelReceived(long now, ServerTransaction invite, SipOutput out) {
         Call call = callFor(invite);
         if (call != null && call.incomingChange == invite) {
             call.incomingChange = null;
-            transactionLayer.respond(now, invite, reply(invite, 487, "Request Terminated"), out);
+            transactionLayer.respond(
+                    now, invite, createResponse(invite, 487, "Request Terminated"), out);
         } else if (call != null && call.state == Call.State.TRYING) {
             reject(now, call, 487, "Request Terminated", out);
-            user.cancelled(now, call, out);
+            user.callCancelled(now, call, out);
         }
     }
 
     /** The call that the transaction belongs to, or null. */
-    private Call callFor(ServerTx transaction) {
+    private Call callFor(ServerTransaction transaction) {
         return transaction.owner() instanceof Call call ? call : null;
     }
 
     @Override
-    public void ackReceived(long now, ServerTx transaction, Out out) {
-        count("acked");
+    public void ackReceived(long now, ServerTransaction transaction, SipOutput out) {
+        incrementCounter("acked");
     }
 
     @Override
-    public void ackTimedOut(long now, ServerTx transaction, Out out) {
+    public void ackTimedOut(long now, ServerTransaction transaction, SipOutput out) {
         Call call = callFor(transaction);
         if (call != null && call.state == Call.State.ESTABLISHED) {
-            count("unacked");
+            incrementCounter("unacked");
             bye(now, call, null, out);
-            user.hungUp(now, call, null, out);
+            user.callEnded(now, call, null, out);
         }
     }
 
     @Override
-    public void responseReceived(long now, ClientTx transaction, SipMessage response, Out out) {
+    public void responseReceived(
+            long now, ClientTransaction transaction, SipMessage response, SipOutput out) {
         if (transaction.owner() instanceof Call establishedCall
                 && transaction != establishedCall.clientTransaction) {
             handleChangeResponse(now, establishedCall, transaction, response, out);
@@ -753,28 +798,28 @@
                 || !transaction.request().method().equals("INVITE")) {
             if (!transaction.request().method().equals("BYE")
                     && !transaction.request().method().equals("CANCEL")) {
-                user.replied(now, transaction, response, out);
+                user.responseReceived(now, transaction, response, out);
             }
             return;
         }
         if (response.status() < 200) {
             boolean firstProvisional = !call.provisionalReceived;
             call.provisionalReceived = true;
-            if (call.cancelled && firstProvisional) {
+            if (call.isCancelled && firstProvisional) {
                 transactionLayer.cancel(now, call.clientTransaction, out);
-            } else if (!call.cancelled && response.status() > 100) {
-                user.progressed(now, call, response, out);
+            } else if (!call.isCancelled && response.status() > 100) {
+                user.provisionalReceived(now, call, response, out);
             }
         } else if (response.status() < 300) {
             handleSuccess(now, call, response, out);
         } else if (call.state == Call.State.TRYING) {
             terminate(call);
-            user.rejected(now, call, response, Lost.NO, out);
+            user.callFailed(now, call, response, CallFailure.NO, out);
         }
     }
 
     /** Handles a 2xx to an INVITE that started a call. */
-    private void handleSuccess(long now, Call call, SipMessage response, Out out) {
+    private void handleSuccess(long now, Call call, SipMessage response, SipOutput out) {
         if (call.ack != null) {
             if (response.toTag().equals(call.remoteTag)) {
                 out.send(call.remoteAddress, call.ack);
@@ -783,25 +828,32 @@
             }
             return;
         }
-        SipUri contact = SipUri.of(response.header("Contact", ""));
+        SipUri contact = SipUri.parse(response.header("Contact", ""));
         call.remoteTag = response.toTag();
         call.remoteTarget =
-                contact == null ? call.invite.uri() : SipUri.text(contact.user(), contact.hop());
+                contact == null
+                        ? call.invite.uri()
+                        : SipUri.format(contact.user(), contact.transportAddress());
         List<String> routes = response.headers("Record-Route");
         Collections.reverse(routes);
         call.routeSet = routes;
-        call.remoteAddress = nextHop(call, contact == null ? call.remoteAddress : contact.hop());
-        call.ack = createAck(call, call.invite.sequence());
+        call.remoteAddress =
+                nextHop(call, contact == null ? call.remoteAddress : contact.transportAddress());
+        call.ack = createAck(call, call.invite.cseqNumber());
         out.send(call.remoteAddress, call.ack);
         call.state = Call.State.ESTABLISHED;
-        if (call.cancelled) {
+        if (call.isCancelled) {
             // The 200 crossed the CANCEL: the call is ended at once so that no circuit stays in use
             // (RFC 3261 15).
             bye(now, call, null, out);
-            user.rejected(now, call, null, Lost.NO, out);
+            user.callFailed(now, call, null, CallFailure.NO, out);
         } else {
-            startSessionTimer(now, call, Params.of(response.header("Session-Expires", "0")), true);
-            user.answered(now, call, response, out);
+            startSessionTimer(
+                    now,
+                    call,
+                    ParameterizedValue.parse(response.header("Session-Expires", "0")),
+                    true);
+            user.callAnswered(now, call, response, out);
         }
     }
 
@@ -809,24 +861,27 @@
      * Acknowledges and ends the dialog of a further 2xx from another branch of a fork (RFC 3261
      * 13.2.2.4).
      */
-    private void endForkedCall(long now, Call call, SipMessage response, Out out) {
-        SipUri contact = SipUri.of(response.header("Contact", ""));
+    private void endForkedCall(long now, Call call, SipMessage response, SipOutput out) {
+        SipUri contact = SipUri.parse(response.header("Contact", ""));
         if (contact == null) {
             return;
         }
-        count("forked");
+        incrementCounter("forked");
         Call forked = new Call(true, call.invite, call.localTag);
         forked.remoteTag = response.toTag();
-        forked.remoteTarget = SipUri.text(contact.user(), contact.hop());
-        forked.remoteAddress = contact.hop();
-        out.send(forked.remoteAddress, createAck(forked, call.invite.sequence()));
+        forked.remoteTarget = SipUri.format(contact.user(), contact.transportAddress());
+        forked.remoteAddress = contact.transportAddress();
+        out.send(forked.remoteAddress, createAck(forked, call.invite.cseqNumber()));
         transactionLayer.send(
                 now, nextDialogRequest("BYE", forked), forked.remoteAddress, null, out);
     }
 
     @Override
     public void requestFailed(
-            long now, ClientTx transaction, TransactionLayer.Failure failure, Out out) {
+            long now,
+            ClientTransaction transaction,
+            TransactionLayer.Failure failure,
+            SipOutput out) {
         if (transaction.owner() instanceof PendingBye previous) {
             if (failure != TransactionLayer.Failure.TIMED_OUT) {
                 retryBye(now, previous, out);
@@ -841,19 +896,19 @@
                         now,
                         call,
                         switch (failure) {
-                            case TIMED_OUT -> Lost.TIMED_OUT;
-                            case CONNECTION_REFUSED -> Lost.UNREACHABLE;
-                            case CONNECTION_LOST -> Lost.RESET;
+                            case TIMED_OUT -> CallFailure.TIMED_OUT;
+                            case CONNECTION_REFUSED -> CallFailure.UNREACHABLE;
+                            case CONNECTION_LOST -> CallFailure.RESET;
                         },
                         out);
             }
         } else if (!transaction.request().method().equals("BYE")) {
-            user.replied(now, transaction, null, out);
+            user.responseReceived(now, transaction, null, out);
         }
     }
 
-    private void failCall(long now, Call call, Lost failure, Out out) {
+    private void failCall(long now, Call call, CallFailure failure, SipOutput out) {
         terminate(call);
-        user.rejected(now, call, null, failure, out);
+        user.callFailed(now, call, null, failure, out);
     }
 }
--- a/src/main/java/coralcove/sip/event/Notifier.java
+++ b/src/main/java/coralcove/sip/event/Notifier.java
@@ -1,13 +1,13 @@
 package coralcove.sip.event;
 
-import coralcove.sip.Hop;
-import coralcove.sip.Out;
 import coralcove.sip.SipMessage;
+import coralcove.sip.SipOutput;
 import coralcove.sip.SipUri;
-import coralcove.sip.Timers;
-import coralcove.sip.dialog.Agent;
-import coralcove.sip.transaction.ClientTx;
-import coralcove.sip.transaction.ServerTx;
+import coralcove.sip.TimerWheel;
+import coralcove.sip.TransportAddress;
+import coralcove.sip.dialog.UserAgent;
+import coralcove.sip.transaction.ClientTransaction;
+import coralcove.sip.transaction.ServerTransaction;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -19,21 +19,21 @@
  */
 public final class Notifier {
     /** The event state: its text, and an entity tag that changes whenever the state does. */
-    public record State(String tag, String text) {}
+    public record EventState(String entityTag, String body) {}
 
     /** Provides the current event state. */
-    public interface Source {
-        State state(long now);
+    public interface EventStateSource {
+        EventState currentState(long now);
     }
 
     /** A subscription of another node. */
     private static final class RemoteSubscription {
         SipMessage initialRequest;
-        Hop address;
+        TransportAddress address;
         String localTag;
         long sequence;
         long expiresAt;
-        Timers.Timer expiryTimer;
+        TimerWheel.Timer expiryTimer;
     }
 
     /** Subscriptions at most; a further SUBSCRIBE is answered with 503. */
@@ -42,16 +42,21 @@
     /** The longest duration of a subscription, and the duration if Expires is absent. */
     private static final long MAX_DURATION_SECONDS = 3600;
 
-    private final Agent userAgent;
-    private final Timers timers;
+    private final UserAgent userAgent;
+    private final TimerWheel timers;
     private final String event;
     private final String startTag;
-    private final Source source;
+    private final EventStateSource source;
     private final Map<String, RemoteSubscription> subscriptions = new LinkedHashMap<>();
     private long nextTag;
 
     /** {@code startTag} distinguishes the tags of this start from those of all others. */
-    public Notifier(Agent userAgent, Timers timers, String event, String startTag, Source source) {
+    public Notifier(
+            UserAgent userAgent,
+            TimerWheel timers,
+            String event,
+            String startTag,
+            EventStateSource source) {
         this.userAgent = userAgent;
         this.timers = timers;
         this.event = event;
@@ -65,62 +70,71 @@
     }
 
     /** Handles and answers a SUBSCRIBE. */
-    public void subscribe(long now, ServerTx transaction, Out out) {
+    public void handleSubscribe(long now, ServerTransaction transaction, SipOutput out) {
         SipMessage request = transaction.request();
-        SipUri contact = SipUri.of(request.header("Contact", ""));
+        SipUri contact = SipUri.parse(request.header("Contact", ""));
         long seconds =
-                Math.min(MAX_DURATION_SECONDS, request.number("Expires", MAX_DURATION_SECONDS));
+                Math.min(
+                        MAX_DURATION_SECONDS,
+                        request.numericHeader("Expires", MAX_DURATION_SECONDS));
         RemoteSubscription existing = subscriptions.get(request.callId() + "|" + request.toTag());
         if (!request.header("Event", "").equals(event)) {
             userAgent.respond(
                     now,
                     transaction,
-                    userAgent.reply(transaction, 489, "Bad Event").add("Allow-Events", event),
+                    userAgent
+                            .createResponse(transaction, 489, "Bad Event")
+                            .add("Allow-Events", event),
                     out);
         } else if (!request.toTag().isEmpty() && existing == null) {
             // 4.2.1.1: the dialog belongs to an earlier start of this program, or has ended.
             userAgent.respond(
                     now,
                     transaction,
-                    userAgent.reply(transaction, 481, "No such subscription"),
+                    userAgent.createResponse(transaction, 481, "No such subscription"),
                     out);
         } else if (contact == null || seconds < 0) {
             userAgent.respond(
-                    now, transaction, userAgent.reply(transaction, 400, "Bad Request"), out);
+                    now,
+                    transaction,
+                    userAgent.createResponse(transaction, 400, "Bad Request"),
+                    out);
         } else if (existing == null && subscriptions.size() >= MAX_SUBSCRIPTIONS) {
             userAgent.respond(
                     now,
                     transaction,
-                    userAgent.reply(transaction, 503, "Full").add("Retry-After", "5"),
+                    userAgent.createResponse(transaction, 503, "Full").add("Retry-After", "5"),
                     out);
         } else {
             boolean isNew = existing == null;
             RemoteSubscription subscription = isNew ? new RemoteSubscription() : existing;
-            State state = source.state(now);
+            EventState state = source.currentState(now);
             if (isNew) {
                 subscription.initialRequest = request.copy();
                 subscription.localTag = startTag + "w" + nextTag++;
                 subscriptions.put(request.callId() + "|" + subscription.localTag, subscription);
             }
-            subscription.address = contact.hop();
+            subscription.address = contact.transportAddress();
             subscription.expiresAt = now + seconds * 1_000_000;
             timers.cancel(subscription.expiryTimer);
             subscription.expiryTimer =
-                    timers.set(
+                    timers.schedule(
                             subscription.expiresAt,
                             (at, o) -> subscriptions.values().remove(subscription));
-            boolean unchanged = state.tag().equals(request.header("Suppress-If-Match"));
+            boolean unchanged = state.entityTag().equals(request.header("Suppress-If-Match"));
             SipMessage reply =
-                    SipMessage.reply(
+                    SipMessage.responseTo(
                                     request,
                                     unchanged ? 204 : 200,
                                     unchanged ? "No Notification" : "OK",
                                     subscription.localTag)
                             .add("Expires", Long.toString(seconds))
-                            .add("Contact", "<" + SipUri.text("", userAgent.localAddress()) + ">");
+                            .add(
+                                    "Contact",
+                                    "<" + SipUri.format("", userAgent.localAddress()) + ">");
             userAgent.respond(now, transaction, reply, out);
             if (!unchanged) {
-                notify(now, subscription, state.tag(), state.text(), out);
+                notify(now, subscription, state.entityTag(), state.body(), out);
             }
             if (seconds == 0) {
                 subscriptions.values().remove(subscription);
@@ -132,17 +146,17 @@
      * Notifies all subscribers of a change; {@code tag} is the entity tag of the state after
      * subscription.
      */
-    public void changed(long now, String tag, String text, Out out) {
+    public void notifySubscribers(long now, String tag, String text, SipOutput out) {
         new ArrayList<>(subscriptions.values())
                 .forEach(subscription -> notify(now, subscription, tag, text, out));
     }
 
     private void notify(
-            long now, RemoteSubscription subscription, String tag, String text, Out out) {
+            long now, RemoteSubscription subscription, String tag, String text, SipOutput out) {
         subscription.sequence++;
         long secondsLeft = Math.max(0, subscription.expiresAt - now + 999_999) / 1_000_000;
         SipMessage notify =
-                SipMessage.request("NOTIFY", SipUri.text("", subscription.address))
+                SipMessage.request("NOTIFY", SipUri.format("", subscription.address))
                         .add("Max-Forwards", "70")
                         .add(
                                 "From",
@@ -152,7 +166,7 @@
                         .add("To", subscription.initialRequest.header("From"))
                         .add("Call-ID", subscription.initialRequest.callId())
                         .add("CSeq", subscription.sequence + " NOTIFY")
-                        .add("Contact", "<" + SipUri.text("", userAgent.localAddress()) + ">")
+                        .add("Contact", "<" + SipUri.format("", userAgent.localAddress()) + ">")
                         .add("Event", event)
                         .add(
                                 "Subscription-State",
@@ -172,7 +186,7 @@
      * Handles the response to a NOTIFY, null if none arrived; returns false if the request is not
      * one of this class.
      */
-    public boolean replied(ClientTx transaction, SipMessage response) {
+    public boolean handleResponse(ClientTransaction transaction, SipMessage response) {
         if (!(transaction.owner() instanceof RemoteSubscription subscription)) {
             return false;
         }
--- a/src/main/java/coralcove/sip/event/Subscriber.java
+++ b/src/main/java/coralcove/sip/event/Subscriber.java
@@ -1,14 +1,14 @@
 package coralcove.sip.event;
 
-import coralcove.sip.Hop;
-import coralcove.sip.Out;
-import coralcove.sip.Params;
+import coralcove.sip.ParameterizedValue;
 import coralcove.sip.SipMessage;
+import coralcove.sip.SipOutput;
 import coralcove.sip.SipUri;
-import coralcove.sip.Timers;
-import coralcove.sip.dialog.Agent;
-import coralcove.sip.transaction.ClientTx;
-import coralcove.sip.transaction.ServerTx;
+import coralcove.sip.TimerWheel;
+import coralcove.sip.TransportAddress;
+import coralcove.sip.dialog.UserAgent;
+import coralcove.sip.transaction.ClientTransaction;
+import coralcove.sip.transaction.ServerTransaction;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.random.RandomGenerator;
@@ -25,22 +25,23 @@
      * How the user processed the body of a NOTIFY: malformed (answered with 400), valid but not
      * leading to the complete state, or the state is complete.
      */
-    public enum News {
-        BAD,
-        GAP,
-        WHOLE
+    public enum NotifyResult {
+        MALFORMED,
+        INCOMPLETE,
+        COMPLETE
     }
 
     /** The application that uses the subscriptions. */
-    public interface User {
+    public interface Listener {
         /** A NOTIFY with a body arrived. */
-        News notified(long now, Subscription subscription, SipMessage notify, Out out);
+        NotifyResult notifyReceived(
+                long now, Subscription subscription, SipMessage notify, SipOutput out);
 
         /** A renewal was answered with 204: the last state received is current. */
-        void renewed(long now, Subscription subscription, Out out);
+        void subscriptionRenewed(long now, Subscription subscription, SipOutput out);
 
         /** The subscription has ended; no further method is called for it. */
-        void ended(long now, Subscription subscription, String reason, Out out);
+        void subscriptionEnded(long now, Subscription subscription, String reason, SipOutput out);
     }
 
     /**
@@ -62,13 +63,14 @@
 
     private static final long MAX_DURATION_SECONDS = 3600;
 
-    private final Agent userAgent;
-    private final Timers timers;
+    private final UserAgent userAgent;
+    private final TimerWheel timers;
     private final RandomGenerator random;
-    private final User user;
+    private final Listener user;
     private final Map<String, Subscription> subscriptions = new HashMap<>();
 
-    public Subscriber(Agent userAgent, Timers timers, RandomGenerator random, User user) {
+    public Subscriber(
+            UserAgent userAgent, TimerWheel timers, RandomGenerator random, Listener user) {
         this.userAgent = userAgent;
         this.timers = timers;
         this.random = random;
@@ -81,19 +83,19 @@
      */
     public Subscription subscribe(
             long now,
-            Hop to,
+            TransportAddress to,
             String event,
             long seconds,
             Object owner,
             String localNumber,
-            Out out) {
+            SipOutput out) {
         if (subscriptions.size() >= MAX_SUBSCRIPTIONS) {
-            userAgent.count("too-many-subscriptions");
+            userAgent.incrementCounter("too-many-subscriptions");
             return null;
         }
         SipMessage request =
                 userAgent
-                        .request("SUBSCRIBE", SipUri.text("", to))
+                        .createRequest("SUBSCRIBE", SipUri.format("", to))
                         .add("Event", event)
                         .add("Expires", Long.toString(seconds))
                         .add("X-Number", localNumber);
@@ -105,7 +107,7 @@
         // established.
         subscription.expiresAt = now + seconds * 1_000_000;
         subscription.expiryTimer =
-                timers.set(
+                timers.schedule(
                         subscription.expiresAt, (at, o) -> end(at, subscription, "no NOTIFY", o));
         userAgent.send(now, request, to, subscription, out);
         return subscription;
@@ -115,8 +117,8 @@
      * Requests the current state, with {@code full} also if it has not changed. While a request is
      * pending nothing is sent, but a full refresh follows its response.
      */
-    public void refresh(long now, Subscription subscription, boolean full, Out out) {
-        if (!subscription.stands()
+    public void refresh(long now, Subscription subscription, boolean full, SipOutput out) {
+        if (!subscription.isActive()
                 || subscription.requestPending
                 || subscription.remoteTag.isEmpty()) {
             subscription.fullRefreshWanted |= full;
@@ -125,7 +127,7 @@
         subscription.requestPending = true;
         subscription.localSequence++;
         SipMessage request =
-                SipMessage.request("SUBSCRIBE", SipUri.text("", subscription.to))
+                SipMessage.request("SUBSCRIBE", SipUri.format("", subscription.notifierAddress))
                         .add("Max-Forwards", "70")
                         .add("From", subscription.initialRequest.header("From"))
                         .add(
@@ -142,19 +144,19 @@
         if (!full && !subscription.entityTag.isEmpty()) {
             request.add("Suppress-If-Match", subscription.entityTag);
         }
-        userAgent.send(now, request, subscription.to, subscription, out);
+        userAgent.send(now, request, subscription.notifierAddress, subscription, out);
     }
 
-    private void end(long now, Subscription subscription, String reason, Out out) {
-        if (!subscription.stands()) {
+    private void end(long now, Subscription subscription, String reason, SipOutput out) {
+        if (!subscription.isActive()) {
             return;
         }
         subscription.ended = true;
         timers.cancel(subscription.renewalTimer);
         timers.cancel(subscription.expiryTimer);
         subscriptions.remove(subscription.key());
-        userAgent.count("subscription-ended");
-        user.ended(now, subscription, reason, out);
+        userAgent.incrementCounter("subscription-ended");
+        user.subscriptionEnded(now, subscription, reason, out);
     }
 
     /** Starts the granted duration: sets the timers of expiry and renewal. */
@@ -165,21 +167,22 @@
         timers.cancel(subscription.expiryTimer);
         timers.cancel(subscription.renewalTimer);
         subscription.expiryTimer =
-                timers.set(
+                timers.schedule(
                         subscription.expiresAt, (at, o) -> end(at, subscription, "not renewed", o));
         long renewalDelay =
                 (long)
                         (duration
                                 * (MIN_RENEWAL_SHARE + RENEWAL_JITTER_SHARE * random.nextDouble()));
         subscription.renewalTimer =
-                timers.set(now + renewalDelay, (at, o) -> refresh(at, subscription, false, o));
+                timers.schedule(now + renewalDelay, (at, o) -> refresh(at, subscription, false, o));
     }
 
     /**
      * Handles a response to a SUBSCRIBE, null if none arrived; returns false if the request is not
      * one of this class.
      */
-    public boolean replied(long now, ClientTx transaction, SipMessage response, Out out) {
+    public boolean handleResponse(
+            long now, ClientTransaction transaction, SipMessage response, SipOutput out) {
         if (!(transaction.owner() instanceof Subscription subscription)) {
             return false;
         }
@@ -187,7 +190,7 @@
             return true;
         }
         subscription.requestPending = false;
-        if (!subscription.stands()) {
+        if (!subscription.isActive()) {
             return true;
         }
         boolean refreshAgain = subscription.fullRefreshWanted;
@@ -199,20 +202,22 @@
                 subscription.remoteTag = response.toTag();
             }
             startDuration(
-                    now, subscription, response.number("Expires", subscription.durationSeconds));
+                    now,
+                    subscription,
+                    response.numericHeader("Expires", subscription.durationSeconds));
             if (renewal && status == 204) {
-                user.renewed(now, subscription, out);
+                user.subscriptionRenewed(now, subscription, out);
             }
             if (refreshAgain) {
                 refresh(now, subscription, true, out);
             }
         } else if (status == 423
-                && response.number("Min-Expires", 0) > subscription.durationSeconds
+                && response.numericHeader("Min-Expires", 0) > subscription.durationSeconds
                 && subscription.durationSeconds < MAX_DURATION_SECONDS
                 && !renewal) {
             // The notifier requires a longer duration: subscribe again with its minimum.
             subscription.durationSeconds =
-                    Math.min(MAX_DURATION_SECONDS, response.number("Min-Expires", 0));
+                    Math.min(MAX_DURATION_SECONDS, response.numericHeader("Min-Expires", 0));
             subscription.localSequence++;
             subscription.requestPending = true;
             userAgent.send(
@@ -222,7 +227,7 @@
                             .copy()
                             .set("CSeq", subscription.localSequence + " SUBSCRIBE")
                             .set("Expires", Long.toString(subscription.durationSeconds)),
-                    subscription.to,
+                    subscription.notifierAddress,
                     subscription,
                     out);
         } else if (!renewal || status == 481 || status == 489 || status == 403 || status == 404) {
@@ -231,7 +236,7 @@
             // 4.1.2.2: after any other failed renewal the subscription remains valid until it
             // expires; the renewal is retried.
             subscription.renewalTimer =
-                    timers.set(
+                    timers.schedule(
                             now + Math.max(1, (subscription.expiresAt - now) / 2),
                             (at, o) -> refresh(at, subscription, false, o));
         }
@@ -239,7 +244,8 @@
     }
 
     /** Handles and answers a NOTIFY. */
-    public void notified(long now, ServerTx transaction, Hop from, Out out) {
+    public void handleNotify(
+            long now, ServerTransaction transaction, TransportAddress from, SipOutput out) {
         SipMessage notify = transaction.request();
         Subscription subscription = subscriptions.get(notify.callId() + "|" + notify.toTag());
         boolean dialogMatches =
@@ -248,66 +254,75 @@
                                 || subscription.remoteTag.equals(notify.fromTag()));
         if (!dialogMatches
                 || !isFromNotifier(subscription, from)
-                || !Params.of(notify.header("Event", "")).value().equals(subscription.event)) {
+                || !ParameterizedValue.parse(notify.header("Event", ""))
+                        .value()
+                        .equals(subscription.event)) {
             // Anyone who can reach the port can send a NOTIFY, so its body is not read.
-            userAgent.count(dialogMatches ? "notify-elsewhere" : "notify-no-dialog");
+            userAgent.incrementCounter(dialogMatches ? "notify-elsewhere" : "notify-no-dialog");
             userAgent.respond(
                     now,
                     transaction,
-                    userAgent.reply(transaction, 481, "No such subscription"),
+                    userAgent.createResponse(transaction, 481, "No such subscription"),
                     out);
             return;
         }
-        if (notify.sequence() <= subscription.remoteSequence) {
-            userAgent.count("notify-order");
+        if (notify.cseqNumber() <= subscription.remoteSequence) {
+            userAgent.incrementCounter("notify-order");
             userAgent.respond(
-                    now, transaction, userAgent.reply(transaction, 500, "CSeq out of order"), out);
+                    now,
+                    transaction,
+                    userAgent.createResponse(transaction, 500, "CSeq out of order"),
+                    out);
             return;
         }
-        Params state = Params.of(notify.header("Subscription-State", ""));
+        ParameterizedValue state =
+                ParameterizedValue.parse(notify.header("Subscription-State", ""));
         if (state.value().isEmpty() || notify.fromTag().isEmpty()) {
-            userAgent.count("bad-notify");
+            userAgent.incrementCounter("bad-notify");
             userAgent.respond(
                     now,
                     transaction,
-                    userAgent.reply(transaction, 400, "Subscription-State is missing"),
+                    userAgent.createResponse(transaction, 400, "Subscription-State is missing"),
                     out);
             return;
         }
         subscription.remoteTag = notify.fromTag();
-        subscription.remoteSequence = notify.sequence();
+        subscription.remoteSequence = notify.cseqNumber();
         boolean terminated = state.value().equalsIgnoreCase("terminated");
-        News result =
+        NotifyResult result =
                 notify.body().length == 0
-                        ? News.GAP
-                        : user.notified(now, subscription, notify, out);
-        boolean accepted = result != News.BAD;
+                        ? NotifyResult.INCOMPLETE
+                        : user.notifyReceived(now, subscription, notify, out);
+        boolean accepted = result != NotifyResult.MALFORMED;
         if (!accepted) {
-            userAgent.count("bad-notify");
+            userAgent.incrementCounter("bad-notify");
         }
         userAgent.respond(
                 now,
                 transaction,
                 accepted
-                        ? userAgent.reply(transaction, 200, "OK")
-                        : userAgent.reply(transaction, 400, "Bad Request"),
+                        ? userAgent.createResponse(transaction, 200, "OK")
+                        : userAgent.createResponse(transaction, 400, "Bad Request"),
                 out);
         if (terminated) {
-            end(now, subscription, "terminated, " + state.get("reason", "no reason"), out);
+            end(now, subscription, "terminated, " + state.parameter("reason", "no reason"), out);
             return;
         }
         // After a gap the entity tag would suppress the full state that is needed.
-        subscription.entityTag = result == News.WHOLE ? notify.header("SIP-ETag", "") : "";
-        startDuration(now, subscription, state.number("expires", subscription.durationSeconds));
+        subscription.entityTag =
+                result == NotifyResult.COMPLETE ? notify.header("SIP-ETag", "") : "";
+        startDuration(
+                now, subscription, state.numericParameter("expires", subscription.durationSeconds));
     }
 
     /**
      * Whether the address is the notifier's: the same host, and over UDP the same port; a TCP
      * connection can come from any port. A host given by name is not compared.
      */
-    private static boolean isFromNotifier(Subscription subscription, Hop from) {
-        boolean isAddressLiteral = subscription.to.host().matches("[0-9.]+|\\[.*]|.*:.*");
-        return (from.host().equals(subscription.to.host()) || !isAddressLiteral)
-                && (from.tcp() || from.port() == subscription.to.port());
+    private static boolean isFromNotifier(Subscription subscription, TransportAddress from) {
+        boolean isAddressLiteral =
+                subscription.notifierAddress.host().matches("[0-9.]+|\\[.*]|.*:.*");
+        return (from.host().equals(subscription.notifierAddress.host()) || !isAddressLiteral)
+                && (from.tcp() || from.port() == subscription.notifierAddress.port());
     }
 }
--- a/src/main/java/coralcove/sip/event/Subscription.java
+++ b/src/main/java/coralcove/sip/event/Subscription.java
@@ -1,15 +1,15 @@
 package coralcove.sip.event;
 
-import coralcove.sip.Hop;
 import coralcove.sip.SipMessage;
-import coralcove.sip.Timers;
+import coralcove.sip.TimerWheel;
+import coralcove.sip.TransportAddress;
 
 /**
  * One subscription of this node (RFC 6665 4.1): a dialog in which only the notifier at the address
  * subscribed to is accepted.
  */
 public final class Subscription {
-    final Hop to;
+    final TransportAddress notifierAddress;
     final String event;
     final Object owner;
 
@@ -35,19 +35,19 @@
     /** Whether the full state is to be requested after the pending SUBSCRIBE is answered. */
     boolean fullRefreshWanted;
 
-    Timers.Timer renewalTimer;
-    Timers.Timer expiryTimer;
+    TimerWheel.Timer renewalTimer;
+    TimerWheel.Timer expiryTimer;
 
-    Subscription(Hop to, String event, Object owner, SipMessage initialRequest) {
-        this.to = to;
+    Subscription(TransportAddress to, String event, Object owner, SipMessage initialRequest) {
+        this.notifierAddress = to;
         this.event = event;
         this.owner = owner;
         this.initialRequest = initialRequest;
     }
 
     /** The address of the notifier. */
-    public Hop to() {
-        return to;
+    public TransportAddress notifierAddress() {
+        return notifierAddress;
     }
 
     /** The event package. */
@@ -61,7 +61,7 @@
     }
 
     /** Whether the subscription has not ended. */
-    public boolean stands() {
+    public boolean isActive() {
         return !ended;
     }
 
--- a/src/main/java/coralcove/sip/transaction/ClientTx.java
+++ b/src/main/java/coralcove/sip/transaction/ClientTransaction.java
@@ -1,15 +1,15 @@
 package coralcove.sip.transaction;
 
-import coralcove.sip.Hop;
-import coralcove.sip.Out;
 import coralcove.sip.SipMessage;
-import coralcove.sip.Timers;
+import coralcove.sip.SipOutput;
+import coralcove.sip.TimerWheel;
+import coralcove.sip.TransportAddress;
 
 /**
  * A client transaction (RFC 3261 17.1): one request that is retransmitted until it is answered,
  * times out or is abandoned.
  */
-public final class ClientTx {
+public final class ClientTransaction {
     enum State {
         CALLING,
         PROCEEDING,
@@ -20,7 +20,7 @@
 
     final String key;
     final SipMessage request;
-    final Hop to;
+    final TransportAddress destination;
 
     /** The object that the transaction user attached. */
     final Object owner;
@@ -30,20 +30,20 @@
     /** Microseconds from the last transmission to the next (timers A and E). */
     long retransmitInterval;
 
-    Timers.Timer retransmitTimer;
+    TimerWheel.Timer retransmitTimer;
 
     /** Ends the transaction: timers B, D, F, K and M. */
-    Timers.Timer endTimer;
+    TimerWheel.Timer endTimer;
 
     /** The ACK of a failure response, sent again for each copy of the response. */
     SipMessage ack;
 
     boolean retransmissionStopped;
 
-    ClientTx(String key, SipMessage request, Hop to, Object owner) {
+    ClientTransaction(String key, SipMessage request, TransportAddress to, Object owner) {
         this.key = key;
         this.request = request;
-        this.to = to;
+        this.destination = to;
         this.owner = owner;
     }
 
@@ -52,8 +52,8 @@
     }
 
     /** The address that the request is sent to. */
-    public Hop to() {
-        return to;
+    public TransportAddress destination() {
+        return destination;
     }
 
     /** The object that the transaction user attached when it sent the request, or null. */
@@ -65,7 +65,7 @@
         return request.method().equals("INVITE");
     }
 
-    void transmit(Out out) {
-        out.send(to, request);
+    void transmit(SipOutput out) {
+        out.send(destination, request);
     }
 }
--- a/src/main/java/coralcove/sip/transaction/ServerTx.java
+++ b/src/main/java/coralcove/sip/transaction/ServerTransaction.java
@@ -1,14 +1,14 @@
 package coralcove.sip.transaction;
 
-import coralcove.sip.Hop;
 import coralcove.sip.SipMessage;
-import coralcove.sip.Timers;
+import coralcove.sip.TimerWheel;
+import coralcove.sip.TransportAddress;
 
 /**
  * A server transaction (RFC 3261 17.2): one request received, and its last response, which is
  * retransmitted as needed.
  */
-public final class ServerTx {
+public final class ServerTransaction {
     enum State {
         PROCEEDING,
         COMPLETED,
@@ -21,7 +21,7 @@
     final SipMessage request;
 
     /** The address that responses are sent to. */
-    Hop responseAddress;
+    TransportAddress responseAddress;
 
     State state = State.PROCEEDING;
     SipMessage lastResponse;
@@ -29,17 +29,17 @@
     /** Microseconds from the last transmission of the response to the next (timer G). */
     long retransmitInterval;
 
-    Timers.Timer retransmitTimer;
+    TimerWheel.Timer retransmitTimer;
 
     /** Ends the transaction: timers H, I, J and L. */
-    Timers.Timer endTimer;
+    TimerWheel.Timer endTimer;
 
     /** The key by which the ACK of a 2xx is matched; null until a 2xx was sent. */
     String ackKey;
 
     private Object owner;
 
-    ServerTx(String key, SipMessage request, Hop responseAddress) {
+    ServerTransaction(String key, SipMessage request, TransportAddress responseAddress) {
         this.key = key;
         this.request = request;
         this.responseAddress = responseAddress;
--- a/src/main/java/coralcove/sip/transaction/TransactionLayer.java
+++ b/src/main/java/coralcove/sip/transaction/TransactionLayer.java
@@ -1,10 +1,10 @@
 package coralcove.sip.transaction;
 
-import coralcove.sip.Field;
-import coralcove.sip.Hop;
-import coralcove.sip.Out;
+import coralcove.sip.HeaderField;
 import coralcove.sip.SipMessage;
-import coralcove.sip.Timers;
+import coralcove.sip.SipOutput;
+import coralcove.sip.TimerWheel;
+import coralcove.sip.TransportAddress;
 import coralcove.sip.Via;
 import java.util.HashMap;
 import java.util.Map;
@@ -55,39 +55,41 @@
     /** The transaction user (RFC 3261 section 5): the layer above. */
     public interface TransactionUser {
         /** A new request arrived; ACK and CANCEL are reported by their own methods. */
-        void requestReceived(long now, ServerTx transaction, Hop from, Out out);
+        void requestReceived(
+                long now, ServerTransaction transaction, TransportAddress from, SipOutput out);
 
         /** The ACK of a 2xx arrived. */
-        void ackReceived(long now, ServerTx transaction, Out out);
+        void ackReceived(long now, ServerTransaction transaction, SipOutput out);
 
         /** No ACK of a 2xx arrived within 64 T1 (RFC 3261 13.3.1.4). */
-        void ackTimedOut(long now, ServerTx transaction, Out out);
+        void ackTimedOut(long now, ServerTransaction transaction, SipOutput out);
 
         /**
          * A CANCEL arrived for an INVITE without a final response; the CANCEL itself was answered
          * with 200.
          */
-        void cancelReceived(long now, ServerTx invite, Out out);
+        void cancelReceived(long now, ServerTransaction invite, SipOutput out);
 
         /**
          * A response arrived: to an INVITE any but a repeated failure response, to another request
          * the first final response.
          */
-        void responseReceived(long now, ClientTx transaction, SipMessage response, Out out);
+        void responseReceived(
+                long now, ClientTransaction transaction, SipMessage response, SipOutput out);
 
         /** A request other than CANCEL ended without a final response. */
-        void requestFailed(long now, ClientTx transaction, Failure failure, Out out);
+        void requestFailed(long now, ClientTransaction transaction, Failure failure, SipOutput out);
     }
 
-    private final Hop localAddress;
-    private final Timers timers;
+    private final TransportAddress localAddress;
+    private final TimerWheel timers;
     private final TransactionUser user;
     private final String startTag;
-    private final Map<String, ClientTx> clientTransactions = new HashMap<>();
-    private final Map<String, ServerTx> serverTransactions = new HashMap<>();
+    private final Map<String, ClientTransaction> clientTransactions = new HashMap<>();
+    private final Map<String, ServerTransaction> serverTransactions = new HashMap<>();
 
     /** Server transactions of INVITE whose 2xx has not been acknowledged, by {@link #ackKey}. */
-    private final Map<String, ServerTx> awaitingAck = new HashMap<>();
+    private final Map<String, ServerTransaction> awaitingAck = new HashMap<>();
 
     private long nextBranch;
     private long droppedRequests;
@@ -95,7 +97,10 @@
 
     /** {@code startTag} distinguishes the branches of this start of the node from all others. */
     public TransactionLayer(
-            Hop localAddress, Timers timers, String startTag, TransactionUser user) {
+            TransportAddress localAddress,
+            TimerWheel timers,
+            String startTag,
+            TransactionUser user) {
         this.localAddress = localAddress;
         this.timers = timers;
         this.startTag = startTag;
@@ -120,25 +125,27 @@
     // ---- client transactions
 
     /** Sends a request in a new client transaction and adds its Via. */
-    public ClientTx send(long now, SipMessage request, Hop to, Object owner, Out out) {
-        String branch = Via.COOKIE + startTag + "." + nextBranch++;
-        request.addFirst("Via", Via.text(localAddress.over(to.tcp()), branch));
-        ClientTx transaction = new ClientTx(key(branch, request.method()), request, to, owner);
+    public ClientTransaction send(
+            long now, SipMessage request, TransportAddress to, Object owner, SipOutput out) {
+        String branch = Via.MAGIC_COOKIE + startTag + "." + nextBranch++;
+        request.addFirst("Via", Via.format(localAddress.withTransport(to.tcp()), branch));
+        ClientTransaction transaction =
+                new ClientTransaction(key(branch, request.method()), request, to, owner);
         clientTransactions.put(transaction.key, transaction);
         start(now, transaction, out);
         return transaction;
     }
 
-    private void start(long now, ClientTx transaction, Out out) {
+    private void start(long now, ClientTransaction transaction, SipOutput out) {
         transaction.retransmitInterval = T1_MICROS;
-        if (!transaction.to.tcp()) {
+        if (!transaction.destination.tcp()) {
             transaction.retransmitTimer =
-                    timers.set(
+                    timers.schedule(
                             now + transaction.retransmitInterval,
                             (at, o) -> retransmit(at, transaction, o));
         }
         transaction.endTimer =
-                timers.set(
+                timers.schedule(
                         now + TIMEOUT_T1_MULTIPLE * T1_MICROS,
                         (at, o) -> fail(at, transaction, Failure.TIMED_OUT, o));
         transaction.transmit(out);
@@ -148,33 +155,34 @@
      * Sends a CANCEL for an INVITE that has had a provisional response (RFC 3261 9.1): the same
      * branch, a transaction of its own.
      */
-    public void cancel(long now, ClientTx invite, Out out) {
+    public void cancel(long now, ClientTransaction invite, SipOutput out) {
         SipMessage cancel = SipMessage.request("CANCEL", invite.request.uri());
-        for (Field field : invite.request.fields()) {
+        for (HeaderField field : invite.request.fields()) {
             switch (field.name()) {
                 case "From", "To", "Call-ID", "Route", "Max-Forwards", "Session-ID" ->
                         cancel.add(field.name(), field.value());
                 default -> {}
             }
         }
-        cancel.add("CSeq", invite.request.sequence() + " CANCEL");
+        cancel.add("CSeq", invite.request.cseqNumber() + " CANCEL");
         cancel.addFirst("Via", invite.request.header("Via"));
-        String branch = Via.of(cancel.header("Via")).branch();
-        ClientTx transaction = new ClientTx(key(branch, "CANCEL"), cancel, invite.to, null);
+        String branch = Via.parse(cancel.header("Via")).branch();
+        ClientTransaction transaction =
+                new ClientTransaction(key(branch, "CANCEL"), cancel, invite.destination, null);
         if (clientTransactions.putIfAbsent(transaction.key, transaction) == null) {
             start(now, transaction, out);
         }
     }
 
     /** Stops retransmitting this request; responses are still accepted until it times out. */
-    public void stopRetransmitting(ClientTx transaction) {
+    public void stopRetransmitting(ClientTransaction transaction) {
         transaction.retransmissionStopped = true;
         timers.cancel(transaction.retransmitTimer);
     }
 
-    private void retransmit(long now, ClientTx transaction, Out out) {
+    private void retransmit(long now, ClientTransaction transaction, SipOutput out) {
         if (transaction.retransmissionStopped
-                || transaction.state != ClientTx.State.CALLING && transaction.isInvite()) {
+                || transaction.state != ClientTransaction.State.CALLING && transaction.isInvite()) {
             return;
         }
         transaction.retransmitInterval =
@@ -182,69 +190,71 @@
                         ? 2 * transaction.retransmitInterval
                         : Math.min(
                                 T2_MICROS,
-                                transaction.state == ClientTx.State.CALLING
+                                transaction.state == ClientTransaction.State.CALLING
                                         ? 2 * transaction.retransmitInterval
                                         : T2_MICROS);
         transaction.retransmitTimer =
-                timers.set(
+                timers.schedule(
                         now + transaction.retransmitInterval,
                         (at, o) -> retransmit(at, transaction, o));
         transaction.transmit(out);
     }
 
-    private void fail(long now, ClientTx transaction, Failure failure, Out out) {
+    private void fail(long now, ClientTransaction transaction, Failure failure, SipOutput out) {
         boolean unanswered =
-                transaction.state == ClientTx.State.CALLING
-                        || transaction.state == ClientTx.State.PROCEEDING;
+                transaction.state == ClientTransaction.State.CALLING
+                        || transaction.state == ClientTransaction.State.PROCEEDING;
         terminate(transaction);
         if (unanswered && !transaction.request.method().equals("CANCEL")) {
             user.requestFailed(now, transaction, failure, out);
         }
     }
 
-    private void terminate(ClientTx transaction) {
-        transaction.state = ClientTx.State.TERMINATED;
+    private void terminate(ClientTransaction transaction) {
+        transaction.state = ClientTransaction.State.TERMINATED;
         timers.cancel(transaction.retransmitTimer);
         timers.cancel(transaction.endTimer);
         clientTransactions.remove(transaction.key, transaction);
     }
 
-    private void receiveResponse(long now, Hop from, SipMessage response, Out out) {
+    private void receiveResponse(
+            long now, TransportAddress from, SipMessage response, SipOutput out) {
         Via via = response.via();
-        ClientTx transaction =
+        ClientTransaction transaction =
                 via == null
                         ? null
                         : clientTransactions.get(key(via.branch(), response.cseqMethod()));
-        if (via != null && via.branch().startsWith(Via.COOKIE + startTag + NO_TRANSACTION_MARK)) {
+        if (via != null
+                && via.branch().startsWith(Via.MAGIC_COOKIE + startTag + NO_TRANSACTION_MARK)) {
             return;
         }
-        if (transaction == null || transaction.state == ClientTx.State.TERMINATED) {
+        if (transaction == null || transaction.state == ClientTransaction.State.TERMINATED) {
             out.log("stray-response", response.header("Session-ID", ""), response.toString());
             return;
         }
-        if (!from.equals(transaction.to)) {
+        if (!from.equals(transaction.destination)) {
             // Forged: by RFC 3581 section 4 a response comes from the address that the request was
             // sent to.
             forgedResponses++;
             out.log(
                     "forged-response",
                     response.header("Session-ID", ""),
-                    from + " for " + transaction.to);
+                    from + " for " + transaction.destination);
             return;
         }
         int status = response.status();
         if (!transaction.isInvite()) {
             if (status < 200) {
-                transaction.state = ClientTx.State.PROCEEDING;
+                transaction.state = ClientTransaction.State.PROCEEDING;
                 return;
             }
-            if (transaction.state != ClientTx.State.COMPLETED) {
-                transaction.state = ClientTx.State.COMPLETED;
+            if (transaction.state != ClientTransaction.State.COMPLETED) {
+                transaction.state = ClientTransaction.State.COMPLETED;
                 timers.cancel(transaction.retransmitTimer);
                 timers.cancel(transaction.endTimer);
                 transaction.endTimer =
-                        timers.set(
-                                now + (transaction.to.tcp() ? 0 : T4_MICROS),
+                        timers.schedule(
+                                now + (transaction.destination.tcp() ? 0 : T4_MICROS),
                                 (at, o) -> terminate(transaction));
                 user.responseReceived(now, transaction, response, out);
             }
@@ -254,7 +264,7 @@
             case CALLING, PROCEEDING -> receiveInviteResponse(now, transaction, response, out);
             case COMPLETED -> {
                 if (status >= 300) {
-                    out.send(transaction.to, transaction.ack);
+                    out.send(transaction.destination, transaction.ack);
                 }
             }
             case ACCEPTED -> {
@@ -267,31 +277,34 @@
     }
 
     private void receiveInviteResponse(
-            long now, ClientTx transaction, SipMessage response, Out out) {
+            long now, ClientTransaction transaction, SipMessage response, SipOutput out) {
         int status = response.status();
         timers.cancel(transaction.retransmitTimer);
         if (status < 200) {
             // After a provisional response the transaction user decides how long to wait.
             timers.cancel(transaction.endTimer);
             transaction.endTimer = null;
-            transaction.state = ClientTx.State.PROCEEDING;
+            transaction.state = ClientTransaction.State.PROCEEDING;
             user.responseReceived(now, transaction, response, out);
             return;
         }
         timers.cancel(transaction.endTimer);
         if (status < 300) {
-            transaction.state = ClientTx.State.ACCEPTED;
+            transaction.state = ClientTransaction.State.ACCEPTED;
             transaction.endTimer =
-                    timers.set(
+                    timers.schedule(
                             now + TIMEOUT_T1_MULTIPLE * T1_MICROS,
                             (at, o) -> terminate(transaction));
         } else {
-            transaction.state = ClientTx.State.COMPLETED;
+            transaction.state = ClientTransaction.State.COMPLETED;
             transaction.ack = createAck(transaction, response);
-            out.send(transaction.to, transaction.ack);
+            out.send(transaction.destination, transaction.ack);
             transaction.endTimer =
-                    timers.set(
-                            now + (transaction.to.tcp() ? 0 : TIMEOUT_T1_MULTIPLE * T1_MICROS),
+                    timers.schedule(
+                            now
+                                    + (transaction.destination.tcp()
+                                            ? 0
+                                            : TIMEOUT_T1_MULTIPLE * T1_MICROS),
                             (at, o) -> terminate(transaction));
         }
         user.responseReceived(now, transaction, response, out);
@@ -300,10 +313,10 @@
     /**
      * Creates the ACK of a failure response, which is part of the INVITE's transaction (17.1.1.3).
      */
-    private static SipMessage createAck(ClientTx transaction, SipMessage response) {
+    private static SipMessage createAck(ClientTransaction transaction, SipMessage response) {
         SipMessage ack = SipMessage.request("ACK", transaction.request.uri());
         ack.add("Via", transaction.request.header("Via"));
-        for (Field field : transaction.request.fields()) {
+        for (HeaderField field : transaction.request.fields()) {
             switch (field.name()) {
                 case "From", "Call-ID", "Route", "Max-Forwards", "Session-ID" ->
                         ack.add(field.name(), field.value());
@@ -311,35 +324,35 @@
             }
         }
         ack.add("To", response.header("To"));
-        return ack.add("CSeq", transaction.request.sequence() + " ACK");
+        return ack.add("CSeq", transaction.request.cseqNumber() + " ACK");
     }
 
     /** Ends a transaction whose outcome no longer matters to the transaction user. */
-    public void abandon(ClientTx transaction) {
+    public void abandon(ClientTransaction transaction) {
         terminate(transaction);
     }
 
     // ---- server transactions
 
     /** Processes a message received from {@code from}. */
-    public void receive(long now, Hop from, SipMessage message, Out out) {
+    public void receive(long now, TransportAddress from, SipMessage message, SipOutput out) {
         if (!message.isRequest()) {
             receiveResponse(now, from, message, out);
             return;
         }
         Via via = addReceivedAddress(message, from);
-        if (!via.branch().startsWith(Via.COOKIE)) {
+        if (!via.branch().startsWith(Via.MAGIC_COOKIE)) {
             // RFC 2543 matching is not supported (docs/protocol.md).
             if (!message.method().equals("ACK")) {
                 out.send(
                         via.responseAddress(),
-                        SipMessage.reply(message, 400, "Branch of RFC 2543", "b"));
+                        SipMessage.responseTo(message, 400, "Branch of RFC 2543", "b"));
             }
             return;
         }
         String branchAndSentBy = via.branch() + "|" + via.host() + ":" + via.port();
         boolean ack = message.method().equals("ACK");
-        ServerTx existing =
+        ServerTransaction existing =
                 serverTransactions.get(key(branchAndSentBy, ack ? "INVITE" : message.method()));
         if (ack) {
             receiveAck(now, existing, message, out);
@@ -350,8 +363,8 @@
         } else if (serverTransactions.size() >= MAX_SERVER_TRANSACTIONS) {
             droppedRequests++;
         } else {
-            ServerTx transaction =
-                    new ServerTx(
+            ServerTransaction transaction =
+                    new ServerTransaction(
                             key(branchAndSentBy, message.method()), message, via.responseAddress());
             serverTransactions.put(transaction.key, transaction);
             if (message.method().equals("CANCEL")) {
@@ -362,7 +375,11 @@
                         out);
             } else {
                 if (transaction.isInvite()) {
-                    respond(now, transaction, SipMessage.reply(message, 100, "Trying", ""), out);
+                    respond(
+                            now,
+                            transaction,
+                            SipMessage.responseTo(message, 100, "Trying", ""),
+                            out);
                 }
                 user.requestReceived(now, transaction, from, out);
             }
@@ -376,7 +393,7 @@
                 key(via.branch() + "|" + via.host() + ":" + via.port(), request.method()));
     }
 
-    private static Via addReceivedAddress(SipMessage message, Hop from) {
+    private static Via addReceivedAddress(SipMessage message, TransportAddress from) {
         String text = message.header("Via");
         Via via = message.via();
         int rport = text.indexOf(";rport;");
@@ -388,7 +405,7 @@
                                 + ";received="
                                 + from.host()
                                 + text.substring(rport + 6)
-                        : via.params().has("rport")
+                        : via.parameters().hasParameter("rport")
                                 ? text.replaceFirst(
                                         ";\\s*rport(=[^;]*)?",
                                         ";rport=" + from.port() + ";received=" + from.host())
@@ -399,38 +416,39 @@
         return message.via();
     }
 
-    private void receiveCancel(long now, ServerTx transaction, ServerTx invite, Out out) {
+    private void receiveCancel(
+            long now, ServerTransaction transaction, ServerTransaction invite, SipOutput out) {
         if (invite == null) {
             respond(
                     now,
                     transaction,
-                    SipMessage.reply(transaction.request, 481, "No such transaction", "c"),
+                    SipMessage.responseTo(transaction.request, 481, "No such transaction", "c"),
                     out);
             return;
         }
-        respond(now, transaction, SipMessage.reply(transaction.request, 200, "OK", "c"), out);
+        respond(now, transaction, SipMessage.responseTo(transaction.request, 200, "OK", "c"), out);
         if (!invite.hasFinalResponse()) {
             user.cancelReceived(now, invite, out);
         }
     }
 
-    private void receiveAck(long now, ServerTx existing, SipMessage ack, Out out) {
-        if (existing != null && existing.state == ServerTx.State.COMPLETED) {
-            existing.state = ServerTx.State.CONFIRMED;
+    private void receiveAck(long now, ServerTransaction existing, SipMessage ack, SipOutput out) {
+        if (existing != null && existing.state == ServerTransaction.State.COMPLETED) {
+            existing.state = ServerTransaction.State.CONFIRMED;
             timers.cancel(existing.retransmitTimer);
             timers.cancel(existing.endTimer);
             existing.endTimer =
-                    timers.set(
+                    timers.schedule(
                             now + (existing.responseAddress.tcp() ? 0 : T4_MICROS),
                             (at, o) -> terminate(existing));
             return;
         }
-        ServerTx transaction = awaitingAck.remove(ackKey(ack));
+        ServerTransaction transaction = awaitingAck.remove(ackKey(ack));
         if (transaction != null) {
             timers.cancel(transaction.retransmitTimer);
             timers.cancel(transaction.endTimer);
             transaction.endTimer =
-                    timers.set(
+                    timers.schedule(
                             now + TIMEOUT_T1_MULTIPLE * T1_MICROS,
                             (at, o) -> terminate(transaction));
             user.ackReceived(now, transaction, out);
@@ -438,12 +456,13 @@
     }
 
     private static String ackKey(SipMessage message) {
-        return message.callId() + "|" + message.fromTag() + "|" + message.sequence();
+        return message.callId() + "|" + message.fromTag() + "|" + message.cseqNumber();
     }
 
     /** Sends a response; after a final one returns false and sends nothing. */
-    public boolean respond(long now, ServerTx transaction, SipMessage response, Out out) {
-        if (transaction.state != ServerTx.State.PROCEEDING) {
+    public boolean respond(
+            long now, ServerTransaction transaction, SipMessage response, SipOutput out) {
+        if (transaction.state != ServerTransaction.State.PROCEEDING) {
             return false;
         }
         transaction.lastResponse = response;
@@ -453,9 +472,9 @@
             return true;
         }
         if (!transaction.isInvite()) {
-            transaction.state = ServerTx.State.COMPLETED;
+            transaction.state = ServerTransaction.State.COMPLETED;
             transaction.endTimer =
-                    timers.set(
+                    timers.schedule(
                             now
                                     + (transaction.responseAddress.tcp()
                                             ? 0
@@ -464,7 +483,8 @@
             return true;
         }
         transaction.retransmitInterval = T1_MICROS;
-        transaction.state = status < 300 ? ServerTx.State.ACCEPTED : ServerTx.State.COMPLETED;
+        transaction.state =
+                status < 300 ? ServerTransaction.State.ACCEPTED : ServerTransaction.State.COMPLETED;
         if (status < 300) {
             transaction.ackKey = ackKey(transaction.request);
             awaitingAck.put(transaction.ackKey, transaction);
@@ -473,16 +493,16 @@
         // response over UDP only.
         if (status < 300 || !transaction.responseAddress.tcp()) {
             transaction.retransmitTimer =
-                    timers.set(
+                    timers.schedule(
                             now + transaction.retransmitInterval,
                             (at, o) -> retransmitResponse(at, transaction, o));
         }
         transaction.endTimer =
-                timers.set(
+                timers.schedule(
                         now + TIMEOUT_T1_MULTIPLE * T1_MICROS,
                         (at, o) -> {
                             boolean unacknowledged =
-                                    transaction.state == ServerTx.State.ACCEPTED
+                                    transaction.state == ServerTransaction.State.ACCEPTED
                                             && awaitingAck.containsKey(transaction.ackKey);
                             terminate(transaction);
                             if (unacknowledged) {
@@ -492,17 +512,17 @@
         return true;
     }
 
-    private void retransmitResponse(long now, ServerTx transaction, Out out) {
+    private void retransmitResponse(long now, ServerTransaction transaction, SipOutput out) {
         out.send(transaction.responseAddress, transaction.lastResponse);
         transaction.retransmitInterval = Math.min(T2_MICROS, 2 * transaction.retransmitInterval);
         transaction.retransmitTimer =
-                timers.set(
+                timers.schedule(
                         now + transaction.retransmitInterval,
                         (at, o) -> retransmitResponse(at, transaction, o));
     }
 
-    private void terminate(ServerTx transaction) {
-        transaction.state = ServerTx.State.TERMINATED;
+    private void terminate(ServerTransaction transaction) {
+        transaction.state = ServerTransaction.State.TERMINATED;
         timers.cancel(transaction.retransmitTimer);
         timers.cancel(transaction.endTimer);
         serverTransactions.remove(transaction.key, transaction);
@@ -515,10 +535,10 @@
      * Handles the loss of the connection to {@code peer}, or that it could not be opened ({@code
      * refused}): requests to it that have no final response fail (18.4).
      */
-    public void connectionFailed(long now, Hop peer, boolean refused, Out out) {
-        for (ClientTx transaction :
+    public void connectionFailed(long now, TransportAddress peer, boolean refused, SipOutput out) {
+        for (ClientTransaction transaction :
                 clientTransactions.values().stream()
-                        .filter(t -> t.to.equals(peer))
+                        .filter(t -> t.destination.equals(peer))
                         .sorted(java.util.Comparator.comparing(t -> t.key))
                         .toList()) {
             fail(
@@ -529,14 +549,15 @@
         }
         // Responses whose connection was lost are sent to the address in Via over a new connection
         // (RFC 3261 18.2.2).
-        for (ServerTx transaction :
+        for (ServerTransaction transaction :
                 serverTransactions.values().stream()
                         .filter(t -> t.responseAddress.equals(peer))
                         .sorted(java.util.Comparator.comparing(t -> t.key))
                         .toList()) {
             Via via = transaction.request.via();
             transaction.responseAddress =
-                    new Hop(true, via.params().get("received", via.host()), via.port());
+                    new TransportAddress(
+                            true, via.parameters().parameter("received", via.host()), via.port());
             if (!transaction.responseAddress.equals(peer)
                     && transaction.lastResponse != null
                     && transaction.lastResponse.status() >= 200) {
--- a/src/main/java/coralcove/sip/transport/Sockets.java
+++ b/src/main/java/coralcove/sip/transport/SipTransport.java
@@ -1,10 +1,10 @@
 package coralcove.sip.transport;
 
 import coralcove.mina.MinaSupport;
-import coralcove.sip.BadMessage;
-import coralcove.sip.Hop;
+import coralcove.sip.MalformedMessageException;
 import coralcove.sip.SipParser;
 import coralcove.sip.StreamFramer;
+import coralcove.sip.TransportAddress;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -25,7 +25,7 @@
  * reused in both directions. Complete messages are passed to the listener on MINA's threads. The
  * number of connections, the bytes queued for a peer and the idle time are limited.
  */
-public final class Sockets implements AutoCloseable {
+public final class SipTransport implements AutoCloseable {
     /** Connections in both directions at most; a further one is closed at once. */
     private static final int MAX_CONNECTIONS = 10_000;
 
@@ -49,30 +49,30 @@
     /** Receives messages and errors; called on MINA's threads. */
     public interface Listener {
         /** A complete message, not parsed yet, was received. */
-        void read(Hop from, byte[] bytes);
+        void messageReceived(TransportAddress from, byte[] bytes);
 
         /** The connection to the peer was lost, or ({@code refused}) could not be opened. */
-        void broken(Hop peer, boolean refused);
+        void connectionFailed(TransportAddress peer, boolean refused);
 
         /**
          * Traffic with a peer was dropped, in most cases with its connection, because of a limit or
          * an error.
          */
-        void cutOff(Hop peer, String reason);
+        void peerCutOff(TransportAddress peer, String reason);
     }
 
-    private final Hop localAddress;
+    private final TransportAddress localAddress;
     private final Listener listener;
     private final InetSocketAddress bindAddress;
     private final NioDatagramAcceptor datagramAcceptor = new NioDatagramAcceptor();
     private final NioSocketAcceptor streamAcceptor = new NioSocketAcceptor(1);
     private final NioSocketConnector streamConnector = new NioSocketConnector(1);
-    private final Map<Hop, IoSession> streams = new ConcurrentHashMap<>();
-    private final Map<Hop, ConnectionQueue> connectionQueues = new HashMap<>();
+    private final Map<TransportAddress, IoSession> streams = new ConcurrentHashMap<>();
+    private final Map<TransportAddress, ConnectionQueue> connectionQueues = new HashMap<>();
     private volatile boolean closed;
 
     /** Binds the UDP and TCP sockets; the IOException on failure names the address. */
-    public Sockets(Hop localAddress, Listener listener) throws IOException {
+    public SipTransport(TransportAddress localAddress, Listener listener) throws IOException {
         this.localAddress = localAddress;
         this.listener = listener;
         bindAddress = new InetSocketAddress(localAddress.host(), localAddress.port());
@@ -99,19 +99,19 @@
     }
 
     /** The address that the sockets are bound to. */
-    public Hop localAddress() {
+    public TransportAddress localAddress() {
         return localAddress;
     }
 
     /** Sends a message; over TCP opens a connection first if there is none. */
-    public void send(Hop to, byte[] bytes) {
+    public void send(TransportAddress to, byte[] bytes) {
         if (closed) {
             return;
         }
         if (!to.tcp() && to.host().startsWith("[")) {
             // MINA's datagram acceptor never returns from sending to IPv6 and would block the
             // node's thread.
-            listener.cutOff(to, "IPv6 over UDP is not served");
+            listener.peerCutOff(to, "IPv6 over UDP is not served");
             return;
         }
         if (!to.tcp()) {
@@ -129,7 +129,7 @@
     }
 
     /** Closes the connection to this peer, if there is one; used for fault injection. */
-    public void cut(Hop to) {
+    public void closeConnection(TransportAddress to) {
         IoSession stream = streams.get(to);
         if (stream != null) {
             stream.closeOnFlush();
@@ -138,7 +138,7 @@
 
     private void write(IoSession stream, byte[] bytes) {
         if (stream.getScheduledWriteBytes() > MAX_QUEUED_BYTES) {
-            listener.cutOff(
+            listener.peerCutOff(
                     peerAddress(stream),
                     "reads too slowly: " + stream.getScheduledWriteBytes() + " bytes wait");
             stream.closeNow();
@@ -159,7 +159,7 @@
         }
     }
 
-    private void connect(Hop to, byte[] bytes) {
+    private void connect(TransportAddress to, byte[] bytes) {
         synchronized (connectionQueues) {
             ConnectionQueue queue = connectionQueues.get(to);
             if (queue != null) {
@@ -168,7 +168,7 @@
                 if (queue.bytes + bytes.length > MAX_QUEUED_BYTES) {
                     if (!queue.overflowReported) {
                         queue.overflowReported = true;
-                        listener.cutOff(
+                        listener.peerCutOff(
                                 to,
                                 "does not connect: "
                                         + queue.bytes
@@ -200,18 +200,18 @@
                                 }
                             }
                             if (!connectFuture.isConnected() && !closed) {
-                                listener.broken(to, true);
+                                listener.connectionFailed(to, true);
                             }
                         });
     }
 
-    private static Hop remoteAddress(IoSession session, boolean tcp) {
+    private static TransportAddress remoteAddress(IoSession session, boolean tcp) {
         InetSocketAddress address = (InetSocketAddress) session.getRemoteAddress();
-        return new Hop(tcp, address.getAddress().getHostAddress(), address.getPort());
+        return new TransportAddress(tcp, address.getAddress().getHostAddress(), address.getPort());
     }
 
-    private static Hop peerAddress(IoSession session) {
-        Hop known = (Hop) session.getAttribute(ADDRESS_ATTRIBUTE);
+    private static TransportAddress peerAddress(IoSession session) {
+        TransportAddress known = (TransportAddress) session.getAttribute(ADDRESS_ATTRIBUTE);
         return known != null ? known : remoteAddress(session, true);
     }
 
@@ -231,14 +231,15 @@
             byte[] bytes = MinaSupport.toBytes(message);
             // Shorter datagrams are keep-alives of RFC 5626.
             if (bytes.length > 4) {
-                listener.read(remoteAddress(session, false), bytes);
+                listener.messageReceived(remoteAddress(session, false), bytes);
             }
         }
 
         @Override
         public void exceptionCaught(IoSession session, Throwable cause) {
             if (!closed && session.getRemoteAddress() != null) {
-                listener.cutOff(remoteAddress(session, false), String.valueOf(cause.getMessage()));
+                listener.peerCutOff(
+                        remoteAddress(session, false), String.valueOf(cause.getMessage()));
             }
         }
     }
@@ -248,7 +249,7 @@
         public void sessionOpened(IoSession session) {
             if (streamAcceptor.getManagedSessionCount() + streamConnector.getManagedSessionCount()
                     > MAX_CONNECTIONS) {
-                listener.cutOff(
+                listener.peerCutOff(
                         remoteAddress(session, true),
                         "more than " + MAX_CONNECTIONS + " connections");
                 session.closeNow();
@@ -261,12 +262,16 @@
         @Override
         public void messageReceived(IoSession session, Object message) {
             byte[] bytes = MinaSupport.toBytes(message);
-            Hop from = remoteAddress(session, true);
+            TransportAddress from = remoteAddress(session, true);
             try {
                 ((StreamFramer) session.getAttribute(FRAMER_ATTRIBUTE))
-                        .take(bytes, 0, bytes.length, complete -> listener.read(from, complete));
-            } catch (BadMessage e) {
-                listener.cutOff(from, e.getMessage());
+                        .feed(
+                                bytes,
+                                0,
+                                bytes.length,
+                                complete -> listener.messageReceived(from, complete));
+            } catch (MalformedMessageException e) {
+                listener.peerCutOff(from, e.getMessage());
                 session.closeNow();
             }
         }
@@ -278,11 +283,11 @@
 
         @Override
         public void sessionClosed(IoSession session) {
-            Hop hop = peerAddress(session);
+            TransportAddress hop = peerAddress(session);
             streams.remove(hop, session);
             streams.remove(remoteAddress(session, true), session);
             if (!closed) {
-                listener.broken(hop, false);
+                listener.connectionFailed(hop, false);
             }
         }
 
--- a/src/test/java/coralcove/bench/EdgeFootprint.java
+++ b/src/test/java/coralcove/bench/EdgeFootprint.java
@@ -4,11 +4,11 @@
 import coralcove.baseline.BaselineRouter;
 import coralcove.edge.EdgeCore;
 import coralcove.edge.EdgeSettings;
-import coralcove.sip.BadMessage;
-import coralcove.sip.Hop;
-import coralcove.sip.Out;
+import coralcove.sip.MalformedMessageException;
 import coralcove.sip.SipMessage;
+import coralcove.sip.SipOutput;
 import coralcove.sip.SipParser;
+import coralcove.sip.TransportAddress;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
 import java.util.List;
@@ -18,14 +18,14 @@
  * message in is parsed from bytes and each message out is encoded to bytes. Prints the CPU time
  * (µs) of a complete session and the heap (bytes) of an established one.
  */
-public final class EdgeFootprint implements Out {
-    private static final Hop SELF = new Hop(false, "127.0.0.1", 1);
-    private static final Hop EXCHANGE = new Hop(false, "127.0.0.1", 2);
-    private static final Hop DIRECTORY = new Hop(false, "127.0.0.1", 3);
+public final class EdgeFootprint implements SipOutput {
+    private static final TransportAddress SELF = new TransportAddress(false, "127.0.0.1", 1);
+    private static final TransportAddress EXCHANGE = new TransportAddress(false, "127.0.0.1", 2);
+    private static final TransportAddress DIRECTORY = new TransportAddress(false, "127.0.0.1", 3);
 
     private final EdgeCore core;
     private final ArrayDeque<byte[]> sent = new ArrayDeque<>();
-    private final ArrayDeque<Hop> destinations = new ArrayDeque<>();
+    private final ArrayDeque<TransportAddress> destinations = new ArrayDeque<>();
     private long now = 1_000_000;
 
     private EdgeFootprint() {
@@ -67,7 +67,7 @@
             SipMessage subscription;
             try {
                 subscription = SipParser.parse(bytes, 0, bytes.length);
-            } catch (BadMessage e) {
+            } catch (MalformedMessageException e) {
                 throw new IllegalStateException(e);
             }
             String event = subscription.header("Event");
@@ -100,11 +100,11 @@
                 .add("Session-ID", call);
     }
 
-    private void receive(Hop from, SipMessage message) {
-        byte[] bytes = message.bytes();
+    private void receive(TransportAddress from, SipMessage message) {
+        byte[] bytes = message.encode();
         try {
             core.receive(now, from, SipParser.parse(bytes, 0, bytes.length), this);
-        } catch (BadMessage e) {
+        } catch (MalformedMessageException e) {
             throw new IllegalStateException(e);
         }
     }
@@ -120,10 +120,10 @@
                         .add("Expires", "4")
                         .add("X-Time-Left", "3150000"));
         SipMessage invite = findSent("INVITE", 0);
-        receive(EXCHANGE, SipMessage.reply(invite, 100, "Trying", ""));
+        receive(EXCHANGE, SipMessage.responseTo(invite, 100, "Trying", ""));
         receive(
                 EXCHANGE,
-                SipMessage.reply(invite, 200, "OK", "far" + id)
+                SipMessage.responseTo(invite, 200, "OK", "far" + id)
                         .add("Contact", "<sip:127.0.0.1:2>"));
         String tag = findSent("", 200).toTag();
         receive(EXCHANGE, request("ACK", call, 1, tag));
@@ -135,7 +135,7 @@
 
     private void endSession(int id, String tag) {
         receive(EXCHANGE, request("BYE", String.format("%032x", id), 2, tag));
-        receive(EXCHANGE, SipMessage.reply(findSent("BYE", 0), 200, "OK", "x"));
+        receive(EXCHANGE, SipMessage.responseTo(findSent("BYE", 0), 200, "OK", "x"));
         sent.clear();
     }
 
@@ -146,7 +146,7 @@
                 if (status == 0 ? message.method().equals(method) : message.status() == status) {
                     return message;
                 }
-            } catch (BadMessage e) {
+            } catch (MalformedMessageException e) {
                 throw new IllegalStateException(e);
             }
         }
@@ -154,8 +154,8 @@
     }
 
     @Override
-    public void send(Hop hop, SipMessage message) {
-        sent.add(message.bytes());
+    public void send(TransportAddress hop, SipMessage message) {
+        sent.add(message.encode());
     }
 
     @Override
--- a/src/test/java/coralcove/bench/SipBench.java
+++ b/src/test/java/coralcove/bench/SipBench.java
@@ -1,9 +1,9 @@
 package coralcove.bench;
 
-import coralcove.sip.BadMessage;
+import coralcove.sip.MalformedMessageException;
 import coralcove.sip.SipMessage;
 import coralcove.sip.SipParser;
-import coralcove.sip.Timers;
+import coralcove.sip.TimerWheel;
 import coralcove.sip.Via;
 import java.nio.charset.StandardCharsets;
 import java.util.PriorityQueue;
@@ -42,7 +42,7 @@
         SipMessage message;
 
         @Setup
-        public void make() throws BadMessage {
+        public void make() throws MalformedMessageException {
             bytes =
                     ("INVITE sip:123456@127.0.0.1:5060 SIP/2.0\r\n"
                          + "Via: SIP/2.0/UDP 127.0.0.1:5062;rport;branch=z9hG4bKs1.77\r\n"
@@ -69,19 +69,19 @@
     }
 
     @Benchmark
-    public SipMessage parse(Invite invite) throws BadMessage {
+    public SipMessage parse(Invite invite) throws MalformedMessageException {
         return SipParser.parse(invite.bytes, 0, invite.bytes.length);
     }
 
     @Benchmark
-    public String parseAndFindTransaction(Invite invite) throws BadMessage {
+    public String parseAndFindTransaction(Invite invite) throws MalformedMessageException {
         SipMessage message = SipParser.parse(invite.bytes, 0, invite.bytes.length);
-        return Via.of(message.header("Via")).branch() + message.fromTag();
+        return Via.parse(message.header("Via")).branch() + message.fromTag();
     }
 
     @Benchmark
     public byte[] write(Invite invite) {
-        return invite.message.bytes();
+        return invite.message.encode();
     }
 
     /**
@@ -91,8 +91,8 @@
     @State(Scope.Benchmark)
     public static class RunningTimers {
         final SplittableRandom random = new SplittableRandom(1);
-        final Timers wheel = new Timers();
-        final Timers.Timer[] timers = new Timers.Timer[TIMER_COUNT];
+        final TimerWheel wheel = new TimerWheel();
+        final TimerWheel.Timer[] timers = new TimerWheel.Timer[TIMER_COUNT];
         final PriorityQueue<long[]> heap = new PriorityQueue<>((a, b) -> Long.compare(a[0], b[0]));
         final long[][] entries = new long[TIMER_COUNT][];
         ScheduledThreadPoolExecutor pool;
@@ -106,7 +106,7 @@
             pool.setRemoveOnCancelPolicy(true);
             for (int i = 0; i < TIMER_COUNT; i++) {
                 long expiry = now + 20_000_000 + random.nextLong(32_000_000);
-                timers[i] = wheel.set(expiry, (n, o) -> {});
+                timers[i] = wheel.schedule(expiry, (n, o) -> {});
                 entries[i] = new long[] {expiry};
                 heap.add(entries[i]);
                 futures[i] = pool.schedule(() -> {}, expiry - now, TimeUnit.MICROSECONDS);
@@ -128,7 +128,7 @@
     public void timersWheel(RunningTimers state) {
         long expiry = state.next();
         state.wheel.cancel(state.timers[state.index]);
-        state.timers[state.index] = state.wheel.set(expiry, (n, o) -> {});
+        state.timers[state.index] = state.wheel.schedule(expiry, (n, o) -> {});
     }
 
     /**
--- a/src/test/java/coralcove/cli/SourcesCommandTest.java
+++ b/src/test/java/coralcove/cli/SourcesCommandTest.java
@@ -7,9 +7,9 @@
 import coralcove.dns.SimulatedDnsServer;
 import coralcove.dns.transport.DnsServer;
 import coralcove.network.LiveNetwork;
-import coralcove.sip.Hop;
 import coralcove.sip.SipMessage;
 import coralcove.sip.SipParser;
+import coralcove.sip.TransportAddress;
 import java.io.ByteArrayOutputStream;
 import java.io.PrintStream;
 import java.net.DatagramPacket;
@@ -67,7 +67,7 @@
                                 nameServer,
                                 new SimulatedDnsServer(zone, 1000, new SplittableRandom(1)))) {
             assertThat(server).isNotNull();
-            Hop at = new Hop(false, "127.0.0.1", directory);
+            TransportAddress at = new TransportAddress(false, "127.0.0.1", directory);
             network.addNode(
                     "directory",
                     at,
@@ -116,7 +116,7 @@
                             .add("Call-ID", "r")
                             .add("CSeq", "1 REGISTER")
                             .add("X-Exchange", "101 1 ready 7 1 - udp:127.0.0.1:5061")
-                            .bytes();
+                            .encode();
             byte[] read = new byte[2000];
             for (int i = 0; i < 50; i++) {
                 socket.send(
--- a/src/test/java/coralcove/edge/EdgeCoreHarness.java
+++ b/src/test/java/coralcove/edge/EdgeCoreHarness.java
@@ -14,11 +14,11 @@
 import coralcove.numbers.Digits;
 import coralcove.numbers.NumberTable;
 import coralcove.numbers.PortabilityCache;
-import coralcove.sip.BadMessage;
-import coralcove.sip.Hop;
-import coralcove.sip.Out;
+import coralcove.sip.MalformedMessageException;
 import coralcove.sip.SipMessage;
+import coralcove.sip.SipOutput;
 import coralcove.sip.SipParser;
+import coralcove.sip.TransportAddress;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
 import java.util.HashMap;
@@ -29,11 +29,11 @@
  * Runs an {@link EdgeCore} with a scripted routing policy. The test plays the router's exchange and
  * directory; every output and every call of the policy is written to a trace.
  */
-final class EdgeCoreHarness implements Out, CallRouter {
-    static final Hop ROUTER = new Hop(false, "r", 1);
-    static final Hop EXCHANGE = new Hop(false, "x", 2);
-    static final Hop DIRECTORY = new Hop(false, "d", 3);
-    static final Hop FAR_ROUTER = new Hop(false, "far", 4);
+final class EdgeCoreHarness implements SipOutput, CallRouter {
+    static final TransportAddress ROUTER = new TransportAddress(false, "r", 1);
+    static final TransportAddress EXCHANGE = new TransportAddress(false, "x", 2);
+    static final TransportAddress DIRECTORY = new TransportAddress(false, "d", 3);
+    static final TransportAddress FAR_ROUTER = new TransportAddress(false, "far", 4);
 
     final EdgeCore core;
     private final ArrayDeque<RoutingDecision> decisions = new ArrayDeque<>();
@@ -42,7 +42,7 @@
     private final Map<String, SipMessage> subscribesByEvent = new HashMap<>();
     private boolean wantsSubscription = true;
     private SipMessage lastInvite;
-    private Hop lastInviteTo = EXCHANGE;
+    private TransportAddress lastInviteTo = EXCHANGE;
     private SipMessage lastResponse;
     private SipMessage firstInviteOk;
     private long now = 1_000_000;
@@ -102,7 +102,7 @@
     }
 
     /** Delivers a NOTIFY in the dialog of the last subscription to this event. */
-    EdgeCoreHarness notify(Hop from, String event, String body) {
+    EdgeCoreHarness notify(TransportAddress from, String event, String body) {
         return receive(from, notifyRequest(event, body));
     }
 
@@ -124,7 +124,7 @@
      */
     EdgeCoreHarness answerSubscribe(String event, int status, String... extraHeaders) {
         SipMessage reply =
-                SipMessage.reply(subscribesByEvent.get(event), status, "x", "d")
+                SipMessage.responseTo(subscribesByEvent.get(event), status, "x", "d")
                         .set(
                                 "To",
                                 subscribesByEvent.get(event).header("To")
@@ -145,8 +145,8 @@
     /** Advances the time, running the timers that expire. */
     EdgeCoreHarness advance(long millis) {
         long end = now + millis * 1000;
-        while (core.due() <= end) {
-            now = Math.max(now, core.due());
+        while (core.nextTickAt() <= end) {
+            now = Math.max(now, core.nextTickAt());
             core.tick(now, this);
         }
         now = end;
@@ -202,7 +202,7 @@
     EdgeCoreHarness dial(String call, String number, long timeLeft) {
         return receiveText(
                 EXCHANGE,
-                new String(invite(call, 0, timeLeft).bytes(), StandardCharsets.UTF_8)
+                new String(invite(call, 0, timeLeft).encode(), StandardCharsets.UTF_8)
                         .replace("sip:77@r:1", "sip:" + number + "@r:1")
                         .replaceFirst("X-Far-End: \\d+\r\n", ""));
     }
@@ -234,17 +234,17 @@
     }
 
     /** Delivers a message to the router. */
-    EdgeCoreHarness receive(Hop from, SipMessage message) {
-        return receiveText(from, new String(message.bytes(), StandardCharsets.UTF_8));
+    EdgeCoreHarness receive(TransportAddress from, SipMessage message) {
+        return receiveText(from, new String(message.encode(), StandardCharsets.UTF_8));
     }
 
     /** Delivers a text to the router, whether it is a SIP message or not. */
-    EdgeCoreHarness receiveText(Hop from, String text) {
+    EdgeCoreHarness receiveText(TransportAddress from, String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         try {
             core.receive(now, from, SipParser.parse(bytes, 0, bytes.length), this);
-        } catch (BadMessage e) {
-            core.malformed(now, from, e, this);
+        } catch (MalformedMessageException e) {
+            core.malformedReceived(now, from, e, this);
         }
         return this;
     }
@@ -278,7 +278,7 @@
     /** Answers the last INVITE sent; extra headers are names and values in turn. */
     EdgeCoreHarness answerInvite(int status, String... extraHeaders) {
         SipMessage reply =
-                SipMessage.reply(lastInvite, status, "x", "far").add("Contact", "<sip:far:4>");
+                SipMessage.responseTo(lastInvite, status, "x", "far").add("Contact", "<sip:far:4>");
         for (int i = 0; i < extraHeaders.length; i += 2) {
             reply.add(extraHeaders[i], extraHeaders[i + 1]);
         }
@@ -297,7 +297,7 @@
     }
 
     @Override
-    public void send(Hop to, SipMessage message) {
+    public void send(TransportAddress to, SipMessage message) {
         StringBuilder line = new StringBuilder("-> ").append(to.host()).append(' ');
         line.append(
                 message.isRequest()
--- a/src/test/java/coralcove/edge/EdgeCoreTest.java
+++ b/src/test/java/coralcove/edge/EdgeCoreTest.java
@@ -214,7 +214,7 @@
             harness.policyDecides(RoutingDecision.send(101 + i % 2, 900_000))
                     .call("c" + i, 1 + i % 2, 3_000_000);
         }
-        assertThat(harness.core.agent().counters()).containsEntry("too-many-open", 1L);
+        assertThat(harness.core.userAgent().counters()).containsEntry("too-many-open", 1L);
     }
 
     @Test
@@ -238,7 +238,7 @@
                     .append(InviteOutcomes.fromResponse(SipMessage.status(status, "x"), null))
                     .append('\n');
         }
-        for (var lost : coralcove.sip.dialog.Agent.Lost.values()) {
+        for (var lost : coralcove.sip.dialog.UserAgent.CallFailure.values()) {
             table.append("no answer, ")
                     .append(lost)
                     .append(": ")
--- a/src/test/java/coralcove/exchange/ProcessorTest.java
+++ b/src/test/java/coralcove/exchange/ProcessorTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.within;
 
-import coralcove.sip.Timers;
+import coralcove.sip.TimerWheel;
 import coralcove.theory.SingleServerQueue;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
@@ -16,7 +16,7 @@
     void meanWaitMatchesTheSingleServerQueue() {
         for (double utilization : new double[] {0.3, 0.6, 0.85}) {
             SplittableRandom random = new SplittableRandom(7);
-            Processor processor = new Processor(new Timers(), 0, 1, 1);
+            Processor processor = new Processor(new TimerWheel(), 0, 1, 1);
             // Three service times, in µs.
             long[] serviceTimes = {300, 1000, 4000};
             double mean = (300 + 1000 + 4000) / 3.0;
--- a/src/test/java/coralcove/judge/JudgeTest.java
+++ b/src/test/java/coralcove/judge/JudgeTest.java
@@ -3,15 +3,15 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import coralcove.protocol.InviteOutcomes;
-import coralcove.sip.Hop;
 import coralcove.sip.SipMessage;
+import coralcove.sip.TransportAddress;
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
 /** Captures that just break a rule, each paired with one that just complies with it. */
 class JudgeTest {
     private static final long MS = 1000;
-    private static final Hop EXCHANGE = new Hop(true, "x", 2);
+    private static final TransportAddress EXCHANGE = new TransportAddress(true, "x", 2);
     private static final String NODE = "edge-1";
 
     /**
@@ -41,12 +41,12 @@
     }
 
     private JudgeTest received(long at, SipMessage message) {
-        judge.onMessage(at * MS, NODE, false, EXCHANGE, message.bytes());
+        judge.onMessage(at * MS, NODE, false, EXCHANGE, message.encode());
         return this;
     }
 
     private JudgeTest sent(long at, SipMessage message) {
-        judge.onMessage(at * MS, NODE, true, EXCHANGE, message.bytes());
+        judge.onMessage(at * MS, NODE, true, EXCHANGE, message.encode());
         return this;
     }
 
@@ -63,11 +63,11 @@
     }
 
     private JudgeTest answer(long at, int status, String tag) {
-        return sent(at, SipMessage.reply(invite("in", "s", 2000), status, "x", tag));
+        return sent(at, SipMessage.responseTo(invite("in", "s", 2000), status, "x", tag));
     }
 
     private JudgeTest reply(long at, String call, int status, int cause) {
-        SipMessage reply = SipMessage.reply(invite(call, "s", 0), status, "x", "t");
+        SipMessage reply = SipMessage.responseTo(invite(call, "s", 0), status, "x", "t");
         return received(
                 at,
                 cause == 0 ? reply : reply.add("Reason", InviteOutcomes.reasonHeader(cause, "t")));
@@ -343,7 +343,7 @@
                     "edge-2",
                     true,
                     EXCHANGE,
-                    message("SUBSCRIBE", "d", "").add("Event", "exchanges").bytes());
+                    message("SUBSCRIBE", "d", "").add("Event", "exchanges").encode());
             judge.onMessage(
                     60 * MS,
                     "edge-2",
@@ -357,13 +357,13 @@
                                     "text/plain",
                                     "epoch e version 1 whole\n101 1 ready 50000 1 0 udp:r:1\n"
                                             .getBytes(StandardCharsets.UTF_8))
-                            .bytes());
+                            .encode());
         }
         for (int i = 0; i < setUps; i++) {
             SipMessage invite =
                     invite("c" + i, "c" + i, 2000).set("X-Far-End", "1").add("X-Origin", "2");
             received(100 + i * 90, invite)
-                    .sent(101 + i * 90, SipMessage.reply(invite, 480, "x", "t"));
+                    .sent(101 + i * 90, SipMessage.responseTo(invite, 480, "x", "t"));
         }
         return this;
     }
--- a/src/test/java/coralcove/network/LiveNetworkTest.java
+++ b/src/test/java/coralcove/network/LiveNetworkTest.java
@@ -3,16 +3,16 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import coralcove.sip.BadMessage;
-import coralcove.sip.Hop;
-import coralcove.sip.Out;
+import coralcove.sip.MalformedMessageException;
 import coralcove.sip.SipMessage;
-import coralcove.sip.dialog.Agent;
-import coralcove.sip.dialog.AgentCore;
+import coralcove.sip.SipOutput;
+import coralcove.sip.TransportAddress;
 import coralcove.sip.dialog.Call;
-import coralcove.sip.transaction.ClientTx;
-import coralcove.sip.transaction.ServerTx;
-import coralcove.sip.transport.Sockets;
+import coralcove.sip.dialog.UserAgent;
+import coralcove.sip.dialog.UserAgentCore;
+import coralcove.sip.transaction.ClientTransaction;
+import coralcove.sip.transaction.ServerTransaction;
+import coralcove.sip.transport.SipTransport;
 import java.io.IOException;
 import java.io.OutputStream;
 import java.net.InetAddress;
@@ -39,76 +39,85 @@
      * A user agent that calls {@code to} when it starts, if that is given; otherwise it answers
      * calls and hangs up once the answer is acknowledged.
      */
-    private static final class UserAgent extends AgentCore {
+    private static final class Phone extends UserAgentCore {
         final BlockingQueue<String> events = new LinkedBlockingQueue<>();
-        final Hop calledAddress;
+        final TransportAddress calledAddress;
 
-        UserAgent(Hop self, Hop to, String seed) {
+        Phone(TransportAddress self, TransportAddress to, String seed) {
             super(self, seed);
             this.calledAddress = to;
         }
 
         @Override
-        public void start(long now, Out out) {
+        public void start(long now, SipOutput out) {
             if (calledAddress != null) {
-                SipMessage invite = agent.request("INVITE", "sip:7@there");
+                SipMessage invite = userAgent.createRequest("INVITE", "sip:7@there");
                 invite.add("X-Long", "y".repeat(calledAddress.tcp() ? 3000 : 10));
-                agent.invite(now, invite, calledAddress, this, out);
+                userAgent.invite(now, invite, calledAddress, this, out);
             }
         }
 
         @Override
-        public void malformed(long now, Hop from, BadMessage problem, Out out) {
+        public void malformedReceived(
+                long now, TransportAddress from, MalformedMessageException problem, SipOutput out) {
             events.add("malformed");
-            super.malformed(now, from, problem, out);
+            super.malformedReceived(now, from, problem, out);
         }
 
         @Override
-        public void broken(long now, Hop peer, boolean refused, Out out) {
+        public void connectionFailed(
+                long now, TransportAddress peer, boolean refused, SipOutput out) {
             events.add(refused ? "refused" : "broken");
-            super.broken(now, peer, refused, out);
+            super.connectionFailed(now, peer, refused, out);
         }
 
         @Override
-        public void invited(long now, Call call, Hop from, Out out) {
+        public void callReceived(long now, Call call, TransportAddress from, SipOutput out) {
             events.add("invited");
-            agent.progress(now, call, 180, "Ringing", out);
-            agent.answer(now, call, out);
+            userAgent.sendProvisional(now, call, 180, "Ringing", out);
+            userAgent.answer(now, call, out);
         }
 
         @Override
-        public void progressed(long now, Call call, SipMessage response, Out out) {
+        public void provisionalReceived(long now, Call call, SipMessage response, SipOutput out) {
             events.add("ringing");
         }
 
         @Override
-        public void answered(long now, Call call, SipMessage response, Out out) {
+        public void callAnswered(long now, Call call, SipMessage response, SipOutput out) {
             events.add("answered");
-            agent.bye(now, call, null, out);
+            userAgent.bye(now, call, null, out);
         }
 
         @Override
-        public void rejected(long now, Call call, SipMessage response, Agent.Lost lost, Out out) {
+        public void callFailed(
+                long now,
+                Call call,
+                SipMessage response,
+                UserAgent.CallFailure lost,
+                SipOutput out) {
             events.add("rejected " + lost);
         }
 
         @Override
-        public void cancelled(long now, Call call, Out out) {
+        public void callCancelled(long now, Call call, SipOutput out) {
             events.add("cancelled");
         }
 
         @Override
-        public void hungUp(long now, Call call, SipMessage bye, Out out) {
+        public void callEnded(long now, Call call, SipMessage bye, SipOutput out) {
             events.add("hung up");
         }
 
         @Override
-        public void request(long now, ServerTx tx, Hop from, Out out) {
-            agent.respond(now, tx, agent.reply(tx, 200, "OK"), out);
+        public void requestReceived(
+                long now, ServerTransaction tx, TransportAddress from, SipOutput out) {
+            userAgent.respond(now, tx, userAgent.createResponse(tx, 200, "OK"), out);
         }
 
         @Override
-        public void replied(long now, ClientTx tx, SipMessage response, Out out) {
+        public void responseReceived(
+                long now, ClientTransaction tx, SipMessage response, SipOutput out) {
             events.add("replied");
         }
 
@@ -131,11 +140,11 @@
     }
 
     private void assertCallCompletes(boolean tcp, String host) throws Exception {
-        Hop calleeAddress = new Hop(tcp, host, freePort());
-        UserAgent callee = new UserAgent(calleeAddress, null, "b");
+        TransportAddress calleeAddress = new TransportAddress(tcp, host, freePort());
+        Phone callee = new Phone(calleeAddress, null, "b");
         network.addNode("called", calleeAddress, callee, false);
-        Hop callerAddress = new Hop(tcp, host, freePort());
-        UserAgent caller = new UserAgent(callerAddress, calleeAddress, "a");
+        TransportAddress callerAddress = new TransportAddress(tcp, host, freePort());
+        Phone caller = new Phone(callerAddress, calleeAddress, "a");
         network.addNode("caller", callerAddress, caller, false);
         caller.awaitEvents("ringing", "answered");
         callee.awaitEvents("invited", "hung up");
@@ -167,16 +176,16 @@
 
     @Test
     void reportsRefusedConnection() throws Exception {
-        Hop address = new Hop(true, "127.0.0.1", freePort());
-        UserAgent caller = new UserAgent(address, new Hop(true, "127.0.0.1", freePort()), "a");
+        TransportAddress address = new TransportAddress(true, "127.0.0.1", freePort());
+        Phone caller = new Phone(address, new TransportAddress(true, "127.0.0.1", freePort()), "a");
         network.addNode("caller", address, caller, false);
         caller.awaitEvents("refused", "rejected UNREACHABLE");
     }
 
     @Test
     void closesStreamThatIsNotSip() throws Exception {
-        Hop address = new Hop(true, "127.0.0.1", freePort());
-        UserAgent phone = new UserAgent(address, null, "a");
+        TransportAddress address = new TransportAddress(true, "127.0.0.1", freePort());
+        Phone phone = new Phone(address, null, "a");
         network.addNode("phone", address, phone, false);
         try (Socket socket = new Socket("127.0.0.1", address.port())) {
             OutputStream out = socket.getOutputStream();
@@ -201,21 +210,24 @@
                 // The backlog is full: further connection attempts stay pending.
             }
             CompletableFuture<String> disconnectReason = new CompletableFuture<>();
-            Sockets.Listener listener =
-                    new Sockets.Listener() {
+            SipTransport.Listener listener =
+                    new SipTransport.Listener() {
                         @Override
-                        public void read(Hop from, byte[] bytes) {}
+                        public void messageReceived(TransportAddress from, byte[] bytes) {}
 
                         @Override
-                        public void broken(Hop peer, boolean refused) {}
+                        public void connectionFailed(TransportAddress peer, boolean refused) {}
 
                         @Override
-                        public void cutOff(Hop peer, String reason) {
+                        public void peerCutOff(TransportAddress peer, String reason) {
                             disconnectReason.complete(reason);
                         }
                     };
-            try (Sockets sockets = new Sockets(new Hop(false, "127.0.0.1", freePort()), listener)) {
-                Hop destination = new Hop(true, "127.0.0.1", notAccepting.getLocalPort());
+            try (SipTransport sockets =
+                    new SipTransport(
+                            new TransportAddress(false, "127.0.0.1", freePort()), listener)) {
+                TransportAddress destination =
+                        new TransportAddress(true, "127.0.0.1", notAccepting.getLocalPort());
                 for (int i = 0; i < 70; i++) {
                     sockets.send(destination, new byte[1 << 16]);
                 }
@@ -234,8 +246,8 @@
      */
     @Test
     void disconnectsMisbehavingPeersAndServesOthers() throws Exception {
-        Hop address = new Hop(true, "127.0.0.1", freePort());
-        UserAgent phone = new UserAgent(address, null, "a");
+        TransportAddress address = new TransportAddress(true, "127.0.0.1", freePort());
+        Phone phone = new Phone(address, null, "a");
         network.addNode("phone", address, phone, false);
         String options =
                 "OPTIONS sip:a@b SIP/2.0\r\n"
@@ -272,8 +284,8 @@
             }
             assertThat(disconnected).isTrue();
         }
-        Hop callerAddress = new Hop(true, "127.0.0.1", freePort());
-        UserAgent caller = new UserAgent(callerAddress, address, "c");
+        TransportAddress callerAddress = new TransportAddress(true, "127.0.0.1", freePort());
+        Phone caller = new Phone(callerAddress, address, "c");
         network.addNode("caller", callerAddress, caller, false);
         caller.awaitEvents("ringing", "answered");
     }
@@ -281,14 +293,12 @@
     @Test
     void reportsAddressInUse() throws Exception {
         try (ServerSocket boundSocket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            Hop address = new Hop(true, "127.0.0.1", boundSocket.getLocalPort());
+            TransportAddress address =
+                    new TransportAddress(true, "127.0.0.1", boundSocket.getLocalPort());
             assertThatThrownBy(
                             () ->
                                     network.addNode(
-                                            "phone",
-                                            address,
-                                            new UserAgent(address, null, "a"),
-                                            false))
+                                            "phone", address, new Phone(address, null, "a"), false))
                     .hasMessageContaining("127.0.0.1:" + boundSocket.getLocalPort());
         }
     }
--- a/src/test/java/coralcove/platform/RouterCoreHarness.java
+++ b/src/test/java/coralcove/platform/RouterCoreHarness.java
@@ -186,7 +186,7 @@
 
     void exchangeSends(long id, SipMessage message) {
         note("leg " + id + " -> " + describe(message));
-        core.exchangeRead(now, id, message.bytes());
+        core.exchangeRead(now, id, message.encode());
         processAll();
     }
 
@@ -219,7 +219,7 @@
                         .add("Call-ID", "0000000000000000")
                         .add("CSeq", "1 NOTIFY")
                         .add("Link-State", state)
-                        .bytes());
+                        .encode());
     }
 
     static SipMessage status(int status, String reason, long call) {
--- a/src/test/java/coralcove/platform/RouterCoreTest.java
+++ b/src/test/java/coralcove/platform/RouterCoreTest.java
@@ -144,7 +144,7 @@
         long connection = connectionOf(0x12);
         String next =
                 new String(
-                        RouterCoreHarness.ok(0x99).bytes(),
+                        RouterCoreHarness.ok(0x99).encode(),
                         java.nio.charset.StandardCharsets.US_ASCII);
         harness.exchangeSendsRaw(
                 connection,
@@ -951,11 +951,11 @@
         harness.core.exchangeRead(
                 harness.now(),
                 connectionOf(0xd1),
-                RouterCoreHarness.status(480, "x", 0xd1).add("Fail-Word", "blocked").bytes());
+                RouterCoreHarness.status(480, "x", 0xd1).add("Fail-Word", "blocked").encode());
         harness.core.exchangeRead(
                 harness.now(),
                 connectionOf(0xd2),
-                RouterCoreHarness.status(480, "x", 0xd2).add("Fail-Word", "blocked").bytes());
+                RouterCoreHarness.status(480, "x", 0xd2).add("Fail-Word", "blocked").encode());
         harness.core.callerRead(
                 harness.now(),
                 1,
@@ -1008,7 +1008,7 @@
                                         1499,
                                         RouterCoreHarness.SDP.getBytes(
                                                 java.nio.charset.StandardCharsets.US_ASCII))
-                                .bytes())
+                                .encode())
                 .asString()
                 .isEqualTo(
                         "INVITE sip:7f3a9c21e0b4d655@net SIP/2.0\r\n"
--- a/src/test/java/coralcove/platform/leg/SignalingTest.java
+++ b/src/test/java/coralcove/platform/leg/SignalingTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import coralcove.sip.BadMessage;
+import coralcove.sip.MalformedMessageException;
 import coralcove.sip.SipMessage;
 import coralcove.sip.SipParser;
 import coralcove.sip.StreamFramer;
@@ -59,7 +59,8 @@
                         + "Link-State: x0:1;x1:2\r\n"
                         + "Content-Length: 0\r\n\r\n";
         assertThat(
-                        SipParser.parseBare(notify.getBytes(StandardCharsets.US_ASCII))
+                        SipParser.parseWithoutMandatoryHeaders(
+                                        notify.getBytes(StandardCharsets.US_ASCII))
                                 .header("Link-State"))
                 .isEqualTo("x0:1;x1:2");
         assertThat(
@@ -71,13 +72,13 @@
         assertThat(isRejected("SIP/2.0 xx OK\r\nContent-Length: 0\r\n\r\n")).isTrue();
         List<byte[]> messages = new ArrayList<>();
         StreamFramer framer = new StreamFramer(200);
-        framer.take(notify.getBytes(StandardCharsets.US_ASCII), 0, notify.length(), messages::add);
+        framer.feed(notify.getBytes(StandardCharsets.US_ASCII), 0, notify.length(), messages::add);
         assertThat(messages).hasSize(1);
-        assertThat(framer.partial()).isFalse();
+        assertThat(framer.hasPartialMessage()).isFalse();
         byte[] unterminated = "x".repeat(300).getBytes(StandardCharsets.US_ASCII);
         org.assertj.core.api.Assertions.assertThatThrownBy(
-                        () -> framer.take(unterminated, 0, 300, messages::add))
-                .isInstanceOf(BadMessage.class);
+                        () -> framer.feed(unterminated, 0, 300, messages::add))
+                .isInstanceOf(MalformedMessageException.class);
     }
 
     @Test
@@ -108,9 +109,9 @@
 
     private static boolean isRejected(String text) {
         try {
-            SipParser.parseBare(text.getBytes(StandardCharsets.ISO_8859_1));
+            SipParser.parseWithoutMandatoryHeaders(text.getBytes(StandardCharsets.ISO_8859_1));
             return false;
-        } catch (BadMessage e) {
+        } catch (MalformedMessageException e) {
             return true;
         }
     }
--- a/src/test/java/coralcove/platform/live/SessionRouterHarness.java
+++ b/src/test/java/coralcove/platform/live/SessionRouterHarness.java
@@ -53,14 +53,16 @@
                         for (int count = socket.getInputStream().read(buffer);
                                 count > 0;
                                 count = socket.getInputStream().read(buffer)) {
-                            framer.take(
+                            framer.feed(
                                     buffer,
                                     0,
                                     count,
                                     messageBytes -> {
                                         try {
-                                            received.add(SipParser.parseBare(messageBytes));
-                                        } catch (coralcove.sip.BadMessage e) {
+                                            received.add(
+                                                    SipParser.parseWithoutMandatoryHeaders(
+                                                            messageBytes));
+                                        } catch (coralcove.sip.MalformedMessageException e) {
                                             throw new IllegalStateException(e);
                                         }
                                     });
@@ -72,7 +74,7 @@
         void send(SipMessage... messages) throws IOException {
             ByteArrayOutputStream joined = new ByteArrayOutputStream();
             for (SipMessage message : messages) {
-                joined.write(message.bytes());
+                joined.write(message.encode());
             }
             socket.getOutputStream().write(joined.toByteArray());
         }
--- a/src/test/java/coralcove/rehearsal/DirectoryFaultTest.java
+++ b/src/test/java/coralcove/rehearsal/DirectoryFaultTest.java
@@ -9,7 +9,7 @@
 import coralcove.edge.EdgeSettings;
 import coralcove.network.Network;
 import coralcove.network.VirtualNetwork;
-import coralcove.sip.Hop;
+import coralcove.sip.TransportAddress;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -137,7 +137,11 @@
                 new Network.MessageObserver() {
                     @Override
                     public void onMessage(
-                            long now, String node, boolean out, Hop peer, byte[] bytes) {
+                            long now,
+                            String node,
+                            boolean out,
+                            TransportAddress peer,
+                            byte[] bytes) {
                         String text = new String(bytes, java.nio.charset.StandardCharsets.UTF_8);
                         if (!out
                                 && text.startsWith("SUBSCRIBE")
@@ -147,7 +151,8 @@
                     }
 
                     @Override
-                    public void onStreamFailure(long now, String node, Hop peer, boolean refused) {}
+                    public void onStreamFailure(
+                            long now, String node, TransportAddress peer, boolean refused) {}
                 };
         VirtualNetwork network =
                 new VirtualNetwork(
@@ -157,7 +162,7 @@
                         Map.of(),
                         tap,
                         null);
-        Hop directoryAddress = new Hop(false, "127.0.0.1", 9000);
+        TransportAddress directoryAddress = new TransportAddress(false, "127.0.0.1", 9000);
         SimulatedDirectory.NotificationDelays delays =
                 new SimulatedDirectory.NotificationDelays(1_000_000, 8_000_000, 800_000);
         network.addNode(
@@ -167,13 +172,13 @@
                 true);
         List<EdgeCore> routers = new ArrayList<>();
         for (int i = 0; i < 94; i++) {
-            Hop routerAddress = new Hop(false, "127.0.0.1", 10_000 + i);
+            TransportAddress routerAddress = new TransportAddress(false, "127.0.0.1", 10_000 + i);
             EdgeCore core =
                     new EdgeCore(
                             new EdgeSettings(
                                     i,
                                     routerAddress,
-                                    new Hop(false, "127.0.0.1", 20_000 + i),
+                                    new TransportAddress(false, "127.0.0.1", 20_000 + i),
                                     List.of(directoryAddress),
                                     scenario.settings(0),
                                     20_000,
--- a/src/test/java/coralcove/sip/GrammarOracleTest.java
+++ b/src/test/java/coralcove/sip/GrammarOracleTest.java
@@ -98,10 +98,10 @@
         if (message.isRequest()) {
             found.add("uri " + message.uri());
         }
-        for (Field field : message.fields()) {
+        for (HeaderField field : message.fields()) {
             switch (field.name()) {
                 case "Via" -> {
-                    String value = Params.of(field.value()).value();
+                    String value = ParameterizedValue.parse(field.value()).value();
                     String sentBy = value.substring(value.lastIndexOf(' ') + 1).strip();
                     found.add(
                             "via "
@@ -110,7 +110,8 @@
                                             : sentBy.replaceFirst(":.*", "")));
                 }
                 case "Call-ID" -> found.add("call " + field.value());
-                case "CSeq" -> found.add("cseq " + message.sequence() + " " + message.cseqMethod());
+                case "CSeq" ->
+                        found.add("cseq " + message.cseqNumber() + " " + message.cseqMethod());
                 default -> {
                     if (!COMPARED_SEPARATELY.contains(field.name())) {
                         found.add("other " + field.name().toLowerCase(java.util.Locale.ROOT));
@@ -163,7 +164,7 @@
                     assertThat(maskedActual)
                             .as(new String(bytes, StandardCharsets.ISO_8859_1))
                             .isEqualTo(maskedExpected);
-                } catch (BadMessage e) {
+                } catch (MalformedMessageException e) {
                     assertThat(isStatedRejection(e.getMessage()))
                             .as(
                                     e.getMessage()
--- a/src/test/java/coralcove/sip/SipFuzz.java
+++ b/src/test/java/coralcove/sip/SipFuzz.java
@@ -8,8 +8,8 @@
 
 /**
  * The fuzz target for the parser and the stream framer, with the entry point that Jazzer calls. For
- * any bytes: only {@link BadMessage} is thrown, a valid message is the same after encoding and
- * parsing, and a stream yields the same messages wherever it is split.
+ * any bytes: only {@link MalformedMessageException} is thrown, a valid message is the same after
+ * encoding and parsing, and a stream yields the same messages wherever it is split.
  */
 public final class SipFuzz {
     private SipFuzz() {}
@@ -23,14 +23,14 @@
         SipMessage message;
         try {
             message = SipParser.parse(data, 0, data.length);
-        } catch (BadMessage e) {
+        } catch (MalformedMessageException e) {
             if (e.getMessage().isEmpty()) {
                 throw new IllegalStateException("malformed message without a reason");
             }
             return;
         }
         try {
-            byte[] bytes = message.bytes();
+            byte[] bytes = message.encode();
             if (message.encodedLength() != bytes.length) {
                 throw new IllegalStateException(
                         "encoded length is "
@@ -40,15 +40,15 @@
             }
             if (bytes.length <= SipParser.MAX_MESSAGE_BYTES) {
                 SipMessage again = SipParser.parse(bytes, 0, bytes.length);
-                if (!Arrays.equals(again.bytes(), bytes)) {
+                if (!Arrays.equals(again.encode(), bytes)) {
                     throw new IllegalStateException("a message differs after encoding and parsing");
                 }
             }
-            message.sequence();
+            message.cseqNumber();
             message.toTag();
-            SipUri.of(message.header("Contact", message.uri()));
-            Params.of(message.header("Reason", ""));
-        } catch (BadMessage e) {
+            SipUri.parse(message.header("Contact", message.uri()));
+            ParameterizedValue.parse(message.header("Reason", ""));
+        } catch (MalformedMessageException e) {
             throw new IllegalStateException(
                     "an encoded message cannot be parsed: " + e.getMessage());
         }
@@ -75,10 +75,10 @@
         StreamFramer framer = new StreamFramer();
         try {
             for (int at = 0; at < data.length; at += step) {
-                framer.take(data, at, Math.min(step, data.length - at), found::add);
+                framer.feed(data, at, Math.min(step, data.length - at), found::add);
             }
             return false;
-        } catch (BadMessage e) {
+        } catch (MalformedMessageException e) {
             return true;
         }
     }
--- a/src/test/java/coralcove/sip/SipFuzzTest.java
+++ b/src/test/java/coralcove/sip/SipFuzzTest.java
@@ -28,7 +28,7 @@
                                 + "Content-Length: 0\r\n\r\n")
                         .getBytes(java.nio.charset.StandardCharsets.ISO_8859_1);
         org.assertj.core.api.Assertions.assertThat(
-                        SipParser.parse(latin1, 0, latin1.length).bytes())
+                        SipParser.parse(latin1, 0, latin1.length).encode())
                 .isEqualTo(latin1);
     }
 
--- a/src/test/java/coralcove/sip/SipParserTest.java
+++ b/src/test/java/coralcove/sip/SipParserTest.java
@@ -18,13 +18,13 @@
     private static final String VIA_HEADER =
             "v: SIP/2.0/UDP a:5062;branch=z9hG4bKq;rport, SIP/2.0/TCP [::1];branch=z9hG4bKr\r\n";
 
-    static SipMessage parse(String text) throws BadMessage {
+    static SipMessage parse(String text) throws MalformedMessageException {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         return SipParser.parse(bytes, 0, bytes.length);
     }
 
     @Test
-    void parsesFoldingCompactNamesListsAndQuotes() throws BadMessage {
+    void parsesFoldingCompactNamesListsAndQuotes() throws MalformedMessageException {
         SipMessage message =
                 parse(
                         REQUEST_LINE
@@ -36,17 +36,17 @@
                                 + "X-Odd: kept;as=is\r\n\r\n"
                                 + "body");
         assertThat(message.headers("Via")).hasSize(2);
-        Via via = Via.of(message.header("Via"));
+        Via via = Via.parse(message.header("Via"));
         assertThat(via.branch()).isEqualTo("z9hG4bKq");
-        assertThat(Via.of(message.headers("Via").get(1)).host()).isEqualTo("[::1]");
+        assertThat(Via.parse(message.headers("Via").get(1)).host()).isEqualTo("[::1]");
         assertThat(message.header("Subject")).isEqualTo("one two three");
         assertThat(message.fromTag()).isEqualTo("1");
-        assertThat(message.sequence()).isEqualTo(7);
-        assertThat(message.text()).isEqualTo("body");
-        SipUri uri = SipUri.of(message.uri());
+        assertThat(message.cseqNumber()).isEqualTo(7);
+        assertThat(message.bodyText()).isEqualTo("body");
+        SipUri uri = SipUri.parse(message.uri());
         assertThat(uri.user()).isEqualTo("77");
-        assertThat(uri.hop()).isEqualTo(new Hop(true, "h", 5061));
-        SipMessage reparsed = parse(new String(message.bytes(), StandardCharsets.UTF_8));
+        assertThat(uri.transportAddress()).isEqualTo(new TransportAddress(true, "h", 5061));
+        SipMessage reparsed = parse(new String(message.encode(), StandardCharsets.UTF_8));
         assertThat(reparsed.fields()).containsAll(message.fields());
     }
 
@@ -64,7 +64,8 @@
     void hasNoPartialMessageWithoutStartLine(String text) {
         assertThatThrownBy(() -> parse(text))
                 .isInstanceOfSatisfying(
-                        BadMessage.class, e -> assertThat(e.partialMessage()).isNull());
+                        MalformedMessageException.class,
+                        e -> assertThat(e.partialMessage()).isNull());
     }
 
     @ParameterizedTest
@@ -87,12 +88,12 @@
                         + "\r\n";
         assertThatThrownBy(() -> parse(text))
                 .isInstanceOfSatisfying(
-                        BadMessage.class,
+                        MalformedMessageException.class,
                         e -> assertThat(e.partialMessage().callId()).isEqualTo("x"));
     }
 
     @Test
-    void framesSameMessagesWhereverStreamIsSplit() throws BadMessage {
+    void framesSameMessagesWhereverStreamIsSplit() throws MalformedMessageException {
         byte[] first =
                 (REQUEST_LINE + VIA_HEADER + COMMON_HEADERS + "l: 4\r\n\r\nbody")
                         .getBytes(StandardCharsets.UTF_8);
@@ -106,14 +107,14 @@
         for (int split = 0; split <= both.length; split++) {
             List<byte[]> found = new ArrayList<>();
             StreamFramer framer = new StreamFramer();
-            framer.take(both, 0, split, found::add);
-            framer.take(both, split, both.length - split, found::add);
+            framer.feed(both, 0, split, found::add);
+            framer.feed(both, split, both.length - split, found::add);
             assertThat(found).as("split at %d", split).containsExactly(first, second);
         }
         List<byte[]> found = new ArrayList<>();
         StreamFramer bytewiseFramer = new StreamFramer();
         for (int i = 0; i < both.length; i++) {
-            bytewiseFramer.take(both, i, 1, found::add);
+            bytewiseFramer.feed(both, i, 1, found::add);
         }
         assertThat(found).containsExactly(first, second);
     }
@@ -126,13 +127,13 @@
         assertThatThrownBy(
                         () ->
                                 new StreamFramer()
-                                        .take(withoutLength, 0, withoutLength.length, m -> {}))
-                .isInstanceOf(BadMessage.class)
+                                        .feed(withoutLength, 0, withoutLength.length, m -> {}))
+                .isInstanceOf(MalformedMessageException.class)
                 .hasMessageContaining("Content-Length");
         byte[] endless = new byte[SipParser.MAX_MESSAGE_BYTES + 1];
         java.util.Arrays.fill(endless, (byte) 'a');
-        assertThatThrownBy(() -> new StreamFramer().take(endless, 0, endless.length, m -> {}))
-                .isInstanceOf(BadMessage.class)
+        assertThatThrownBy(() -> new StreamFramer().feed(endless, 0, endless.length, m -> {}))
+                .isInstanceOf(MalformedMessageException.class)
                 .hasMessageContaining("longer");
     }
 }
--- a/src/test/java/coralcove/sip/TimersTest.java
+++ b/src/test/java/coralcove/sip/TimersTest.java
@@ -17,8 +17,8 @@
     void firesInOrderOfASortedMap() {
         for (int seed = 0; seed < 60; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            Timers timers = new Timers();
-            TreeMap<Long, TreeMap<Integer, Timers.Timer>> reference = new TreeMap<>();
+            TimerWheel timers = new TimerWheel();
+            TreeMap<Long, TreeMap<Integer, TimerWheel.Timer>> reference = new TreeMap<>();
             List<Integer> fired = new ArrayList<>();
             List<Integer> expected = new ArrayList<>();
             long now = seed % 2 == 0 ? 0 : 1_700_000_000_000_000L;
@@ -29,7 +29,7 @@
                     int id = step;
                     reference
                             .computeIfAbsent(at, t -> new TreeMap<>())
-                            .put(id, timers.set(at, (n, o) -> fired.add(id)));
+                            .put(id, timers.schedule(at, (n, o) -> fired.add(id)));
                 } else if (action < 8 && !reference.isEmpty()) {
                     Long deadline = reference.ceilingKey(now + random.nextLong(1 << 20));
                     deadline = deadline == null ? reference.firstKey() : deadline;
@@ -37,7 +37,7 @@
                     reference.computeIfPresent(deadline, (t, map) -> map.isEmpty() ? null : map);
                 } else {
                     now += random.nextLong(1L << random.nextInt(1, 34));
-                    timers.run(now, null);
+                    timers.fireExpired(now, null);
                     while (!reference.isEmpty() && reference.firstKey() <= now) {
                         expected.addAll(reference.pollFirstEntry().getValue().keySet());
                     }
@@ -53,18 +53,18 @@
 
     @Test
     void allowsTaskToSetOrCancelTimersOfSameDeadline() {
-        Timers timers = new Timers();
+        TimerWheel timers = new TimerWheel();
         List<String> fired = new ArrayList<>();
-        Timers.Timer[] second = new Timers.Timer[1];
-        timers.set(
+        TimerWheel.Timer[] second = new TimerWheel.Timer[1];
+        timers.schedule(
                 10,
                 (now, out) -> {
                     fired.add("first");
                     timers.cancel(second[0]);
-                    timers.set(now, (n, o) -> fired.add("third"));
+                    timers.schedule(now, (n, o) -> fired.add("third"));
                 });
-        second[0] = timers.set(10, (now, out) -> fired.add("second"));
-        timers.run(10, null);
+        second[0] = timers.schedule(10, (now, out) -> fired.add("second"));
+        timers.fireExpired(10, null);
         assertThat(fired).containsExactly("first", "third");
         assertThat(timers.nextDeadline()).isEqualTo(Long.MAX_VALUE);
     }
--- a/src/test/java/coralcove/sip/TortureTest.java
+++ b/src/test/java/coralcove/sip/TortureTest.java
@@ -2,10 +2,10 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import coralcove.sip.dialog.Agent;
 import coralcove.sip.dialog.Call;
-import coralcove.sip.transaction.ClientTx;
-import coralcove.sip.transaction.ServerTx;
+import coralcove.sip.dialog.UserAgent;
+import coralcove.sip.transaction.ClientTransaction;
+import coralcove.sip.transaction.ServerTransaction;
 import java.io.IOException;
 import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
@@ -18,7 +18,7 @@
  * Malformed and unusual but legal messages in the manner of RFC 4475, each with its expected
  * verdict: accepted ("good"), dropped, or answered with a status.
  */
-class TortureTest implements Out, Agent.User {
+class TortureTest implements SipOutput, UserAgent.Application {
     private final List<String> sent = new ArrayList<>();
 
     @TestFactory
@@ -51,23 +51,24 @@
     private void check(String verdict, String text) {
         byte[] bytes = toWireFormat(text);
         sent.clear();
-        Agent userAgent = new Agent(new Hop(false, "h", 1), new Timers(), "s", this);
+        UserAgent userAgent =
+                new UserAgent(new TransportAddress(false, "h", 1), new TimerWheel(), "s", this);
         String found;
         try {
             SipMessage message = SipParser.parse(bytes, 0, bytes.length);
             found = "good";
             // An accepted message is the same after encoding and parsing.
-            byte[] encoded = message.bytes();
+            byte[] encoded = message.encode();
             SipMessage reparsed = SipParser.parse(encoded, 0, encoded.length);
-            assertThat(reparsed.bytes()).isEqualTo(encoded);
+            assertThat(reparsed.encode()).isEqualTo(encoded);
             assertThat(reparsed.body()).isEqualTo(message.body());
-        } catch (BadMessage e) {
-            userAgent.malformed(0, new Hop(false, "h", 2), e, this);
+        } catch (MalformedMessageException e) {
+            userAgent.malformedReceived(0, new TransportAddress(false, "h", 2), e, this);
             found =
                     sent.isEmpty()
                             ? e.partialMessage() == null
                                             || e.partialMessage().header("Via") == null
-                                            || Via.of(e.partialMessage().header("Via")) == null
+                                            || Via.parse(e.partialMessage().header("Via")) == null
                                             || !e.partialMessage().isRequest()
                                     ? "drop"
                                     : "400-short"
@@ -77,7 +78,7 @@
     }
 
     @Override
-    public void send(Hop to, SipMessage message) {
+    public void send(TransportAddress to, SipMessage message) {
         sent.add(Integer.toString(message.status()));
     }
 
@@ -87,42 +88,49 @@
     }
 
     @Override
-    public void invited(long now, Call call, Hop from, Out out) {
+    public void callReceived(long now, Call call, TransportAddress from, SipOutput out) {
         throw new IllegalStateException();
     }
 
     @Override
-    public void progressed(long now, Call call, SipMessage response, Out out) {
+    public void provisionalReceived(long now, Call call, SipMessage response, SipOutput out) {
         throw new IllegalStateException();
     }
 
     @Override
-    public void answered(long now, Call call, SipMessage response, Out out) {
+    public void callAnswered(long now, Call call, SipMessage response, SipOutput out) {
         throw new IllegalStateException();
     }
 
     @Override
-    public void rejected(long now, Call call, SipMessage response, Agent.Lost failure, Out out) {
+    public void callFailed(
+            long now,
+            Call call,
+            SipMessage response,
+            UserAgent.CallFailure failure,
+            SipOutput out) {
         throw new IllegalStateException();
     }
 
     @Override
-    public void cancelled(long now, Call call, Out out) {
+    public void callCancelled(long now, Call call, SipOutput out) {
         throw new IllegalStateException();
     }
 
     @Override
-    public void hungUp(long now, Call call, SipMessage bye, Out out) {
+    public void callEnded(long now, Call call, SipMessage bye, SipOutput out) {
         throw new IllegalStateException();
     }
 
     @Override
-    public void request(long now, ServerTx transaction, Hop from, Out out) {
+    public void requestReceived(
+            long now, ServerTransaction transaction, TransportAddress from, SipOutput out) {
         throw new IllegalStateException();
     }
 
     @Override
-    public void replied(long now, ClientTx transaction, SipMessage response, Out out) {
+    public void responseReceived(
+            long now, ClientTransaction transaction, SipMessage response, SipOutput out) {
         throw new IllegalStateException();
     }
 }
--- a/src/test/java/coralcove/sip/TransportAddressTest.java
+++ b/src/test/java/coralcove/sip/TransportAddressTest.java
@@ -7,14 +7,15 @@
 class TransportAddressTest {
     @Test
     void normalizesIpv6Addresses() {
-        Hop parsed = SipUri.of("<sip:7@[::1]:5062;transport=tcp>").hop();
+        TransportAddress parsed =
+                SipUri.parse("<sip:7@[::1]:5062;transport=tcp>").transportAddress();
         assertThat(parsed)
-                .isEqualTo(new Hop(true, "0:0:0:0:0:0:0:1", 5062))
-                .isEqualTo(new Hop(true, "[0::1]", 5062));
-        assertThat(SipUri.of(SipUri.text("7", parsed)).hop()).isEqualTo(parsed);
-        assertThat(Via.of(Via.text(parsed, "z9hG4bK1")).responseAddress()).isEqualTo(parsed);
-        assertThat(new Hop(false, "ex12.hokkaido.example.org", 1).host())
+                .isEqualTo(new TransportAddress(true, "0:0:0:0:0:0:0:1", 5062))
+                .isEqualTo(new TransportAddress(true, "[0::1]", 5062));
+        assertThat(SipUri.parse(SipUri.format("7", parsed)).transportAddress()).isEqualTo(parsed);
+        assertThat(Via.parse(Via.format(parsed, "z9hG4bK1")).responseAddress()).isEqualTo(parsed);
+        assertThat(new TransportAddress(false, "ex12.hokkaido.example.org", 1).host())
                 .isEqualTo("ex12.hokkaido.example.org");
-        assertThat(new Hop(false, "no:address", 1).host()).isEqualTo("no:address");
+        assertThat(new TransportAddress(false, "no:address", 1).host()).isEqualTo("no:address");
     }
 }
--- a/src/test/java/coralcove/sip/dialog/DialogTest.java
+++ b/src/test/java/coralcove/sip/dialog/DialogTest.java
@@ -2,8 +2,8 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import coralcove.sip.Hop;
 import coralcove.sip.SipMessage;
+import coralcove.sip.TransportAddress;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -124,15 +124,15 @@
         SimulatedNetwork network = lossless();
         network.a.call(network.b);
         network.runFor(100);
-        network.a.userAgent.change(
+        network.a.userAgent.sendReinvite(
                 network.now, network.a.call, "text/plain", "x".getBytes(), network.a);
-        network.b.userAgent.change(
+        network.b.userAgent.sendReinvite(
                 network.now, network.b.call, "text/plain", "y".getBytes(), network.b);
         network.runFor(500);
-        network.a.userAgent.change(
+        network.a.userAgent.sendReinvite(
                 network.now, network.a.call, "text/plain", "z".getBytes(), network.a);
         assertThat(
-                        network.a.userAgent.change(
+                        network.a.userAgent.sendReinvite(
                                 network.now,
                                 network.a.call,
                                 "text/plain",
@@ -173,7 +173,7 @@
                                         : SimulatedNetwork.DELIVERED);
         network.a.call(network.b);
         network.runFor(44_900);
-        network.a.userAgent.change(
+        network.a.userAgent.sendReinvite(
                 network.now, network.a.call, "text/plain", "x".getBytes(), network.a);
         network.runFor(60_000).assertTraceEquals("dialog-refresh-meets-change");
         assertThat(network.a.userAgent.activeCallCount() + network.b.userAgent.activeCallCount())
@@ -185,8 +185,11 @@
         SimulatedNetwork network = losing("b 100 INVITE", 99);
         network.b.autoAnswer = false;
         network.a.call(network.b);
-        SipMessage forged = SipMessage.reply(network.a.call.invite, 486, "Busy", "evil");
-        network.deliver(new Hop(false, "hx", 2), new Hop(false, "ha", 1), forged.bytes());
+        SipMessage forged = SipMessage.responseTo(network.a.call.invite, 486, "Busy", "evil");
+        network.deliver(
+                new TransportAddress(false, "hx", 2),
+                new TransportAddress(false, "ha", 1),
+                forged.encode());
         network.runFor(20).assertTraceEquals("dialog-forged");
     }
 
@@ -196,9 +199,12 @@
         network.a.call(network.b);
         network.runFor(100);
         SipMessage secondOk =
-                SipMessage.reply(network.a.call.invite, 200, "OK", "other")
+                SipMessage.responseTo(network.a.call.invite, 200, "OK", "other")
                         .add("Contact", "<sip:hc:3>");
-        network.deliver(new Hop(false, "hb", 2), new Hop(false, "ha", 1), secondOk.bytes());
+        network.deliver(
+                new TransportAddress(false, "hb", 2),
+                new TransportAddress(false, "ha", 1),
+                secondOk.encode());
         network.runFor(100).assertTraceEquals("dialog-fork");
     }
 
@@ -210,19 +216,22 @@
         network.a.call(network.b);
         network.runFor(20);
         SipMessage ok =
-                SipMessage.reply(network.a.call.invite, 200, "OK", "t")
+                SipMessage.responseTo(network.a.call.invite, 200, "OK", "t")
                         .add("Contact", "<sip:9@hc:3>")
                         .add("Record-Route", "<sip:hb:2;lr>")
                         .add("Record-Route", "<sip:hp:4;lr>");
-        network.deliver(new Hop(false, "hb", 2), new Hop(false, "ha", 1), ok.bytes());
+        network.deliver(
+                new TransportAddress(false, "hb", 2),
+                new TransportAddress(false, "ha", 1),
+                ok.encode());
         Call call = network.a.call;
         network.a.userAgent.bye(
                 network.now,
                 call,
                 null,
-                new coralcove.sip.Out() {
+                new coralcove.sip.SipOutput() {
                     @Override
-                    public void send(Hop to, SipMessage message) {
+                    public void send(TransportAddress to, SipMessage message) {
                         sent.append(to)
                                 .append(' ')
                                 .append(message.uri())
@@ -247,16 +256,16 @@
             network.a.call(network.b);
             network.runFor(step == 0 ? 0 : 50);
             if (step == 2) {
-                network.b.userAgent.progress(
+                network.b.userAgent.sendProvisional(
                         network.now, network.b.call, 180, "Ringing", network.b);
                 network.runFor(20);
             }
-            boolean established = network.a.call.stands();
-            network.a.userAgent.broken(network.now, network.b.address, false, network.a);
+            boolean established = network.a.call.isEstablished();
+            network.a.userAgent.connectionFailed(network.now, network.b.address, false, network.a);
             // An established call continues, and its BYE opens a new connection; an unanswered one
             // has failed.
-            assertThat(network.a.call.stands()).isEqualTo(established).isEqualTo(step == 3);
-            assertThat(network.a.call.trying()).isFalse();
+            assertThat(network.a.call.isEstablished()).isEqualTo(established).isEqualTo(step == 3);
+            assertThat(network.a.call.isPending()).isFalse();
             if (established) {
                 network.a.userAgent.bye(network.now, network.a.call, null, network.a);
                 network.runFor(100);
--- a/src/test/java/coralcove/sip/dialog/InviteModelTest.java
+++ b/src/test/java/coralcove/sip/dialog/InviteModelTest.java
@@ -74,11 +74,11 @@
         }
 
         private boolean mayCancel() {
-            return !cancelled && network.a.call.trying();
+            return !cancelled && network.a.call.isPending();
         }
 
         private boolean mayDecide() {
-            return !decided && network.b.call != null && network.b.call.trying();
+            return !decided && network.b.call != null && network.b.call.isPending();
         }
 
         /**
@@ -157,17 +157,17 @@
             boolean answered = trace.contains("b 200 INVITE");
             boolean rejected = trace.contains("b 486 INVITE") || trace.contains("b 487 INVITE");
             assertThat(answered && rejected).as("two final answers%n%s", trace).isFalse();
-            assertThat(network.a.call.stands())
+            assertThat(network.a.call.isEstablished())
                     .as("both sides agree%n%s", trace)
-                    .isEqualTo(network.b.call != null && network.b.call.stands());
-            assertThat(cancelled && network.a.call.stands())
+                    .isEqualTo(network.b.call != null && network.b.call.isEstablished());
+            assertThat(cancelled && network.a.call.isEstablished())
                     .as("no call is established after a CANCEL%n%s", trace)
                     .isFalse();
             assertThat(count(trace, "b: invited"))
                     .as("one INVITE accepted%n%s", trace)
                     .isLessThanOrEqualTo(1);
-            establishedPaths += network.a.call.stands() ? 1 : 0;
-            unestablishedPaths += network.a.call.stands() ? 0 : 1;
+            establishedPaths += network.a.call.isEstablished() ? 1 : 0;
+            unestablishedPaths += network.a.call.isEstablished() ? 0 : 1;
         }
 
         private int count(String text, String part) {
--- a/src/test/java/coralcove/sip/dialog/SimulatedNetwork.java
+++ b/src/test/java/coralcove/sip/dialog/SimulatedNetwork.java
@@ -3,14 +3,14 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import coralcove.TraceFiles;
-import coralcove.sip.BadMessage;
-import coralcove.sip.Hop;
-import coralcove.sip.Out;
+import coralcove.sip.MalformedMessageException;
 import coralcove.sip.SipMessage;
+import coralcove.sip.SipOutput;
 import coralcove.sip.SipParser;
-import coralcove.sip.Timers;
-import coralcove.sip.transaction.ClientTx;
-import coralcove.sip.transaction.ServerTx;
+import coralcove.sip.TimerWheel;
+import coralcove.sip.TransportAddress;
+import coralcove.sip.transaction.ClientTransaction;
+import coralcove.sip.transaction.ServerTransaction;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -33,30 +33,30 @@
     static final int[] DELIVERED = {10};
 
     /** One of the two user agents; answers each call at once unless told otherwise. */
-    final class TestUserAgent implements Agent.User, Out {
+    final class TestUserAgent implements UserAgent.Application, SipOutput {
         final String name;
-        final Hop address;
-        final Timers timers = new Timers();
-        final Agent userAgent;
+        final TransportAddress address;
+        final TimerWheel timers = new TimerWheel();
+        final UserAgent userAgent;
         Call call;
         boolean autoAnswer = true;
 
         /** The status with which a re-INVITE is answered. */
         int reinviteStatus = 200;
 
-        TestUserAgent(String name, Hop address) {
+        TestUserAgent(String name, TransportAddress address) {
             this.name = name;
             this.address = address;
-            userAgent = new Agent(address, timers, name, this);
+            userAgent = new UserAgent(address, timers, name, this);
         }
 
         void call(TestUserAgent callee) {
-            SipMessage invite = userAgent.request("INVITE", "sip:7@" + callee.address.host());
+            SipMessage invite = userAgent.createRequest("INVITE", "sip:7@" + callee.address.host());
             call = userAgent.invite(now, invite, callee.address, null, this);
         }
 
         @Override
-        public void send(Hop to, SipMessage message) {
+        public void send(TransportAddress to, SipMessage message) {
             String kind =
                     message.isRequest()
                             ? message.method()
@@ -77,7 +77,7 @@
             for (int delay : delays) {
                 messagesInFlight.add(
                         new InFlightMessage(
-                                now + delay * 1000L, nextOrder++, this, to, message.bytes()));
+                                now + delay * 1000L, nextOrder++, this, to, message.encode()));
             }
         }
 
@@ -91,7 +91,8 @@
         }
 
         @Override
-        public void invited(long time, Call affectedCall, Hop from, Out out) {
+        public void callReceived(
+                long time, Call affectedCall, TransportAddress from, SipOutput out) {
             call = affectedCall;
             record("invited");
             if (autoAnswer) {
@@ -100,58 +101,68 @@
         }
 
         @Override
-        public void progressed(long time, Call affectedCall, SipMessage response, Out out) {
+        public void provisionalReceived(
+                long time, Call affectedCall, SipMessage response, SipOutput out) {
             record("hears " + response.status());
         }
 
         @Override
-        public void answered(long time, Call affectedCall, SipMessage response, Out out) {
+        public void callAnswered(long time, Call affectedCall, SipMessage response, SipOutput out) {
             record("answered");
         }
 
         @Override
-        public void rejected(
-                long time, Call affectedCall, SipMessage response, Agent.Lost failure, Out out) {
+        public void callFailed(
+                long time,
+                Call affectedCall,
+                SipMessage response,
+                UserAgent.CallFailure failure,
+                SipOutput out) {
             record("rejected " + (response == null ? failure : response.status()));
         }
 
         @Override
-        public void cancelled(long time, Call affectedCall, Out out) {
+        public void callCancelled(long time, Call affectedCall, SipOutput out) {
             record("cancelled");
         }
 
         @Override
-        public void hungUp(long time, Call affectedCall, SipMessage bye, Out out) {
+        public void callEnded(long time, Call affectedCall, SipMessage bye, SipOutput out) {
             record("hung up" + (bye == null ? " by itself" : ""));
         }
 
         @Override
-        public void changing(long time, Call affectedCall, SipMessage invite, Out out) {
-            record("asked to change to " + invite.text());
+        public void reinviteReceived(
+                long time, Call affectedCall, SipMessage invite, SipOutput out) {
+            record("asked to change to " + invite.bodyText());
             if (reinviteStatus > 0) {
-                userAgent.answerChange(
+                userAgent.answerReinvite(
                         time, affectedCall, reinviteStatus, "x", "text/plain", invite.body(), out);
             }
         }
 
         @Override
-        public void changed(long time, Call affectedCall, SipMessage response, Out out) {
+        public void reinviteAnswered(
+                long time, Call affectedCall, SipMessage response, SipOutput out) {
             record("its change came to " + response.status());
         }
 
         @Override
-        public void request(long time, ServerTx transaction, Hop from, Out out) {
-            userAgent.respond(time, transaction, userAgent.reply(transaction, 200, "OK"), out);
+        public void requestReceived(
+                long time, ServerTransaction transaction, TransportAddress from, SipOutput out) {
+            userAgent.respond(
+                    time, transaction, userAgent.createResponse(transaction, 200, "OK"), out);
         }
 
         @Override
-        public void replied(long time, ClientTx transaction, SipMessage response, Out out) {
+        public void responseReceived(
+                long time, ClientTransaction transaction, SipMessage response, SipOutput out) {
             record("replied");
         }
     }
 
     private record InFlightMessage(
-            long arrivesAt, long order, TestUserAgent sender, Hop to, byte[] bytes) {}
+            long arrivesAt, long order, TestUserAgent sender, TransportAddress to, byte[] bytes) {}
 
     final TestUserAgent a;
     final TestUserAgent b;
@@ -164,8 +175,8 @@
 
     SimulatedNetwork(boolean tcp, DeliveryPolicy deliveryPolicy) {
         this.deliveryPolicy = deliveryPolicy;
-        a = new TestUserAgent("a", new Hop(tcp, "ha", 1));
-        b = new TestUserAgent("b", new Hop(tcp, "hb", 2));
+        a = new TestUserAgent("a", new TransportAddress(tcp, "ha", 1));
+        b = new TestUserAgent("b", new TransportAddress(tcp, "hb", 2));
     }
 
     SimulatedNetwork note(String text) {
@@ -194,8 +205,8 @@
                 messagesInFlight.remove(next);
                 deliver(next.sender.address, next.to, next.bytes);
             } else {
-                a.timers.run(now, a);
-                b.timers.run(now, b);
+                a.timers.fireExpired(now, a);
+                b.timers.fireExpired(now, b);
             }
         }
     }
@@ -222,8 +233,8 @@
             return false;
         }
         now = Math.max(now, at);
-        a.timers.run(now, a);
-        b.timers.run(now, b);
+        a.timers.fireExpired(now, a);
+        b.timers.fireExpired(now, b);
         // RFC 3261 assumes that no message remains in the network for T4 or longer.
         messagesInFlight.removeIf(
                 message ->
@@ -237,14 +248,14 @@
     }
 
     /** Hands a message to the user agent at {@code to}, if there is one. */
-    SimulatedNetwork deliver(Hop from, Hop to, byte[] bytes) {
+    SimulatedNetwork deliver(TransportAddress from, TransportAddress to, byte[] bytes) {
         TestUserAgent target = to.host().equals("ha") ? a : to.host().equals("hb") ? b : null;
         if (target != null) {
             try {
                 target.userAgent.receive(
                         now, from, SipParser.parse(bytes, 0, bytes.length), target);
-            } catch (BadMessage e) {
-                target.userAgent.malformed(now, from, e, target);
+            } catch (MalformedMessageException e) {
+                target.userAgent.malformedReceived(now, from, e, target);
             }
         }
         return this;
--- a/src/test/java/coralcove/sip/event/SubscriptionTest.java
+++ b/src/test/java/coralcove/sip/event/SubscriptionTest.java
@@ -3,14 +3,14 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import coralcove.TraceFiles;
-import coralcove.sip.Hop;
-import coralcove.sip.Out;
 import coralcove.sip.SipMessage;
-import coralcove.sip.Timers;
-import coralcove.sip.dialog.Agent;
+import coralcove.sip.SipOutput;
+import coralcove.sip.TimerWheel;
+import coralcove.sip.TransportAddress;
 import coralcove.sip.dialog.Call;
-import coralcove.sip.transaction.ClientTx;
-import coralcove.sip.transaction.ServerTx;
+import coralcove.sip.dialog.UserAgent;
+import coralcove.sip.transaction.ClientTransaction;
+import coralcove.sip.transaction.ServerTransaction;
 import java.nio.charset.StandardCharsets;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
@@ -19,16 +19,16 @@
  * A subscriber against a notifier whose messages the test creates one by one; the trace of all
  * messages and events is compared with a stored one.
  */
-class SubscriptionTest implements Out, Subscriber.User, Agent.User {
-    private static final Hop SELF = new Hop(false, "127.0.0.1", 1);
-    private static final Hop NOTIFIER = new Hop(false, "127.0.0.1", 3);
-    private final Timers timers = new Timers();
-    private final Agent userAgent = new Agent(SELF, timers, "s", this);
+class SubscriptionTest implements SipOutput, Subscriber.Listener, UserAgent.Application {
+    private static final TransportAddress SELF = new TransportAddress(false, "127.0.0.1", 1);
+    private static final TransportAddress NOTIFIER = new TransportAddress(false, "127.0.0.1", 3);
+    private final TimerWheel timers = new TimerWheel();
+    private final UserAgent userAgent = new UserAgent(SELF, timers, "s", this);
     private final Subscriber subscriber =
             new Subscriber(userAgent, timers, new SplittableRandom(1), this);
     private final StringBuilder trace = new StringBuilder();
     private SipMessage lastRequest;
-    private Subscriber.News nextResult = Subscriber.News.WHOLE;
+    private Subscriber.NotifyResult nextResult = Subscriber.NotifyResult.COMPLETE;
     private long now = 1_000_000;
     private long cseq;
     private int nextBranch;
@@ -47,14 +47,14 @@
         long end = now + millis * 1000;
         while (timers.nextDeadline() <= end) {
             now = Math.max(now, timers.nextDeadline());
-            timers.run(now, this);
+            timers.fireExpired(now, this);
         }
         now = end;
         return this;
     }
 
     private SubscriptionTest answer(int status, String... headers) {
-        SipMessage reply = SipMessage.reply(lastRequest, status, "x", "d");
+        SipMessage reply = SipMessage.responseTo(lastRequest, status, "x", "d");
         for (int i = 0; i < headers.length; i += 2) {
             reply.set(headers[i], headers[i + 1]);
         }
@@ -79,7 +79,7 @@
                 .body("text/plain", "x".getBytes(StandardCharsets.UTF_8));
     }
 
-    private SubscriptionTest receive(Hop from, SipMessage message) {
+    private SubscriptionTest receive(TransportAddress from, SipMessage message) {
         userAgent.receive(now, from, message, this);
         return this;
     }
@@ -114,14 +114,16 @@
         receive(NOTIFIER, createNotify("active").set("Call-ID", "other")).note("another dialog");
         receive(NOTIFIER, createNotify("active").set("From", "<sip:d>;tag=forged"))
                 .note("another tag");
-        receive(new Hop(false, "127.0.0.1", 9), createNotify("active")).note("another port");
-        receive(new Hop(true, "127.0.0.2", 3), createNotify("active")).note("another host");
+        receive(new TransportAddress(false, "127.0.0.1", 9), createNotify("active"))
+                .note("another port");
+        receive(new TransportAddress(true, "127.0.0.2", 3), createNotify("active"))
+                .note("another host");
         receive(NOTIFIER, createNotify("active").set("Event", "trunk-groups"))
                 .note("another event");
         SipMessage outOfOrder = createNotify("active;expires=12");
         receiveNotify("active;expires=12").receive(NOTIFIER, outOfOrder).note("out of order");
         receive(NOTIFIER, createNotify("")).note("no state");
-        nextResult = Subscriber.News.BAD;
+        nextResult = Subscriber.NotifyResult.MALFORMED;
         receiveNotify("active;expires=12").note("a body that cannot be read");
         assertThat(userAgent.counters())
                 .containsEntry("notify-no-dialog", 2L)
@@ -137,7 +139,7 @@
                 .receiveNotify("active;expires=12")
                 .runFor(5700)
                 .note("a renewal is under way");
-        nextResult = Subscriber.News.GAP;
+        nextResult = Subscriber.NotifyResult.INCOMPLETE;
         receiveNotify("active;expires=6");
         // After a gap the user requests a refresh; the pending renewal is answered with 204, which
         // brings no state.
@@ -172,36 +174,37 @@
     }
 
     /** The name of a result in the stored traces. */
-    private static String traceName(Subscriber.News result) {
+    private static String traceName(Subscriber.NotifyResult result) {
         return switch (result) {
-            case BAD -> "BAD";
-            case GAP -> "GAP";
-            case WHOLE -> "WHOLE";
+            case MALFORMED -> "BAD";
+            case INCOMPLETE -> "GAP";
+            case COMPLETE -> "WHOLE";
         };
     }
 
     private Subscription lastNotified;
 
     @Override
-    public Subscriber.News notified(
-            long time, Subscription subscription, SipMessage notify, Out out) {
+    public Subscriber.NotifyResult notifyReceived(
+            long time, Subscription subscription, SipMessage notify, SipOutput out) {
         lastNotified = subscription;
-        note("news " + notify.text() + " is " + traceName(nextResult));
+        note("news " + notify.bodyText() + " is " + traceName(nextResult));
         return nextResult;
     }
 
     @Override
-    public void renewed(long time, Subscription subscription, Out out) {
+    public void subscriptionRenewed(long time, Subscription subscription, SipOutput out) {
         note("renewed");
     }
 
     @Override
-    public void ended(long time, Subscription subscription, String reason, Out out) {
+    public void subscriptionEnded(
+            long time, Subscription subscription, String reason, SipOutput out) {
         note("ended: " + reason);
     }
 
     @Override
-    public void send(Hop to, SipMessage message) {
+    public void send(TransportAddress to, SipMessage message) {
         if (message.isRequest()) {
             lastRequest = message.copy();
         }
@@ -210,7 +213,7 @@
                         + (message.isRequest()
                                 ? message.method()
                                         + " "
-                                        + message.sequence()
+                                        + message.cseqNumber()
                                         + (message.toTag().isEmpty() ? "" : " in dialog")
                                 : message.status() + " to " + message.cseqMethod())
                         + (message.header("Suppress-If-Match") == null
@@ -222,30 +225,37 @@
     public void log(String event, String session, String detail) {}
 
     @Override
-    public void request(long time, ServerTx transaction, Hop from, Out out) {
-        subscriber.notified(time, transaction, from, out);
+    public void requestReceived(
+            long time, ServerTransaction transaction, TransportAddress from, SipOutput out) {
+        subscriber.handleNotify(time, transaction, from, out);
     }
 
     @Override
-    public void replied(long time, ClientTx transaction, SipMessage response, Out out) {
-        subscriber.replied(time, transaction, response, out);
+    public void responseReceived(
+            long time, ClientTransaction transaction, SipMessage response, SipOutput out) {
+        subscriber.handleResponse(time, transaction, response, out);
     }
 
     @Override
-    public void invited(long time, Call call, Hop from, Out out) {}
+    public void callReceived(long time, Call call, TransportAddress from, SipOutput out) {}
 
     @Override
-    public void progressed(long time, Call call, SipMessage response, Out out) {}
+    public void provisionalReceived(long time, Call call, SipMessage response, SipOutput out) {}
 
     @Override
-    public void answered(long time, Call call, SipMessage response, Out out) {}
+    public void callAnswered(long time, Call call, SipMessage response, SipOutput out) {}
 
     @Override
-    public void rejected(long time, Call call, SipMessage response, Agent.Lost failure, Out out) {}
+    public void callFailed(
+            long time,
+            Call call,
+            SipMessage response,
+            UserAgent.CallFailure failure,
+            SipOutput out) {}
 
     @Override
-    public void cancelled(long time, Call call, Out out) {}
+    public void callCancelled(long time, Call call, SipOutput out) {}
 
     @Override
-    public void hungUp(long time, Call call, SipMessage bye, Out out) {}
+    public void callEnded(long time, Call call, SipMessage bye, SipOutput out) {}
 }
