--- a/src/main/java/coralcove/cli/Main.java
+++ b/src/main/java/coralcove/cli/Main.java
@@ -1,10 +1,10 @@
 package coralcove.cli;
 
 import coralcove.config.BadConfig;
-import coralcove.drill.MalformedFrameException;
-import coralcove.drill.SimulatorAdapter;
 import coralcove.platform.live.SessionRouterServer;
 import coralcove.platform.trial.LoopbackTrial;
+import coralcove.simulator.MalformedFrameException;
+import coralcove.simulator.SimulatorAdapter;
 import java.io.IOException;
 import java.nio.file.Path;
 
--- a/src/main/java/coralcove/pending/DecisionExecutor.java
+++ b/src/main/java/coralcove/pending/DecisionExecutor.java
@@ -1,4 +1,4 @@
-package coralcove.inhand;
+package coralcove.pending;
 
 import coralcove.Session;
 
--- a/src/main/java/coralcove/platform/Exchanges.java
+++ b/src/main/java/coralcove/platform/Exchanges.java
@@ -2,8 +2,8 @@
 
 import coralcove.Exchange;
 import coralcove.Exchange.Phase;
-import coralcove.platform.bulletin.DiscoveryUpdate;
-import coralcove.platform.leg.SignalingMessages;
+import coralcove.platform.discovery.DiscoveryUpdate;
+import coralcove.platform.signaling.SignalingMessages;
 import coralcove.sip.StreamFramer;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
--- a/src/main/java/coralcove/platform/ServiceSettings.java
+++ b/src/main/java/coralcove/platform/ServiceSettings.java
@@ -1,8 +1,8 @@
 package coralcove.platform;
 
 import coralcove.Settings;
-import coralcove.boot.SettingsReader;
 import coralcove.config.BadConfig;
+import coralcove.settings.SettingsReader;
 import java.util.ArrayList;
 import java.util.List;
 
--- a/src/main/java/coralcove/platform/caller/SetUpRequest.java
+++ b/src/main/java/coralcove/platform/caller/SetUpRequest.java
@@ -1,6 +1,6 @@
 package coralcove.platform.caller;
 
-import coralcove.platform.leg.SessionDescription;
+import coralcove.platform.signaling.SessionDescription;
 import java.util.HashMap;
 import java.util.HexFormat;
 import java.util.List;
--- a/src/main/java/coralcove/platform/discovery/DiscoveryPoll.java
+++ b/src/main/java/coralcove/platform/discovery/DiscoveryPoll.java
@@ -1,4 +1,4 @@
-package coralcove.platform.bulletin;
+package coralcove.platform.discovery;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
--- a/src/main/java/coralcove/platform/discovery/DiscoveryUpdate.java
+++ b/src/main/java/coralcove/platform/discovery/DiscoveryUpdate.java
@@ -1,4 +1,4 @@
-package coralcove.platform.bulletin;
+package coralcove.platform.discovery;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
--- a/src/main/java/coralcove/platform/live/Configuration.java
+++ b/src/main/java/coralcove/platform/live/Configuration.java
@@ -2,11 +2,11 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
-import coralcove.boot.SettingsReader;
 import coralcove.config.BadConfig;
 import coralcove.platform.DescriptorBudget;
 import coralcove.platform.ServiceSettings;
-import coralcove.platform.bulletin.DiscoveryUpdate;
+import coralcove.platform.discovery.DiscoveryUpdate;
+import coralcove.settings.SettingsReader;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
--- a/src/main/java/coralcove/platform/signaling/SessionDescription.java
+++ b/src/main/java/coralcove/platform/signaling/SessionDescription.java
@@ -1,4 +1,4 @@
-package coralcove.platform.leg;
+package coralcove.platform.signaling;
 
 /**
  * The session description that caller and exchange send each other: a first line of 16 hex digits,
--- a/src/main/java/coralcove/platform/signaling/SignalingMessages.java
+++ b/src/main/java/coralcove/platform/signaling/SignalingMessages.java
@@ -1,4 +1,4 @@
-package coralcove.platform.leg;
+package coralcove.platform.signaling;
 
 import coralcove.sip.SipMessage;
 import java.util.HexFormat;
--- a/src/main/java/coralcove/settings/SettingsReader.java
+++ b/src/main/java/coralcove/settings/SettingsReader.java
@@ -1,4 +1,4 @@
-package coralcove.boot;
+package coralcove.settings;
 
 import coralcove.Micros;
 import coralcove.Settings;
--- a/src/main/java/coralcove/simulator/EventRecord.java
+++ b/src/main/java/coralcove/simulator/EventRecord.java
@@ -1,4 +1,4 @@
-package coralcove.drill;
+package coralcove.simulator;
 
 import java.nio.ByteBuffer;
 
--- a/src/main/java/coralcove/simulator/MalformedFrameException.java
+++ b/src/main/java/coralcove/simulator/MalformedFrameException.java
@@ -1,4 +1,4 @@
-package coralcove.drill;
+package coralcove.simulator;
 
 /** A malformed input of the simulator; the message says what is wrong and where. */
 public final class MalformedFrameException extends Exception {
--- a/src/main/java/coralcove/simulator/ReplyFrame.java
+++ b/src/main/java/coralcove/simulator/ReplyFrame.java
@@ -1,4 +1,4 @@
-package coralcove.drill;
+package coralcove.simulator;
 
 import java.io.ByteArrayOutputStream;
 import java.nio.ByteBuffer;
--- a/src/main/java/coralcove/simulator/RouterInstance.java
+++ b/src/main/java/coralcove/simulator/RouterInstance.java
@@ -1,4 +1,4 @@
-package coralcove.drill;
+package coralcove.simulator;
 
 import coralcove.CallRouter;
 import coralcove.Exchange;
@@ -8,8 +8,8 @@
 import coralcove.RejectionCause;
 import coralcove.Session;
 import coralcove.Settings;
-import coralcove.inhand.DecisionExecutor;
-import coralcove.inhand.PendingSessions;
+import coralcove.pending.DecisionExecutor;
+import coralcove.pending.PendingSessions;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
--- a/src/main/java/coralcove/simulator/SimulatorAdapter.java
+++ b/src/main/java/coralcove/simulator/SimulatorAdapter.java
@@ -1,11 +1,11 @@
-package coralcove.drill;
+package coralcove.simulator;
 
 import coralcove.Exchange;
 import coralcove.Exchange.Phase;
 import coralcove.Micros;
 import coralcove.Settings;
-import coralcove.boot.SettingsReader;
 import coralcove.config.BadConfig;
+import coralcove.settings.SettingsReader;
 import java.io.BufferedInputStream;
 import java.io.IOException;
 import java.io.InputStream;
--- a/src/test/java/coralcove/platform/RouterCoreHarness.java
+++ b/src/test/java/coralcove/platform/RouterCoreHarness.java
@@ -4,11 +4,11 @@
 
 import coralcove.ExponentialPenaltyRouter;
 import coralcove.TraceFiles;
-import coralcove.boot.SettingsReader;
 import coralcove.config.BadConfig;
-import coralcove.platform.bulletin.DiscoveryUpdate;
 import coralcove.platform.caller.CallerMessage;
-import coralcove.platform.leg.SignalingMessages;
+import coralcove.platform.discovery.DiscoveryUpdate;
+import coralcove.platform.signaling.SignalingMessages;
+import coralcove.settings.SettingsReader;
 import coralcove.sip.SipMessage;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
--- a/src/test/java/coralcove/platform/RouterCoreRandomizedTest.java
+++ b/src/test/java/coralcove/platform/RouterCoreRandomizedTest.java
@@ -2,8 +2,8 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import coralcove.platform.bulletin.DiscoveryUpdate;
 import coralcove.platform.caller.CallerMessage;
+import coralcove.platform.discovery.DiscoveryUpdate;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
--- a/src/test/java/coralcove/platform/RouterCoreTest.java
+++ b/src/test/java/coralcove/platform/RouterCoreTest.java
@@ -2,9 +2,9 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import coralcove.platform.bulletin.DiscoveryUpdate;
 import coralcove.platform.caller.CallerMessage;
-import coralcove.platform.leg.SignalingMessages;
+import coralcove.platform.discovery.DiscoveryUpdate;
+import coralcove.platform.signaling.SignalingMessages;
 import coralcove.sip.SipMessage;
 import java.nio.ByteBuffer;
 import java.util.List;
--- a/src/test/java/coralcove/platform/discovery/DiscoveryPollTest.java
+++ b/src/test/java/coralcove/platform/discovery/DiscoveryPollTest.java
@@ -1,4 +1,4 @@
-package coralcove.platform.bulletin;
+package coralcove.platform.discovery;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
--- a/src/test/java/coralcove/platform/live/ConfigurationAndEventQueueTest.java
+++ b/src/test/java/coralcove/platform/live/ConfigurationAndEventQueueTest.java
@@ -4,8 +4,8 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
-import coralcove.boot.SettingsReader;
 import coralcove.config.BadConfig;
+import coralcove.settings.SettingsReader;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.HashMap;
--- a/src/test/java/coralcove/platform/live/SessionRouterHarness.java
+++ b/src/test/java/coralcove/platform/live/SessionRouterHarness.java
@@ -4,7 +4,7 @@
 
 import coralcove.platform.caller.CallerFramer;
 import coralcove.platform.caller.CallerMessage;
-import coralcove.platform.leg.SignalingMessages;
+import coralcove.platform.signaling.SignalingMessages;
 import coralcove.sip.SipMessage;
 import coralcove.sip.SipParser;
 import coralcove.sip.StreamFramer;
--- a/src/test/java/coralcove/platform/live/SessionRouterServerTest.java
+++ b/src/test/java/coralcove/platform/live/SessionRouterServerTest.java
@@ -3,9 +3,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import coralcove.platform.caller.CallerMessage;
-import coralcove.platform.leg.SignalingMessages;
 import coralcove.platform.live.SessionRouterHarness.CallerConnection;
 import coralcove.platform.live.SessionRouterHarness.ExchangeConnection;
+import coralcove.platform.signaling.SignalingMessages;
 import coralcove.sip.SipMessage;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
--- a/src/test/java/coralcove/platform/signaling/SignalingTest.java
+++ b/src/test/java/coralcove/platform/signaling/SignalingTest.java
@@ -1,4 +1,4 @@
-package coralcove.platform.leg;
+package coralcove.platform.signaling;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/src/test/java/coralcove/simulator/SimulatorAdapterTest.java
+++ b/src/test/java/coralcove/simulator/SimulatorAdapterTest.java
@@ -1,4 +1,4 @@
-package coralcove.drill;
+package coralcove.simulator;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
