--- a/src/main/java/coralcove/cli/Commands.java
+++ b/src/main/java/coralcove/cli/Commands.java
@@ -297,19 +297,19 @@
         @Override
         void serve(TomlSettings toml) throws BadConfig {
             EdgeSettingsFile file = EdgeSettingsFile.of(toml);
-            Settings module = file.settings().policySettings();
+            Settings policySettings = file.settings().policySettings();
             GroupLoadQueue facts = new GroupLoadQueue(PlannerCore.MAX_GROUPS);
-            PlannedTargetSource keeper = new PlannedTargetSource(module, facts::add);
+            PlannedTargetSource targetSource = new PlannedTargetSource(policySettings, facts::add);
             EdgeCore core =
                     new EdgeCore(
                             file.settings(),
                             file.planner() == null
                                     ? RoutingPolicies.create(
-                                            file.policy(), module, file.settings().seed())
+                                            file.policy(), policySettings, file.settings().seed())
                                     : new ExponentialPenaltyRouter(
-                                            module,
+                                            policySettings,
                                             new SplittableRandom(file.settings().seed()),
-                                            keeper));
+                                            targetSource));
             if (file.rosterStore() != null) {
                 RosterStore.restoreAndStore(
                         file.rosterStore(),
@@ -322,11 +322,11 @@
                     file.planner() == null
                             ? null
                             : new EdgeLinkCore(
-                                    module,
-                                    keeper,
+                                    policySettings,
+                                    targetSource,
                                     facts,
                                     System.currentTimeMillis(),
-                                    restoreAndStorePlans(file, keeper));
+                                    restoreAndStorePlans(file, targetSource));
             Commands.run(
                     toml,
                     "edge",
@@ -344,7 +344,7 @@
      * @return receives each new plan; ignores it where the settings name no plan store
      */
     private static Consumer<Plan> restoreAndStorePlans(
-            EdgeSettingsFile file, PlannedTargetSource keeper) {
+            EdgeSettingsFile file, PlannedTargetSource targetSource) {
         if (file.planStore() == null) {
             return plan -> {};
         }
@@ -358,13 +358,13 @@
                 UnsavedPlans.restore(
                         LiveNetwork.currentTimeMicros(),
                         file.settings().policySettings(),
-                        keeper,
+                        targetSource,
                         stored);
         log.info(
                 "plans: {} of {} stored groups resumed, version {}",
                 groups,
                 stored.size(),
-                keeper.version());
+                targetSource.version());
         Thread writer =
                 new Thread(
                         () -> {
--- a/src/main/java/coralcove/config/AddressSettings.java
+++ b/src/main/java/coralcove/config/AddressSettings.java
@@ -34,20 +34,24 @@
         if (table.node(key) == null || !table.node(key).isArray()) {
             return List.of(read(table, key));
         }
-        List<TransportAddress> hops = new ArrayList<>();
+        List<TransportAddress> addresses = new ArrayList<>();
         for (JsonNode element : table.node(key)) {
-            TransportAddress hop = read(table, key, element.asText());
-            if (hops.contains(hop)) {
-                throw table.invalid(key, "has \"" + hop + "\" twice");
+            TransportAddress address = read(table, key, element.asText());
+            if (addresses.contains(address)) {
+                throw table.invalid(key, "has \"" + address + "\" twice");
             }
-            hops.add(hop);
+            addresses.add(address);
         }
-        if (hops.isEmpty() || hops.size() > MAX_ADDRESSES) {
+        if (addresses.isEmpty() || addresses.size() > MAX_ADDRESSES) {
             throw table.invalid(
                     key,
-                    "has " + hops.size() + " addresses; 1 to " + MAX_ADDRESSES + " are possible");
+                    "has "
+                            + addresses.size()
+                            + " addresses; 1 to "
+                            + MAX_ADDRESSES
+                            + " are possible");
         }
-        return List.copyOf(hops);
+        return List.copyOf(addresses);
     }
 
     /** Reads a key that holds one address. */
--- a/src/main/java/coralcove/directory/SimulatedDirectory.java
+++ b/src/main/java/coralcove/directory/SimulatedDirectory.java
@@ -133,15 +133,22 @@
 
     @Override
     public void requestReceived(
-            long now, ServerTransaction tx, TransportAddress from, SipOutput out) {
-        switch (tx.request().method()) {
-            case "REGISTER" -> register(now, tx, out);
-            case "SUBSCRIBE" -> notifier.handleSubscribe(now, tx, out);
+            long now, ServerTransaction transaction, TransportAddress from, SipOutput out) {
+        switch (transaction.request().method()) {
+            case "REGISTER" -> register(now, transaction, out);
+            case "SUBSCRIBE" -> notifier.handleSubscribe(now, transaction, out);
             case "OPTIONS" ->
-                    userAgent.respond(now, tx, userAgent.createResponse(tx, 200, "OK"), out);
+                    userAgent.respond(
+                            now,
+                            transaction,
+                            userAgent.createResponse(transaction, 200, "OK"),
+                            out);
             default ->
                     userAgent.respond(
-                            now, tx, userAgent.createResponse(tx, 405, "Method Not Allowed"), out);
+                            now,
+                            transaction,
+                            userAgent.createResponse(transaction, 405, "Method Not Allowed"),
+                            out);
         }
     }
 
@@ -149,26 +156,32 @@
      * Handles a REGISTER, whose X-Exchange header has the format of a list's line; an exchange
      * reports itself as ready, draining or left.
      */
-    private void register(long now, ServerTransaction tx, SipOutput out) {
+    private void register(long now, ServerTransaction transaction, SipOutput out) {
         DirectoryListing.Entry line;
         try {
-            line = ExchangeListFormat.parseLine(tx.request().header("X-Exchange", "").strip());
+            line =
+                    ExchangeListFormat.parseLine(
+                            transaction.request().header("X-Exchange", "").strip());
         } catch (IllegalArgumentException e) {
-            userAgent.respond(now, tx, userAgent.createResponse(tx, 400, "Bad Request"), out);
+            userAgent.respond(
+                    now,
+                    transaction,
+                    userAgent.createResponse(transaction, 400, "Bad Request"),
+                    out);
             return;
         }
         if (line.liveness().isSilent()
                 || exchanges.size() >= MAX_EXCHANGES && !exchanges.containsKey(line.id())) {
             userAgent.respond(
                     now,
-                    tx,
+                    transaction,
                     userAgent.createResponse(
-                            tx, line.liveness().isSilent() ? 400 : 503, "Not taken"),
+                            transaction, line.liveness().isSilent() ? 400 : 503, "Not taken"),
                     out);
             return;
         }
         RegisteredExchange exchange = exchanges.computeIfAbsent(line.id(), RegisteredExchange::new);
-        SipMessage reply = userAgent.createResponse(tx, 200, "OK");
+        SipMessage reply = userAgent.createResponse(transaction, 200, "OK");
         boolean outdated =
                 line.liveness().startNumber() < exchange.startNumber
                         || line.liveness().startNumber() == exchange.startNumber
@@ -178,7 +191,7 @@
             // Its clock went back, or it had left: it must register with a higher start number.
             reply.add("X-Start", Long.toString(exchange.startNumber));
         }
-        userAgent.respond(now, tx, reply, out);
+        userAgent.respond(now, transaction, reply, out);
         if (!outdated) {
             applyRegistration(now, exchange, line);
         }
@@ -256,8 +269,8 @@
 
     @Override
     public void responseReceived(
-            long now, ClientTransaction tx, SipMessage response, SipOutput out) {
+            long now, ClientTransaction transaction, SipMessage response, SipOutput out) {
         // A router that missed a change notices the gap at the next one and subscribes again.
-        notifier.handleResponse(tx, response);
+        notifier.handleResponse(transaction, response);
     }
 }
--- a/src/main/java/coralcove/edge/EdgeCore.java
+++ b/src/main/java/coralcove/edge/EdgeCore.java
@@ -800,7 +800,11 @@
 
     @Override
     public void callFailed(
-            long now, Call call, SipMessage response, UserAgent.CallFailure lost, SipOutput out) {
+            long now,
+            Call call,
+            SipMessage response,
+            UserAgent.CallFailure failure,
+            SipOutput out) {
         OutboundLeg leg = (OutboundLeg) call.owner();
         ActiveSession activeSession = leg.activeSession;
         timers.cancel(leg.timeoutTimer);
@@ -822,12 +826,12 @@
         if (activeSession.session == null) {
             // The response of a local line is passed back to the caller unchanged.
             FailureResponse refusal =
-                    FailureResponse.forwarding(response, lost, "Reason", "Retry-After");
+                    FailureResponse.forwarding(response, failure, "Reason", "Retry-After");
             rejectSession(
                     now, activeSession, refusal.status(), refusal.reason(), out, refusal.fields());
             return;
         }
-        InviteOutcomes.Outcome outcome = InviteOutcomes.fromResponse(response, lost);
+        InviteOutcomes.Outcome outcome = InviteOutcomes.fromResponse(response, failure);
         finishInvite(now, leg, outcome.outcome(), outcome.cause(), outcome.retryAfter(), out);
     }
 
@@ -978,10 +982,10 @@
 
     @Override
     public void requestReceived(
-            long now, ServerTransaction tx, TransportAddress from, SipOutput out) {
-        SipMessage request = tx.request();
+            long now, ServerTransaction transaction, TransportAddress from, SipOutput out) {
+        SipMessage request = transaction.request();
         switch (request.method()) {
-            case "NOTIFY" -> rosterManager.subscriber().handleNotify(now, tx, from, out);
+            case "NOTIFY" -> rosterManager.subscriber().handleNotify(now, transaction, from, out);
             case "MESSAGE" -> {
                 if (request.body().length <= MAX_PEER_MESSAGE_BYTES) {
                     policy.onPeerMessage(
@@ -989,11 +993,16 @@
                 } else {
                     userAgent.incrementCounter("long-news");
                 }
-                userAgent.respond(now, tx, userAgent.createResponse(tx, 200, "OK"), out);
+                userAgent.respond(
+                        now, transaction, userAgent.createResponse(transaction, 200, "OK"), out);
             }
             case "OPTIONS" -> {
                 if (request.header("X-Probe") == null) {
-                    userAgent.respond(now, tx, userAgent.createResponse(tx, 200, "OK"), out);
+                    userAgent.respond(
+                            now,
+                            transaction,
+                            userAgent.createResponse(transaction, 200, "OK"),
+                            out);
                 } else {
                     SipMessage forwarded =
                             userAgent.createRequest(
@@ -1002,24 +1011,27 @@
                             now,
                             forwarded.add("X-Probe", "yes"),
                             settings.exchangeAddress(),
-                            tx,
+                            transaction,
                             out);
                 }
             }
             default ->
                     userAgent.respond(
-                            now, tx, userAgent.createResponse(tx, 405, "Method Not Allowed"), out);
+                            now,
+                            transaction,
+                            userAgent.createResponse(transaction, 405, "Method Not Allowed"),
+                            out);
         }
     }
 
     @Override
     public void responseReceived(
-            long now, ClientTransaction tx, SipMessage response, SipOutput out) {
+            long now, ClientTransaction transaction, SipMessage response, SipOutput out) {
         boolean succeeded = response != null && response.status() < 300;
-        if (rosterManager.subscriber().handleResponse(now, tx, response, out)) {
+        if (rosterManager.subscriber().handleResponse(now, transaction, response, out)) {
             return;
         }
-        if (tx.owner() instanceof ServerTransaction probeRequest) {
+        if (transaction.owner() instanceof ServerTransaction probeRequest) {
             SipMessage reply =
                     userAgent.createResponse(
                             probeRequest, succeeded ? 200 : 503, succeeded ? "OK" : "No Answer");
@@ -1027,7 +1039,7 @@
                 reply.add("X-Load", response.header("X-Load", ""));
             }
             userAgent.respond(now, probeRequest, reply, out);
-        } else if (tx.owner() instanceof Object[] probe) {
+        } else if (transaction.owner() instanceof Object[] probe) {
             policy.onProbeReply(
                     now,
                     (Long) probe[0],
--- a/src/main/java/coralcove/edge/SourceQueryCore.java
+++ b/src/main/java/coralcove/edge/SourceQueryCore.java
@@ -58,19 +58,22 @@
 
     @Override
     public void requestReceived(
-            long now, ServerTransaction tx, TransportAddress from, SipOutput out) {
-        if (tx.request().method().equals("NOTIFY")) {
-            rosterManager.subscriber().handleNotify(now, tx, from, out);
+            long now, ServerTransaction transaction, TransportAddress from, SipOutput out) {
+        if (transaction.request().method().equals("NOTIFY")) {
+            rosterManager.subscriber().handleNotify(now, transaction, from, out);
         } else {
             userAgent.respond(
-                    now, tx, userAgent.createResponse(tx, 405, "Method Not Allowed"), out);
+                    now,
+                    transaction,
+                    userAgent.createResponse(transaction, 405, "Method Not Allowed"),
+                    out);
         }
     }
 
     @Override
     public void responseReceived(
-            long now, ClientTransaction tx, SipMessage response, SipOutput out) {
-        rosterManager.subscriber().handleResponse(now, tx, response, out);
+            long now, ClientTransaction transaction, SipMessage response, SipOutput out) {
+        rosterManager.subscriber().handleResponse(now, transaction, response, out);
     }
 
     @Override
--- a/src/main/java/coralcove/exchange/SimulatedExchange.java
+++ b/src/main/java/coralcove/exchange/SimulatedExchange.java
@@ -195,9 +195,9 @@
      * If a directory knows a later start number, the clock has gone back: this start takes a number
      * after that one.
      */
-    private void registerAnswered(ClientTransaction tx, SipMessage response) {
+    private void registerAnswered(ClientTransaction transaction, SipMessage response) {
         if (response == null) {
-            unacknowledgedDirectories.add(tx.destination());
+            unacknowledgedDirectories.add(transaction.destination());
         } else if (response.numericHeader("X-Start", -1) >= startNumber) {
             startNumber = response.numericHeader("X-Start", -1) + 1;
             heartbeat = 0;
@@ -466,7 +466,11 @@
 
     @Override
     public void callFailed(
-            long now, Call call, SipMessage response, UserAgent.CallFailure lost, SipOutput out) {
+            long now,
+            Call call,
+            SipMessage response,
+            UserAgent.CallFailure failure,
+            SipOutput out) {
         if (call.owner() instanceof Caller caller) {
             attemptFailed(now, caller, call, response, out);
             return;
@@ -474,7 +478,8 @@
         ForwardedCall forwarded = (ForwardedCall) call.owner();
         forwardedCalls.remove(forwarded);
         FailureResponse refusal =
-                FailureResponse.forwarding(response, lost, "Reason", "Retry-After", "X-Circuits");
+                FailureResponse.forwarding(
+                        response, failure, "Reason", "Retry-After", "X-Circuits");
         userAgent.reject(
                 now, forwarded.inbound, refusal.status(), refusal.reason(), out, refusal.fields());
     }
@@ -738,8 +743,8 @@
 
     @Override
     public void requestReceived(
-            long now, ServerTransaction tx, TransportAddress from, SipOutput out) {
-        SipMessage request = tx.request();
+            long now, ServerTransaction transaction, TransportAddress from, SipOutput out) {
+        SipMessage request = transaction.request();
         switch (request.method()) {
             case "OPTIONS" ->
                     processor.enqueue(
@@ -748,15 +753,18 @@
                             (at, o) ->
                                     userAgent.respond(
                                             at,
-                                            tx,
+                                            transaction,
                                             userAgent
-                                                    .createResponse(tx, 200, "OK")
+                                                    .createResponse(transaction, 200, "OK")
                                                     .add("X-Load", loadHeader(at)),
                                             o));
-            case "SUBSCRIBE" -> groupNotifier.handleSubscribe(now, tx, out);
+            case "SUBSCRIBE" -> groupNotifier.handleSubscribe(now, transaction, out);
             default ->
                     userAgent.respond(
-                            now, tx, userAgent.createResponse(tx, 405, "Method Not Allowed"), out);
+                            now,
+                            transaction,
+                            userAgent.createResponse(transaction, 405, "Method Not Allowed"),
+                            out);
         }
     }
 
@@ -779,11 +787,11 @@
 
     @Override
     public void responseReceived(
-            long now, ClientTransaction tx, SipMessage response, SipOutput out) {
-        if (tx.owner() == REGISTER_OWNER) {
-            registerAnswered(tx, response);
+            long now, ClientTransaction transaction, SipMessage response, SipOutput out) {
+        if (transaction.owner() == REGISTER_OWNER) {
+            registerAnswered(transaction, response);
         } else {
-            groupNotifier.handleResponse(tx, response);
+            groupNotifier.handleResponse(transaction, response);
         }
     }
 }
--- a/src/main/java/coralcove/planner/UnsavedPlans.java
+++ b/src/main/java/coralcove/planner/UnsavedPlans.java
@@ -40,7 +40,7 @@
      * age is unknown.
      */
     public static int restore(
-            long now, Settings settings, PlannedTargetSource keeper, List<Plan> stored) {
+            long now, Settings settings, PlannedTargetSource targetSource, List<Plan> stored) {
         TreeMap<Long, List<GroupTargets>> groupsByVersion = new TreeMap<>();
         for (Plan plan : stored) {
             for (GroupTargets group : plan.groups()) {
@@ -57,7 +57,7 @@
         for (Map.Entry<Long, List<GroupTargets>> entry : groupsByVersion.entrySet()) {
             Plan plan = new Plan(settings.localNumber(), entry.getKey(), entry.getValue());
             restored +=
-                    keeper.offer(now, plan) == PlannedTargetSource.Rejection.NONE
+                    targetSource.offer(now, plan) == PlannedTargetSource.Rejection.NONE
                             ? plan.groups().size()
                             : 0;
         }
--- a/src/main/java/coralcove/protocol/FailureResponse.java
+++ b/src/main/java/coralcove/protocol/FailureResponse.java
@@ -23,9 +23,9 @@
      * @param names names of the headers to copy
      */
     public static FailureResponse forwarding(
-            SipMessage response, CallFailure lost, String... names) {
+            SipMessage response, CallFailure failure, String... names) {
         if (response == null) {
-            boolean unreachable = lost == CallFailure.UNREACHABLE;
+            boolean unreachable = failure == CallFailure.UNREACHABLE;
             return new FailureResponse(
                     unreachable ? 502 : 408,
                     "No Answer",
--- a/src/main/java/coralcove/protocol/InviteOutcomes.java
+++ b/src/main/java/coralcove/protocol/InviteOutcomes.java
@@ -54,9 +54,9 @@
      * @param response the final response, or null if there was none
      * @param lost how the INVITE ended without a response; unused if there was one
      */
-    public static Outcome fromResponse(SipMessage response, CallFailure lost) {
+    public static Outcome fromResponse(SipMessage response, CallFailure failure) {
         if (response == null) {
-            return switch (lost) {
+            return switch (failure) {
                 // The first hop is the local exchange: if it accepts no connection, the INVITE was
                 // not sent.
                 case UNREACHABLE ->
--- a/src/main/java/coralcove/rehearsal/CaptureFormat.java
+++ b/src/main/java/coralcove/rehearsal/CaptureFormat.java
@@ -68,7 +68,7 @@
                     String peer = node.get("peer").asText();
                     int portSeparator = peer.lastIndexOf(':');
                     String direction = node.get("dir").asText();
-                    TransportAddress hop =
+                    TransportAddress address =
                             new TransportAddress(
                                     node.get("proto").asText().equals("tcp"),
                                     peer.substring(0, portSeparator),
@@ -78,7 +78,7 @@
                         tap.onStreamFailure(
                                 lastTime,
                                 node.get("node").asText(),
-                                hop,
+                                address,
                                 direction.equals("refused"));
                         continue;
                     }
@@ -90,7 +90,7 @@
                             lastTime,
                             node.get("node").asText(),
                             direction.equals("out"),
-                            hop,
+                            address,
                             bytes);
                 } catch (JsonProcessingException | RuntimeException e) {
                     throw new IOException(path + ":" + lineNumber + ": not a captured message");
--- a/src/main/java/coralcove/sip/dialog/UserAgent.java
+++ b/src/main/java/coralcove/sip/dialog/UserAgent.java
@@ -245,9 +245,9 @@
         Call call = new Call(true, invite, invite.fromTag());
         call.owner = owner;
         calls.put(call.key(), call);
-        TransportAddress hop = selectTransport(invite, to);
-        call.remoteAddress = hop;
-        call.clientTransaction = transactionLayer.send(now, invite, hop, call, out);
+        TransportAddress address = selectTransport(invite, to);
+        call.remoteAddress = address;
+        call.clientTransaction = transactionLayer.send(now, invite, address, call, out);
         return call;
     }
 
--- a/src/main/java/coralcove/sip/transport/SipTransport.java
+++ b/src/main/java/coralcove/sip/transport/SipTransport.java
@@ -283,11 +283,11 @@
 
         @Override
         public void sessionClosed(IoSession session) {
-            TransportAddress hop = peerAddress(session);
-            streams.remove(hop, session);
+            TransportAddress address = peerAddress(session);
+            streams.remove(address, session);
             streams.remove(remoteAddress(session, true), session);
             if (!closed) {
-                listener.connectionFailed(hop, false);
+                listener.connectionFailed(address, false);
             }
         }
 
--- a/src/test/java/coralcove/bench/EdgeFootprint.java
+++ b/src/test/java/coralcove/bench/EdgeFootprint.java
@@ -154,7 +154,7 @@
     }
 
     @Override
-    public void send(TransportAddress hop, SipMessage message) {
+    public void send(TransportAddress destination, SipMessage message) {
         sent.add(message.encode());
     }
 
--- a/src/test/java/coralcove/edge/EdgeCoreTest.java
+++ b/src/test/java/coralcove/edge/EdgeCoreTest.java
@@ -238,11 +238,11 @@
                     .append(InviteOutcomes.fromResponse(SipMessage.status(status, "x"), null))
                     .append('\n');
         }
-        for (var lost : coralcove.sip.dialog.UserAgent.CallFailure.values()) {
+        for (var failure : coralcove.sip.dialog.UserAgent.CallFailure.values()) {
             table.append("no answer, ")
-                    .append(lost)
+                    .append(failure)
                     .append(": ")
-                    .append(InviteOutcomes.fromResponse(null, lost))
+                    .append(InviteOutcomes.fromResponse(null, failure))
                     .append('\n');
         }
         assertThat(table.toString()).isEqualTo(coralcove.TraceFiles.read("edge-outcomes"));
--- a/src/test/java/coralcove/network/LiveNetworkTest.java
+++ b/src/test/java/coralcove/network/LiveNetworkTest.java
@@ -94,9 +94,9 @@
                 long now,
                 Call call,
                 SipMessage response,
-                UserAgent.CallFailure lost,
+                UserAgent.CallFailure failure,
                 SipOutput out) {
-            events.add("rejected " + lost);
+            events.add("rejected " + failure);
         }
 
         @Override
@@ -111,13 +111,14 @@
 
         @Override
         public void requestReceived(
-                long now, ServerTransaction tx, TransportAddress from, SipOutput out) {
-            userAgent.respond(now, tx, userAgent.createResponse(tx, 200, "OK"), out);
+                long now, ServerTransaction transaction, TransportAddress from, SipOutput out) {
+            userAgent.respond(
+                    now, transaction, userAgent.createResponse(transaction, 200, "OK"), out);
         }
 
         @Override
         public void responseReceived(
-                long now, ClientTransaction tx, SipMessage response, SipOutput out) {
+                long now, ClientTransaction transaction, SipMessage response, SipOutput out) {
             events.add("replied");
         }
 
