--- a/src/main/java/coralcove/directory/SimulatedDirectory.java
+++ b/src/main/java/coralcove/directory/SimulatedDirectory.java
@@ -33,7 +33,7 @@
      * Time after the silence time-out until all running exchanges are known: two REGISTER
      * intervals.
      */
-    private static final long LEARNING_MARGIN_US = 2_000_000;
+    private static final long LEARNING_MARGIN_MICROS = 2_000_000;
 
     /** What an exchange registered, and what subscribers were last notified of. */
     private static final class RegisteredExchange {
@@ -97,7 +97,7 @@
     @Override
     public void start(long now, SipOutput out) {
         out.log("directory", "", address + " epoch " + epoch);
-        timers.schedule(now + delays.silenceTimeout + LEARNING_MARGIN_US, this::endLearning);
+        timers.schedule(now + delays.silenceTimeout + LEARNING_MARGIN_MICROS, this::endLearning);
     }
 
     private void endLearning(long now, SipOutput out) {
--- a/src/main/java/coralcove/dns/LookupCache.java
+++ b/src/main/java/coralcove/dns/LookupCache.java
@@ -67,30 +67,30 @@
     private static final int MAX_WAITING = 200_000;
 
     /** Shorter TTLs are raised to this, so that no server can make a router query without pause. */
-    private static final long MIN_TTL_US = 1_000_000;
+    private static final long MIN_TTL_MICROS = 1_000_000;
 
     /**
      * Longer TTLs are reduced to this: one day, since a change of an exchange's address must be
      * noticed.
      */
-    private static final long MAX_TTL_US = 86_400_000_000L;
+    private static final long MAX_TTL_MICROS = 86_400_000_000L;
 
     /**
      * Maximum time for which the absence of records is cached (RFC 2308 section 5 suggests hours).
      */
-    private static final long MAX_NEGATIVE_TTL_US = 300_000_000;
+    private static final long MAX_NEGATIVE_TTL_MICROS = 300_000_000;
 
     /**
      * Time after expiry for which an entry may be used while no server responds (RFC 8767: one to
      * three days).
      */
-    public static final long MAX_STALE_US = 86_400_000_000L;
+    public static final long MAX_STALE_MICROS = 86_400_000_000L;
 
     /**
      * Time after a failed query during which the servers are not queried again (RFC 2308 section 7:
      * five minutes at most).
      */
-    private static final long FAILURE_RETRY_DELAY_US = 5_000_000;
+    private static final long FAILURE_RETRY_DELAY_MICROS = 5_000_000;
 
     /** Share of its TTL after which an entry in use is refreshed. */
     private static final double REFRESH_AT_TTL_SHARE = 0.9;
@@ -163,7 +163,8 @@
 
     /** Whether a query failed within the retry delay. */
     private static boolean failedRecently(long now, CacheEntry entry) {
-        return entry.failedAt != Long.MIN_VALUE && now - entry.failedAt < FAILURE_RETRY_DELAY_US;
+        return entry.failedAt != Long.MIN_VALUE
+                && now - entry.failedAt < FAILURE_RETRY_DELAY_MICROS;
     }
 
     private void evictEldest() {
@@ -180,7 +181,7 @@
         boolean usable =
                 entry.hasAnswer()
                         && !entry.records.isEmpty()
-                        && now < entry.expiresAt + MAX_STALE_US;
+                        && now < entry.expiresAt + MAX_STALE_MICROS;
         increment(usable ? "stale" : "none");
         return usable
                 ? new LookupResult(
@@ -276,12 +277,12 @@
         long ttl = resolveAliases(response, name, type, records);
         ttl =
                 records.isEmpty()
-                        ? Math.min(MAX_NEGATIVE_TTL_US, response.negativeTtl() * 1_000_000)
-                        : Math.min(MAX_TTL_US, ttl * 1_000_000);
+                        ? Math.min(MAX_NEGATIVE_TTL_MICROS, response.negativeTtl() * 1_000_000)
+                        : Math.min(MAX_TTL_MICROS, ttl * 1_000_000);
         entry.records = List.copyOf(records);
         entry.additional = response.additional();
         entry.cachedAt = now;
-        entry.expiresAt = now + Math.max(MIN_TTL_US, ttl);
+        entry.expiresAt = now + Math.max(MIN_TTL_MICROS, ttl);
         entry.failedAt = Long.MIN_VALUE;
         LookupResult lookupResult =
                 new LookupResult(
--- a/src/main/java/coralcove/dns/Resolver.java
+++ b/src/main/java/coralcove/dns/Resolver.java
@@ -81,8 +81,8 @@
      */
     private static final int FAILURES_BEFORE_BACKOFF = 5;
 
-    private static final long INITIAL_BACKOFF_US = 2_000_000;
-    private static final long MAX_BACKOFF_US = 60_000_000;
+    private static final long INITIAL_BACKOFF_MICROS = 2_000_000;
+    private static final long MAX_BACKOFF_MICROS = 60_000_000;
 
     private static final class ServerHealth {
         int consecutiveFailures;
@@ -173,8 +173,8 @@
             serverHealth.backoffUntil =
                     now
                             + Math.min(
-                                    MAX_BACKOFF_US,
-                                    INITIAL_BACKOFF_US
+                                    MAX_BACKOFF_MICROS,
+                                    INITIAL_BACKOFF_MICROS
                                             << Math.min(
                                                     8,
                                                     serverHealth.consecutiveFailures
--- a/src/main/java/coralcove/dns/ServiceLocator.java
+++ b/src/main/java/coralcove/dns/ServiceLocator.java
@@ -38,13 +38,13 @@
     private static final int MAX_TARGETS = 8;
 
     /** Delay before a name is queried again whose query failed. */
-    private static final long RETRY_DELAY_US = 5_000_000;
+    private static final long RETRY_DELAY_MICROS = 5_000_000;
 
     /**
      * Maximum time between two queries for a name, so that a TTL of a day does not hide a change
      * for a day.
      */
-    private static final long MAX_QUERY_INTERVAL_US = 600_000_000;
+    private static final long MAX_QUERY_INTERVAL_MICROS = 600_000_000;
 
     /**
      * A record is looked up again when a share of its TTL has passed, this less a random share of
@@ -180,7 +180,7 @@
             scheduleRefresh(
                     now,
                     watchedName,
-                    addresses.isEmpty() && failed || stale ? RETRY_DELAY_US : ttl);
+                    addresses.isEmpty() && failed || stale ? RETRY_DELAY_MICROS : ttl);
         }
     }
 
@@ -226,7 +226,10 @@
     private void scheduleRefresh(long now, WatchedName watchedName, long ttl) {
         double share = REFRESH_AT_TTL_SHARE - REFRESH_JITTER * random.nextDouble();
         scheduleQuery(
-                now + Math.max(1_000_000, (long) (Math.min(MAX_QUERY_INTERVAL_US, ttl) * share)),
+                now
+                        + Math.max(
+                                1_000_000,
+                                (long) (Math.min(MAX_QUERY_INTERVAL_MICROS, ttl) * share)),
                 watchedName);
     }
 
@@ -257,7 +260,7 @@
     private void srvCompleted(long now, WatchedName watchedName, LookupCache.LookupResult result) {
         if (result.freshness() == LookupCache.Freshness.UNAVAILABLE) {
             listener.log("dns-none", watchedName.name + ": " + result.failure());
-            scheduleRefresh(now, watchedName, RETRY_DELAY_US);
+            scheduleRefresh(now, watchedName, RETRY_DELAY_MICROS);
             return;
         }
         List<SrvRecord> records = new ArrayList<>();
--- a/src/main/java/coralcove/edge/EdgeCore.java
+++ b/src/main/java/coralcove/edge/EdgeCore.java
@@ -52,7 +52,7 @@
     private static final int MAX_PEER_MESSAGE_BYTES = 512;
 
     /** Interval between two removals of outdated entries from the cache of ported numbers. */
-    private static final long PORTING_SWEEP_INTERVAL_US = 60_000_000;
+    private static final long PORTING_SWEEP_INTERVAL_MICROS = 60_000_000;
 
     /**
      * A session, or a call for a line of the local exchange, from its INVITE until it is rejected
@@ -196,7 +196,7 @@
     public void start(long now, SipOutput out) {
         rosterManager.start(now, out);
         if (numberAnalysis != null) {
-            timers.schedule(now + PORTING_SWEEP_INTERVAL_US, this::sweepPortingCache);
+            timers.schedule(now + PORTING_SWEEP_INTERVAL_MICROS, this::sweepPortingCache);
         }
         performPendingActions(now, out);
     }
@@ -408,7 +408,7 @@
 
     private void sweepPortingCache(long now, SipOutput out) {
         numberAnalysis.porting.evictExpired(now);
-        timers.schedule(now + PORTING_SWEEP_INTERVAL_US, this::sweepPortingCache);
+        timers.schedule(now + PORTING_SWEEP_INTERVAL_MICROS, this::sweepPortingCache);
     }
 
     private void applySearchStep(
--- a/src/main/java/coralcove/edge/LocatorSettings.java
+++ b/src/main/java/coralcove/edge/LocatorSettings.java
@@ -24,7 +24,7 @@
         Resolver.Settings resolverSettings,
         RandomGenerator random) {
     /** Time-out of one try. No session waits for these look-ups, so it may be long. */
-    private static final long TRY_TIMEOUT_US = 1_000_000;
+    private static final long TRY_TIMEOUT_MICROS = 1_000_000;
 
     private static final int MAX_TRIES = 3;
 
@@ -40,7 +40,7 @@
     /** Resolver settings for looking up routers at these name servers. */
     public static Resolver.Settings resolverSettingsFor(List<Resolver.Server> servers) {
         return new Resolver.Settings(
-                servers, TRY_TIMEOUT_US, MAX_TRIES, SOCKETS_PER_SERVER, MAX_PENDING_QUERIES);
+                servers, TRY_TIMEOUT_MICROS, MAX_TRIES, SOCKETS_PER_SERVER, MAX_PENDING_QUERIES);
     }
 
     /**
--- a/src/main/java/coralcove/edge/RosterManager.java
+++ b/src/main/java/coralcove/edge/RosterManager.java
@@ -39,7 +39,7 @@
     /**
      * Delay before subscribing again to the local exchange, the only source of its trunk groups.
      */
-    private static final long TRUNK_GROUPS_RETRY_US = 1_000_000;
+    private static final long TRUNK_GROUPS_RETRY_MICROS = 1_000_000;
 
     /** Receives changes of the roster and of the trunk groups. */
     interface Listener {
@@ -228,7 +228,7 @@
     public void subscriptionEnded(
             long now, Subscription subscription, String reason, SipOutput out) {
         if (subscription.event().equals(TRUNK_GROUPS_EVENT)) {
-            timers.schedule(now + TRUNK_GROUPS_RETRY_US, this::subscribeToTrunkGroups);
+            timers.schedule(now + TRUNK_GROUPS_RETRY_MICROS, this::subscribeToTrunkGroups);
         } else {
             out.log("directory-lost", "", subscription.notifierAddress() + ": " + reason);
             listener.directorySubscriptionEnded(now);
--- a/src/main/java/coralcove/edge/TrunkGroups.java
+++ b/src/main/java/coralcove/edge/TrunkGroups.java
@@ -6,11 +6,11 @@
  * Counts the circuits in use on the local exchange's trunk groups, from the INVITEs sent and
  * received over each group. A group is named by the number of the exchange at its far end. When the
  * far end rejects a call and reports more busy circuits than counted here, the difference counts as
- * busy for {@link #EXCESS_LIFETIME_US}.
+ * busy for {@link #EXCESS_LIFETIME_MICROS}.
  */
 public final class TrunkGroups {
     /** Time for which a far end's higher count is used: about one post-dial target. */
-    private static final long EXCESS_LIFETIME_US = 1_500_000;
+    private static final long EXCESS_LIFETIME_MICROS = 1_500_000;
 
     private static final class Group {
         int size;
@@ -83,7 +83,7 @@
     public void farEndReportedBusy(long now, int number, int busy) {
         Group group = group(number);
         group.excess = Math.max(0, busy - group.outgoing - group.incoming);
-        group.excessExpiresAt = group.excess > 0 ? now + EXCESS_LIFETIME_US : 0;
+        group.excessExpiresAt = group.excess > 0 ? now + EXCESS_LIFETIME_MICROS : 0;
     }
 
     /** The time at which the far end's higher count expires, or Long.MAX_VALUE if there is none. */
--- a/src/main/java/coralcove/exchange/CallerStats.java
+++ b/src/main/java/coralcove/exchange/CallerStats.java
@@ -10,7 +10,7 @@
  */
 public final class CallerStats {
     /** The longest delay that the histogram distinguishes. */
-    private static final long MAX_SET_UP_US = 60_000_000;
+    private static final long MAX_SET_UP_MICROS = 60_000_000;
 
     /** INVITEs sent to the call router. */
     public long sessions;
@@ -36,7 +36,7 @@
     public double valueServed;
 
     /** µs from an attempt to the established call, as seen by the caller. */
-    public final Histogram postDialDelay = new Histogram(MAX_SET_UP_US, 3);
+    public final Histogram postDialDelay = new Histogram(MAX_SET_UP_MICROS, 3);
 
     /** Value served, by service. */
     public final Map<Integer, Double> servedByService = new TreeMap<>();
--- a/src/main/java/coralcove/exchange/SimulatedExchange.java
+++ b/src/main/java/coralcove/exchange/SimulatedExchange.java
@@ -31,13 +31,13 @@
  */
 public final class SimulatedExchange extends UserAgentCore {
     /** Interval between REGISTERs to the directory. */
-    private static final long REGISTER_INTERVAL_US = 1_000_000;
+    private static final long REGISTER_INTERVAL_MICROS = 1_000_000;
 
     /** Marks the transactions of REGISTERs whose answer is read. */
     private static final Object REGISTER_OWNER = "registered";
 
     /** The utilization reported to probes is smoothed over this time. */
-    private static final double UTILIZATION_WINDOW_US = 1_000_000;
+    private static final double UTILIZATION_WINDOW_MICROS = 1_000_000;
 
     /** A forwarded call: the leg from the local router and the leg to the next one. */
     private static final class ForwardedCall {
@@ -187,7 +187,7 @@
         }
         if (!phase.equals("left")) {
             timers.cancel(nextRegister);
-            nextRegister = timers.schedule(now + REGISTER_INTERVAL_US, this::register);
+            nextRegister = timers.schedule(now + REGISTER_INTERVAL_MICROS, this::register);
         }
     }
 
@@ -775,7 +775,7 @@
     private String loadHeader(long now) {
         double elapsed = Math.max(1, now - lastSampledAt);
         double busyShare = Math.min(1, (processor.busyTime() - lastBusyTime) / elapsed);
-        utilization += Math.min(1, elapsed / UTILIZATION_WINDOW_US) * (busyShare - utilization);
+        utilization += Math.min(1, elapsed / UTILIZATION_WINDOW_MICROS) * (busyShare - utilization);
         lastSampledAt = now;
         lastBusyTime = processor.busyTime();
         return String.format(
--- a/src/main/java/coralcove/network/LiveNetwork.java
+++ b/src/main/java/coralcove/network/LiveNetwork.java
@@ -26,7 +26,7 @@
  */
 public final class LiveNetwork implements Network, AutoCloseable {
     /** Longest time for which a node's thread waits for input when no timer expires. */
-    private static final long MAX_WAIT_US = 100_000;
+    private static final long MAX_WAIT_MICROS = 100_000;
 
     /** Number of inputs processed between two checks of the timers. */
     private static final int INPUTS_PER_TIMER_CHECK = 64;
@@ -38,7 +38,7 @@
     private static final int MAX_RESPONSES_BEFORE_TIMERS = 5000;
 
     /** Offset of {@link System#nanoTime} from the epoch. */
-    private static final long CLOCK_OFFSET_US =
+    private static final long CLOCK_OFFSET_MICROS =
             System.currentTimeMillis() * 1000 - System.nanoTime() / 1000;
 
     /** An action to run at {@code time}; {@code sequence} orders actions of equal time. */
@@ -72,7 +72,8 @@
             int inputsSinceTimerCheck = 0;
             while (alive) {
                 try {
-                    long timeout = Math.max(0, Math.min(MAX_WAIT_US, core.nextTickAt() - now()));
+                    long timeout =
+                            Math.max(0, Math.min(MAX_WAIT_MICROS, core.nextTickAt() - now()));
                     InputQueue.Input input = inputQueue.awaitNext(timeout);
                     if (input != null) {
                         process(input);
@@ -231,7 +232,7 @@
 
     /** Time in µs since the epoch, by a clock that never goes back. */
     public static long currentTimeMicros() {
-        return CLOCK_OFFSET_US + System.nanoTime() / 1000;
+        return CLOCK_OFFSET_MICROS + System.nanoTime() / 1000;
     }
 
     @Override
--- a/src/main/java/coralcove/network/VirtualNetwork.java
+++ b/src/main/java/coralcove/network/VirtualNetwork.java
@@ -40,7 +40,7 @@
     }
 
     /** Maximum extra delay of a reordered or duplicated datagram. */
-    private static final long MAX_EXTRA_DELAY_US = 50_000;
+    private static final long MAX_EXTRA_DELAY_MICROS = 50_000;
 
     /**
      * Maximum number of pending events. Above it datagrams are lost, as when queues in a real
@@ -248,7 +248,7 @@
             return;
         }
         if (random.nextDouble() < conditions.reordered) {
-            delay += random.nextLong(MAX_EXTRA_DELAY_US);
+            delay += random.nextLong(MAX_EXTRA_DELAY_MICROS);
         }
         scheduleDelivery(from, to, packet, now + delay);
         if (random.nextDouble() < conditions.duplicated) {
@@ -256,7 +256,7 @@
                     from,
                     to,
                     serialized ? packet : new Packet(null, packet.message.copy()),
-                    now + delay + random.nextLong(MAX_EXTRA_DELAY_US));
+                    now + delay + random.nextLong(MAX_EXTRA_DELAY_MICROS));
         }
     }
 
--- a/src/main/java/coralcove/numbers/CalendarCheck.java
+++ b/src/main/java/coralcove/numbers/CalendarCheck.java
@@ -12,7 +12,7 @@
  */
 public final class CalendarCheck {
     /** A year and a day, so that each holiday and clock change is covered once. */
-    private static final long LOOK_AHEAD_US = 367L * 86_400_000_000L;
+    private static final long LOOK_AHEAD_MICROS = 367L * 86_400_000_000L;
 
     /** Findings reported per destination; the first ones show what is wrong. */
     private static final int MAX_FINDINGS = 3;
@@ -45,7 +45,7 @@
         List<String> findings = new ArrayList<>();
         long time = now;
         for (int i = 0;
-                i < MAX_CHANGES && time < now + LOOK_AHEAD_US && findings.size() < MAX_FINDINGS;
+                i < MAX_CHANGES && time < now + LOOK_AHEAD_MICROS && findings.size() < MAX_FINDINGS;
                 i++) {
             List<String> open = new ArrayList<>();
             long next = OpeningHours.NEVER;
--- a/src/main/java/coralcove/numbers/PortabilityCache.java
+++ b/src/main/java/coralcove/numbers/PortabilityCache.java
@@ -60,33 +60,33 @@
     private static final int FAILURE_THRESHOLD = 5;
 
     /** An answer later than this is of no use to a session and counts as a failure. */
-    private static final long SLOW_ANSWER_US = 400_000;
+    private static final long SLOW_ANSWER_MICROS = 400_000;
 
     /**
-     * The first pause, which doubles up to {@link #MAX_PAUSE_US}; a server restart takes some
+     * The first pause, which doubles up to {@link #MAX_PAUSE_MICROS}; a server restart takes some
      * seconds.
      */
-    private static final long INITIAL_PAUSE_US = 500_000;
+    private static final long INITIAL_PAUSE_MICROS = 500_000;
 
-    private static final long MAX_PAUSE_US = 4_000_000;
+    private static final long MAX_PAUSE_MICROS = 4_000_000;
 
     /**
      * How long a session waits for a newer answer when the cached one has expired; a healthy server
      * takes less.
      */
-    private static final long STALE_REFRESH_WAIT_US = 60_000;
+    private static final long STALE_REFRESH_WAIT_MICROS = 60_000;
 
     /** Shorter lifetimes are raised to this, as otherwise each session would send a query. */
-    private static final long MIN_LIFETIME_US = 1_000_000;
+    private static final long MIN_LIFETIME_MICROS = 1_000_000;
 
     /** Longer lifetimes are cut to this, as otherwise a porting could go unnoticed for days. */
-    private static final long MAX_LIFETIME_US = 86_400_000_000L;
+    private static final long MAX_LIFETIME_MICROS = 86_400_000_000L;
 
     /** How long a negative answer is cached at most (RFC 2308 section 5). */
-    private static final long MAX_NEGATIVE_LIFETIME_US = 600_000_000;
+    private static final long MAX_NEGATIVE_LIFETIME_MICROS = 600_000_000;
 
     /** Shorter waits are skipped: the set-up itself needs the remaining time. */
-    private static final long MIN_WAIT_US = 5_000;
+    private static final long MIN_WAIT_MICROS = 5_000;
 
     private record CachedAnswer(long routingNumber, long expiresAt) {}
 
@@ -114,7 +114,7 @@
     private final Map<Long, Query> outstandingQueries = new LinkedHashMap<>();
     private int consecutiveFailures;
     private long pausedUntil;
-    private long pause = INITIAL_PAUSE_US;
+    private long pause = INITIAL_PAUSE_MICROS;
     private boolean trialOutstanding;
     private long cacheHits;
     private long queriesSent;
@@ -160,14 +160,14 @@
         }
         long wait =
                 Math.min(
-                        stale ? STALE_REFRESH_WAIT_US : settings.waitBudget,
+                        stale ? STALE_REFRESH_WAIT_MICROS : settings.waitBudget,
                         (long) (timeLeft * settings.waitShare));
         // Sessions share one query: a later session waits no longer than the first one may.
         long deadline =
                 query == null
                         ? now + wait
                         : Math.min(now + wait, query.sentAt + settings.waitBudget);
-        if (deadline - now < MIN_WAIT_US) {
+        if (deadline - now < MIN_WAIT_MICROS) {
             return decideWithoutQuery(cached, stale, "not enough time left");
         }
         boolean sendQuery = query == null;
@@ -219,11 +219,11 @@
         if (outcome != QueryOutcome.FAILED) {
             long lifetime =
                     Math.max(
-                            MIN_LIFETIME_US,
+                            MIN_LIFETIME_MICROS,
                             Math.min(
                                     outcome == QueryOutcome.MOVED
-                                            ? MAX_LIFETIME_US
-                                            : MAX_NEGATIVE_LIFETIME_US,
+                                            ? MAX_LIFETIME_MICROS
+                                            : MAX_NEGATIVE_LIFETIME_MICROS,
                                     timeToLive));
             ported.remove(number);
             notPorted.remove(number);
@@ -238,15 +238,16 @@
             return List.of();
         }
         trialOutstanding &= !query.trial;
-        boolean healthy = outcome != QueryOutcome.FAILED && now - query.sentAt <= SLOW_ANSWER_US;
+        boolean healthy =
+                outcome != QueryOutcome.FAILED && now - query.sentAt <= SLOW_ANSWER_MICROS;
         if (healthy) {
             consecutiveFailures = 0;
-            pause = INITIAL_PAUSE_US;
+            pause = INITIAL_PAUSE_MICROS;
             pausedUntil = 0;
         } else if (++consecutiveFailures >= FAILURE_THRESHOLD
                 && (consecutiveFailures == FAILURE_THRESHOLD || query.trial)) {
             pausedUntil = now + pause;
-            pause = Math.min(MAX_PAUSE_US, 2 * pause);
+            pause = Math.min(MAX_PAUSE_MICROS, 2 * pause);
         }
         return new ArrayList<>(query.waitingSessions);
     }
--- a/src/main/java/coralcove/overload/OverloadControl.java
+++ b/src/main/java/coralcove/overload/OverloadControl.java
@@ -34,16 +34,16 @@
      * Queueing delay beyond which a set-up is rejected: it has lost so much of its post-dial target
      * that a prompt rejection serves its caller better.
      */
-    private static final long MAX_WAIT_US = 250_000;
+    private static final long MAX_WAIT_MICROS = 250_000;
 
     /** Queueing delay that an idle queue shows at times; up to it there is no overload. */
-    private static final long TARGET_WAIT_US = 20_000;
+    private static final long TARGET_WAIT_MICROS = 20_000;
 
     /**
      * Time for which all queueing delays must stay above the target before set-ups are rejected,
      * and interval at which the rejected share is adjusted.
      */
-    private static final long INTERVAL_US = 100_000;
+    private static final long INTERVAL_MICROS = 100_000;
 
     /** Increase of the rejected share per interval of overload; it falls by half as much. */
     private static final double SHARE_STEP = 0.1;
@@ -52,7 +52,7 @@
     private static final double MAX_REJECTED_SHARE = 0.95;
 
     /** Retry-after delay while no share is rejected; it grows in proportion to the share. */
-    private static final long MIN_RETRY_AFTER_US = 500_000;
+    private static final long MIN_RETRY_AFTER_MICROS = 500_000;
 
     /** Number of consecutive inputs of other kinds after which the oldest set-up is processed. */
     private static final int MAX_PASSED_OVER = 200;
@@ -122,14 +122,14 @@
      * @return {@link Verdict#ACCEPT} or {@link Verdict#REJECT}
      */
     public Verdict decideSetUp(long now, long waited, boolean repeat) {
-        if (waited <= TARGET_WAIT_US) {
+        if (waited <= TARGET_WAIT_MICROS) {
             aboveTargetSince = -1;
         } else if (aboveTargetSince < 0) {
             aboveTargetSince = now;
         }
-        if (now - lastStep >= INTERVAL_US) {
+        if (now - lastStep >= INTERVAL_MICROS) {
             lastStep = now;
-            boolean overloaded = aboveTargetSince >= 0 && now - aboveTargetSince >= INTERVAL_US;
+            boolean overloaded = aboveTargetSince >= 0 && now - aboveTargetSince >= INTERVAL_MICROS;
             rejectedShare =
                     overloaded
                             ? Math.min(MAX_REJECTED_SHARE, rejectedShare + SHARE_STEP)
@@ -138,7 +138,7 @@
         if (repeat) {
             return Verdict.ACCEPT;
         }
-        if (waited > MAX_WAIT_US) {
+        if (waited > MAX_WAIT_MICROS) {
             return Verdict.REJECT;
         }
         // Rejects evenly and without randomness: a share of one half rejects every second set-up.
@@ -152,7 +152,7 @@
 
     /** Returns the retry-after delay in µs for a set-up that is rejected now. */
     public long retryAfter() {
-        return Math.round(MIN_RETRY_AFTER_US * (1 + 3 * rejectedShare));
+        return Math.round(MIN_RETRY_AFTER_MICROS * (1 + 3 * rejectedShare));
     }
 
     /** Returns the share of set-ups that is rejected now, from 0 to 1. */
--- a/src/main/java/coralcove/platform/live/SessionRouterServer.java
+++ b/src/main/java/coralcove/platform/live/SessionRouterServer.java
@@ -22,13 +22,13 @@
  */
 public final class SessionRouterServer implements Actions, TcpConnections.Listener {
     /** Interval between two {@code counts} lines in the log. */
-    private static final long COUNTERS_INTERVAL_US = 5_000_000;
+    private static final long COUNTERS_INTERVAL_MICROS = 5_000_000;
 
     /** Longest time spent on queued events before the timers are checked. */
-    private static final long EVENT_SLICE_US = 20_000;
+    private static final long EVENT_SLICE_MICROS = 20_000;
 
     /** Longest time spent on routing decisions while further events wait. */
-    private static final long DECISION_SLICE_US = 10_000;
+    private static final long DECISION_SLICE_MICROS = 10_000;
 
     /** Time allowed at shutdown for pending writes to reach peers that still read. */
     private static final int FINAL_FLUSH_MS = 1_000;
@@ -40,7 +40,7 @@
     private static final int CONFIGURATION_RETRY_MS = 100;
 
     /** Difference between the Unix time and the monotonic clock at the start. */
-    private static final long CLOCK_OFFSET_US =
+    private static final long CLOCK_OFFSET_MICROS =
             System.currentTimeMillis() * 1000 - System.nanoTime() / 1000;
 
     private final Path configurationFile;
@@ -142,7 +142,7 @@
 
     /** Returns the current time in µs since the Unix epoch, by a clock that never goes back. */
     static long clock() {
-        return CLOCK_OFFSET_US + System.nanoTime() / 1000;
+        return CLOCK_OFFSET_MICROS + System.nanoTime() / 1000;
     }
 
     /** Serves callers until a drain has completed. */
@@ -165,7 +165,7 @@
     }
 
     private void runEventLoop() throws InterruptedException {
-        long nextCountersAt = clock() + COUNTERS_INTERVAL_US;
+        long nextCountersAt = clock() + COUNTERS_INTERVAL_MICROS;
         while (!ended) {
             // All events that were read are processed before a set-up is decided or an INVITE is
             // written, because its caller may have left in the meantime.
@@ -176,10 +176,10 @@
                                     : Math.max(
                                             0,
                                             Math.min(
-                                                    COUNTERS_INTERVAL_US,
+                                                    COUNTERS_INTERVAL_MICROS,
                                                     core.nextTickAt() - clock())));
             long sliceStart = clock();
-            while (event != null && clock() - sliceStart < EVENT_SLICE_US) {
+            while (event != null && clock() - sliceStart < EVENT_SLICE_MICROS) {
                 runGuarded(event.action());
                 event = events.next(0);
             }
@@ -202,10 +202,10 @@
                 runGuarded(() -> core.routeNext(clock()));
             } while (moreEvents
                     && core.hasUndecided()
-                    && clock() - decisionStart < DECISION_SLICE_US);
+                    && clock() - decisionStart < DECISION_SLICE_MICROS);
             runGuarded(core::endRound);
             if (now >= nextCountersAt) {
-                nextCountersAt = now + COUNTERS_INTERVAL_US;
+                nextCountersAt = now + COUNTERS_INTERVAL_MICROS;
                 log("counts", "", core.counterLine() + " lag-ms " + maxTimerLagUs / 1000);
                 maxTimerLagUs = 0;
             }
--- a/src/main/java/coralcove/portability/PortabilityService.java
+++ b/src/main/java/coralcove/portability/PortabilityService.java
@@ -30,7 +30,7 @@
     String SUFFIX = "e164.arpa";
 
     /** Time-out of one attempt in µs; two attempts fit into the time that a session waits. */
-    long ATTEMPT_TIMEOUT_US = 120_000;
+    long ATTEMPT_TIMEOUT_MICROS = 120_000;
 
     /** Number of attempts for a query. */
     int MAX_ATTEMPTS = 2;
@@ -125,7 +125,7 @@
                         new DnsClient(
                                 new Resolver.Settings(
                                         List.of(new Resolver.Server(host, port)),
-                                        ATTEMPT_TIMEOUT_US,
+                                        ATTEMPT_TIMEOUT_MICROS,
                                         MAX_ATTEMPTS,
                                         SOCKET_COUNT,
                                         MAX_OUTSTANDING_QUERIES),
@@ -159,7 +159,7 @@
                                 server,
                                 new Resolver.Settings(
                                         List.of(new Resolver.Server("portability", 53)),
-                                        ATTEMPT_TIMEOUT_US,
+                                        ATTEMPT_TIMEOUT_MICROS,
                                         MAX_ATTEMPTS,
                                         SOCKET_COUNT,
                                         MAX_OUTSTANDING_QUERIES),
--- a/src/main/java/coralcove/rehearsal/BenchScenario.java
+++ b/src/main/java/coralcove/rehearsal/BenchScenario.java
@@ -21,7 +21,7 @@
  */
 public final class BenchScenario {
     /** One-way delay between a router and its local exchange, which the bench does not model. */
-    private static final long LOCAL_DELAY_US = 50;
+    private static final long LOCAL_DELAY_MICROS = 50;
 
     /** The bench's kinds of faults, each with the kind that it is mapped to. */
     private static final Map<String, String> FAULT_KINDS =
@@ -168,7 +168,7 @@
                         1e6 / times.setUp() * mean(speeds));
         NetworkConditions networkConditions =
                 new NetworkConditions(
-                        LOCAL_DELAY_US,
+                        LOCAL_DELAY_MICROS,
                         root.path("net").path("same").asLong(),
                         Math.max(1, root.path("net").path("cross").asLong()),
                         root.path("net").path("jitter").asDouble(),
--- a/src/main/java/coralcove/rehearsal/DnsDiscovery.java
+++ b/src/main/java/coralcove/rehearsal/DnsDiscovery.java
@@ -27,7 +27,7 @@
     private static final String HOST_PATTERN = "ex%d.hokkaido.example.org";
 
     /** Response time of the name server. */
-    private static final long RESPONSE_DELAY_US = 4000;
+    private static final long RESPONSE_DELAY_MICROS = 4000;
 
     /** A port without a listener, which stands for an exchange's former address. */
     private static final int UNUSED_PORT = 9;
@@ -56,7 +56,8 @@
             zone.addAddress(hostName(number), 127, 0, 0, 1);
             publish(number, firstPort + 2 * number);
         }
-        nameServer = new SimulatedDnsServer(zone, RESPONSE_DELAY_US, new SplittableRandom(seed));
+        nameServer =
+                new SimulatedDnsServer(zone, RESPONSE_DELAY_MICROS, new SplittableRandom(seed));
         resolverSettings =
                 LocatorSettings.resolverSettingsFor(
                         List.of(new Resolver.Server("127.0.0.1", Math.max(1, port))));
--- a/src/main/java/coralcove/rehearsal/ReorderingBuffer.java
+++ b/src/main/java/coralcove/rehearsal/ReorderingBuffer.java
@@ -9,18 +9,18 @@
 
 /**
  * Collects captured messages from many threads of a live run and passes them on from one thread in
- * order of time. An event is passed on once it is older than {@link #REORDER_WINDOW_US}, when no
- * earlier one is expected any more.
+ * order of time. An event is passed on once it is older than {@link #REORDER_WINDOW_MICROS}, when
+ * no earlier one is expected any more.
  */
 final class ReorderingBuffer implements Network.MessageObserver, ScenarioListener, AutoCloseable {
     /**
      * Longer than a thread of a loaded machine takes between stamping a message and handing it on.
      */
-    private static final long REORDER_WINDOW_US = 2_000_000;
+    private static final long REORDER_WINDOW_MICROS = 2_000_000;
 
     /**
      * A captured message; a stream failure if {@code bytes} is null; or a notification of the
-     * witness.
+     * listener.
      */
     private record CapturedEvent(
             long time,
@@ -33,7 +33,7 @@
             Runnable notification) {}
 
     private final Network.MessageObserver observer;
-    private final ScenarioListener witness;
+    private final ScenarioListener listener;
     private final ConcurrentLinkedQueue<CapturedEvent> incoming = new ConcurrentLinkedQueue<>();
     private final PriorityQueue<CapturedEvent> pending =
             new PriorityQueue<>(
@@ -47,9 +47,9 @@
     private long lastDeliveredTime;
     private long lateEvents;
 
-    ReorderingBuffer(Network.MessageObserver observer, ScenarioListener witness) {
+    ReorderingBuffer(Network.MessageObserver observer, ScenarioListener listener) {
         this.observer = observer;
-        this.witness = witness;
+        this.listener = listener;
         thread.start();
     }
 
@@ -65,22 +65,22 @@
 
     @Override
     public void routerKilled(String node) {
-        enqueueNotification(LiveNetwork.currentTimeMicros(), () -> witness.routerKilled(node));
+        enqueueNotification(LiveNetwork.currentTimeMicros(), () -> listener.routerKilled(node));
     }
 
     @Override
     public void coldStarted(int number, long since) {
-        enqueueNotification(since, () -> witness.coldStarted(number, since));
+        enqueueNotification(since, () -> listener.coldStarted(number, since));
     }
 
-    /** Enqueues a notification of the witness, to be made at its place in the order of time. */
+    /** Enqueues a notification of the listener, to be made at its place in the order of time. */
     private void enqueueNotification(long time, Runnable notification) {
         incoming.add(new CapturedEvent(time, 0, "", false, null, null, false, notification));
     }
 
     private void run() {
         while (!closed || !incoming.isEmpty()) {
-            deliverUntil(LiveNetwork.currentTimeMicros() - REORDER_WINDOW_US);
+            deliverUntil(LiveNetwork.currentTimeMicros() - REORDER_WINDOW_MICROS);
             try {
                 Thread.sleep(closed ? 0 : 20);
             } catch (InterruptedException e) {
--- a/src/main/java/coralcove/rehearsal/RouterPlanner.java
+++ b/src/main/java/coralcove/rehearsal/RouterPlanner.java
@@ -112,11 +112,11 @@
     private static final class VirtualPlanner extends RouterPlanner
             implements EdgeLinkCore.Actions {
         /** One-way delay on loopback. */
-        private static final long LOOPBACK_DELAY_US = 50;
+        private static final long LOOPBACK_DELAY_MICROS = 50;
 
         private final Network network;
         private final String node;
-        private long delay = LOOPBACK_DELAY_US;
+        private long delay = LOOPBACK_DELAY_MICROS;
         private long connectionCount;
         private PlannerProcess planner;
 
@@ -149,7 +149,7 @@
 
         @Override
         void setDelay(long newDelay) {
-            delay = Math.max(LOOPBACK_DELAY_US, newDelay);
+            delay = Math.max(LOOPBACK_DELAY_MICROS, newDelay);
         }
 
         private void runOnEdge(EdgeAction action) {
--- a/src/main/java/coralcove/rehearsal/ScenarioRun.java
+++ b/src/main/java/coralcove/rehearsal/ScenarioRun.java
@@ -38,31 +38,31 @@
  */
 public final class ScenarioRun {
     /** Time before the first call, in which exchange lists and group sizes are notified. */
-    private static final long LEAD_IN_US = 2_000_000;
+    private static final long LEAD_IN_MICROS = 2_000_000;
 
     /** Time after the last call; the longest timer limit has passed then and all is answered. */
-    private static final long TAIL_US = 12_000_000;
+    private static final long TAIL_MICROS = 12_000_000;
 
     /** Time that a failing exchange has to send the BYEs of the calls that it cuts off. */
-    private static final long BYE_FLUSH_DELAY_US = 100_000;
+    private static final long BYE_FLUSH_DELAY_MICROS = 100_000;
 
     /** Time that a process takes to restart. */
-    private static final long RESTART_DELAY_US = 300_000;
+    private static final long RESTART_DELAY_MICROS = 300_000;
 
     /** Number of steps in which an ageing exchange becomes slower. */
     private static final int AGEING_STEPS = 20;
 
     /** Time from the start of the scenario at which sampling of the plans' ages begins. */
-    private static final long PLAN_AGE_SAMPLING_START_US = 10_000_000;
+    private static final long PLAN_AGE_SAMPLING_START_MICROS = 10_000_000;
 
     /** Time between two samples of the plans' ages. */
-    private static final long PLAN_AGE_SAMPLING_INTERVAL_US = 1_000_000;
+    private static final long PLAN_AGE_SAMPLING_INTERVAL_MICROS = 1_000_000;
 
     /**
      * Time around the replacement of a number table in which a session may be routed by either
      * table: an INVITE received before it may be processed after it.
      */
-    private static final long TABLE_CHANGE_TOLERANCE_US = 1_000_000;
+    private static final long TABLE_CHANGE_TOLERANCE_MICROS = 1_000_000;
 
     /** Number of ports for senders of forged messages. */
     private static final int FORGED_SENDER_PORTS = 1;
@@ -72,7 +72,7 @@
     private final String policy;
     private final Network network;
     private final int firstPort;
-    private final ScenarioListener witness;
+    private final ScenarioListener listener;
     private final CallerStats[] stats;
     private final Map<String, SimulatedExchange> exchanges = new HashMap<>();
     private final Map<String, EdgeCore> edges = new LinkedHashMap<>();
@@ -95,14 +95,14 @@
             String policy,
             Network network,
             int firstPort,
-            ScenarioListener witness,
+            ScenarioListener listener,
             PortabilityService portability) {
         this.scenario = scenario;
         this.seed = seed;
         this.policy = policy;
         this.network = network;
         this.firstPort = firstPort;
-        this.witness = witness;
+        this.listener = listener;
         this.portability = portability;
         dialPlan =
                 scenario.numberPlan() == null
@@ -199,13 +199,13 @@
             }
         }
         if (scenario.planners() != null) {
-            for (long at = PLAN_AGE_SAMPLING_START_US;
+            for (long at = PLAN_AGE_SAMPLING_START_MICROS;
                     at < scenario.duration();
-                    at += PLAN_AGE_SAMPLING_INTERVAL_US) {
+                    at += PLAN_AGE_SAMPLING_INTERVAL_MICROS) {
                 network.schedule(startTime + at, this::recordPlanAges);
             }
         }
-        network.run(startTime + scenario.duration() + TAIL_US);
+        network.run(startTime + scenario.duration() + TAIL_MICROS);
         planners.values().forEach(RouterPlanner::kill);
         if (dnsDiscovery != null) {
             dnsDiscovery.close();
@@ -293,7 +293,9 @@
                                     Math.min(
                                             lastVersion,
                                             1
-                                                    + (at - TABLE_CHANGE_TOLERANCE_US - startTime)
+                                                    + (at
+                                                                    - TABLE_CHANGE_TOLERANCE_MICROS
+                                                                    - startTime)
                                                             / interval));
             long toVersion =
                     interval == 0
@@ -303,7 +305,9 @@
                                     Math.min(
                                             lastVersion,
                                             1
-                                                    + (at + TABLE_CHANGE_TOLERANCE_US - startTime)
+                                                    + (at
+                                                                    + TABLE_CHANGE_TOLERANCE_MICROS
+                                                                    - startTime)
                                                             / interval));
             return dialPlan.farEnds(dialled, fromVersion, toVersion);
         };
@@ -311,7 +315,7 @@
 
     /** Returns the start of the scenario on a network whose time is {@code now}. */
     static long startTime(long now) {
-        return now + LEAD_IN_US;
+        return now + LEAD_IN_MICROS;
     }
 
     /** Starts a router, and its planner where the scenario has planners. */
@@ -448,7 +452,7 @@
         SimulatedExchange core = new SimulatedExchange(settings, arrivals, stats[number]);
         exchanges.put("exchange-" + number, core);
         if (since > 0) {
-            witness.coldStarted(number, since);
+            listener.coldStarted(number, since);
         }
         network.addNode("exchange-" + number, exchangeAddress(number), core, false);
     }
@@ -536,7 +540,7 @@
             case "directory-restart" -> {
                 network.schedule(startTime + fault.at(), () -> network.killNode(name));
                 network.schedule(
-                        startTime + fault.at() + RESTART_DELAY_US, () -> addDirectory(index));
+                        startTime + fault.at() + RESTART_DELAY_MICROS, () -> addDirectory(index));
             }
             case "directory-cut" -> {
                 for (int number = 0; number < scenario.exchangeCount(); number++) {
@@ -658,7 +662,7 @@
                         startTime + at,
                         () -> {
                             network.killNode("edge-" + number);
-                            witness.routerKilled("edge-" + number);
+                            listener.routerKilled("edge-" + number);
                         });
                 network.schedule(startTime + end, () -> addEdge(number));
             }
@@ -681,9 +685,10 @@
         scheduleOnExchange(at, number, (now, core, out) -> core.cutOffAllCalls(now, out));
         // The BYEs of the calls that it cuts off are sent before it is killed.
         network.schedule(
-                startTime + at + BYE_FLUSH_DELAY_US, () -> network.killNode("exchange-" + number));
+                startTime + at + BYE_FLUSH_DELAY_MICROS,
+                () -> network.killNode("exchange-" + number));
         network.schedule(
-                startTime + at + 2 * BYE_FLUSH_DELAY_US + downtime,
+                startTime + at + 2 * BYE_FLUSH_DELAY_MICROS + downtime,
                 () -> addExchange(number, network.now()));
     }
 
--- a/src/main/java/coralcove/rehearsal/ScenarioRunner.java
+++ b/src/main/java/coralcove/rehearsal/ScenarioRunner.java
@@ -28,7 +28,7 @@
 /** Runs a scenario in virtual time or live and returns its result. */
 public final class ScenarioRunner {
     /** Start of virtual time; any time after the epoch would do. */
-    private static final long VIRTUAL_START_US = 1_000_000_000_000L;
+    private static final long VIRTUAL_START_MICROS = 1_000_000_000_000L;
 
     /** First port of the range that is searched for free ports, below the ephemeral range. */
     private static final int FIRST_PORT = 20_000;
@@ -119,7 +119,7 @@
             }
             Network network =
                     new VirtualNetwork(
-                            VIRTUAL_START_US,
+                            VIRTUAL_START_MICROS,
                             seed,
                             scenario.networkConditions(),
                             zones,
@@ -156,7 +156,7 @@
                     judge,
                     run.portabilityCounts(),
                     run.planAges(),
-                    ScenarioRun.startTime(VIRTUAL_START_US));
+                    ScenarioRun.startTime(VIRTUAL_START_MICROS));
         }
     }
 
--- a/src/main/java/coralcove/sources/Roster.java
+++ b/src/main/java/coralcove/sources/Roster.java
@@ -56,13 +56,13 @@
      * Time after its last renewal for which a list proves who is missing: two and a half lifetimes
      * of a subscription.
      */
-    public static final long FRESH_FOR_US = 30_000_000;
+    public static final long FRESH_FOR_MICROS = 30_000_000;
 
     /**
      * Time after its last renewal at which a list yields to any list that is renewed: as long as
      * the repair of a directory takes.
      */
-    public static final long EXPIRES_AFTER_US = 600_000_000;
+    public static final long EXPIRES_AFTER_MICROS = 600_000_000;
 
     /**
      * Maximum exchange instances of one source, including those it misses; a listing that would
@@ -74,7 +74,7 @@
      * Time for which it is remembered that a source misses an exchange: by then no other source has
      * an older list that names it.
      */
-    private static final long MISSING_RETENTION_US = 3_600_000_000L;
+    private static final long MISSING_RETENTION_MICROS = 3_600_000_000L;
 
     /** Maximum DNS addresses remembered for one number; beyond it the oldest is discarded. */
     private static final int MAX_ADDRESSES_PER_NUMBER = 16;
@@ -109,9 +109,9 @@
                 return ListAuthority.NONE;
             }
             long age = now - renewedAt;
-            return age < FRESH_FOR_US
+            return age < FRESH_FOR_MICROS
                     ? ListAuthority.FRESH
-                    : age < EXPIRES_AFTER_US ? ListAuthority.STALE : ListAuthority.EXPIRED;
+                    : age < EXPIRES_AFTER_MICROS ? ListAuthority.STALE : ListAuthority.EXPIRED;
         }
     }
 
@@ -258,7 +258,7 @@
                 .entrySet()
                 .removeIf(
                         each -> {
-                            boolean expired = now - each.getValue() >= MISSING_RETENTION_US;
+                            boolean expired = now - each.getValue() >= MISSING_RETENTION_MICROS;
                             if (expired) {
                                 directory.livenessById.remove(each.getKey());
                                 changedIds.add(each.getKey());
@@ -328,9 +328,12 @@
                     directory.livenessById.merge(report.id, report.liveness, Liveness::join);
                     // A time in the future means that the clock was set back: the list is stale at
                     // once, and its exchanges count as cold from now.
-                    long renewedAt = report.renewedAt > now ? now - FRESH_FOR_US : report.renewedAt;
+                    long renewedAt =
+                            report.renewedAt > now ? now - FRESH_FOR_MICROS : report.renewedAt;
                     directory.renewedAt =
-                            Math.max(directory.renewedAt, Math.min(renewedAt, now - FRESH_FOR_US));
+                            Math.max(
+                                    directory.renewedAt,
+                                    Math.min(renewedAt, now - FRESH_FOR_MICROS));
                     Start start = starts.get(report.id);
                     if (start == null || report.liveness.startNumber() > start.startNumber) {
                         starts.put(
@@ -440,8 +443,8 @@
             ListAuthority authority = directory.authority(now);
             long step =
                     authority == ListAuthority.FRESH
-                            ? FRESH_FOR_US
-                            : authority == ListAuthority.STALE ? EXPIRES_AFTER_US : 0;
+                            ? FRESH_FOR_MICROS
+                            : authority == ListAuthority.STALE ? EXPIRES_AFTER_MICROS : 0;
             next = step == 0 ? next : Math.min(next, directory.renewedAt + step);
         }
         return next;
--- a/src/test/java/coralcove/dns/ServiceLocatorTest.java
+++ b/src/test/java/coralcove/dns/ServiceLocatorTest.java
@@ -178,7 +178,7 @@
                 (completedAt, result) -> freshness.add(result.freshness()),
                 countingSender);
         assertThat(queryCount[0]).as("a failure is remembered").isEqualTo(2);
-        now += LookupCache.MAX_STALE_US;
+        now += LookupCache.MAX_STALE_MICROS;
         cache.lookUp(
                 now,
                 "a.example.org",
