--- a/src/main/java/coralcove/baseline/BaselineRouter.java
+++ b/src/main/java/coralcove/baseline/BaselineRouter.java
@@ -40,7 +40,7 @@
 
     /**
      * Share of a trunk group that is reserved for direct calls: the share that removes bistability
-     * in the model of a symmetric network ({@link coralcove.theory.Symmetric}).
+     * in the model of a symmetric network ({@link coralcove.theory.SymmetricNetwork}).
      */
     private static final double RESERVED_SHARE = 0.05;
 
--- a/src/main/java/coralcove/numbers/NumberAnalysis.java
+++ b/src/main/java/coralcove/numbers/NumberAnalysis.java
@@ -29,8 +29,8 @@
     public record Refused(int status, String reason, String number) implements Step {}
 
     /**
-     * Wait for the portability server's answer about a number, until {@code until} at most; {@code
-     * ask} if the caller must send the query now.
+     * Wait for the portability server's answer about a number, until {@code deadline} at most;
+     * {@code sendQuery} if the caller must send the query now.
      */
     public record Wait(long deadline, long number, boolean sendQuery) implements Step {}
 
--- a/src/main/java/coralcove/numbers/PortabilityCache.java
+++ b/src/main/java/coralcove/numbers/PortabilityCache.java
@@ -17,11 +17,11 @@
  */
 public final class PortabilityCache {
     /**
-     * Limits; times in µs. {@code budget} is the longest wait of a session, and {@code waitShare}
-     * the share of its caller's remaining time that a wait may take. {@code maxStaleness} is how
-     * long past its lifetime an answer may be used when no newer one arrives (RFC 8767). {@code
-     * maxPorted} and {@code maxNotPorted} bound the cached answers, {@code asked} the outstanding
-     * queries.
+     * Limits; times in µs. {@code waitBudget} is the longest wait of a session, and {@code
+     * waitShare} the share of its caller's remaining time that a wait may take. {@code
+     * maxStaleness} is how long past its lifetime an answer may be used when no newer one arrives
+     * (RFC 8767). {@code maxPorted} and {@code maxNotPorted} bound the cached answers, {@code
+     * maxOutstandingQueries} the outstanding queries.
      */
     public record Settings(
             long waitBudget,
--- a/src/main/java/coralcove/numbers/file/TableReader.java
+++ b/src/main/java/coralcove/numbers/file/TableReader.java
@@ -37,7 +37,9 @@
         }
     }
 
-    /** The changes of one file, which turn version {@code after} into version {@code version}. */
+    /**
+     * The changes of one file, which turn version {@code baseVersion} into version {@code version}.
+     */
     public record TableChanges(
             long baseVersion, long version, List<NumberTable.PrefixChange> changes) {}
 
--- a/src/main/java/coralcove/platform/caller/SetUpRequest.java
+++ b/src/main/java/coralcove/platform/caller/SetUpRequest.java
@@ -16,7 +16,7 @@
  * @param width circuits that the call needs
  * @param advisedTandem number of the tandem that the caller advises, or -1
  * @param transit whether the call is in transit, so that its only onward route is to the far end
- * @param interrupted whether the caller sets the call up again after it was cut
+ * @param redialledAfterCut whether the caller sets the call up again after it was cut
  * @param establishedExchange id of the exchange with which the call is established already, or null
  */
 public record SetUpRequest(
--- a/src/main/java/coralcove/protocol/FailureResponse.java
+++ b/src/main/java/coralcove/protocol/FailureResponse.java
@@ -19,7 +19,7 @@
      * if there was none.
      *
      * @param response the response received, or null
-     * @param lost how the call leg ended without a response
+     * @param failure how the call leg ended without a response
      * @param names names of the headers to copy
      */
     public static FailureResponse forwarding(
--- a/src/main/java/coralcove/protocol/InviteOutcomes.java
+++ b/src/main/java/coralcove/protocol/InviteOutcomes.java
@@ -52,7 +52,7 @@
      * Returns the outcome of an INVITE that established no call.
      *
      * @param response the final response, or null if there was none
-     * @param lost how the INVITE ended without a response; unused if there was one
+     * @param failure how the INVITE ended without a response; unused if there was one
      */
     public static Outcome fromResponse(SipMessage response, CallFailure failure) {
         if (response == null) {
--- a/src/main/java/coralcove/rehearsal/Scenario.java
+++ b/src/main/java/coralcove/rehearsal/Scenario.java
@@ -13,8 +13,8 @@
  * A scenario ready to be run: the exchanges, the trunk groups between them, the arrivals of calls
  * and the faults to inject. Times are µs from the start of the scenario. {@code groups[i][j]} is
  * the number of circuits between exchanges i and j. If {@code dnsTtl}, the time to live of DNS
- * records in seconds, is above 0, routers are also discovered by DNS. {@code unmapped} describes
- * the settings of a foreign format that have no counterpart here.
+ * records in seconds, is above 0, routers are also discovered by DNS. {@code unmappedSettings}
+ * describes the settings of a foreign format that have no counterpart here.
  */
 public record Scenario(
         String name,
@@ -43,7 +43,8 @@
     public static final int MAX_DIRECTORIES = 4;
 
     /**
-     * A service: {@code hold} is its mean hold time, {@code width} the circuits a session takes.
+     * A service: {@code meanHoldTime} is its mean hold time, {@code width} the circuits a session
+     * takes.
      */
     public record Service(
             String name,
--- a/src/main/java/coralcove/rehearsal/ScenarioResult.java
+++ b/src/main/java/coralcove/rehearsal/ScenarioResult.java
@@ -8,13 +8,13 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * The result of a run: the callers' statistics and the findings of the judge. {@code cpuTime} is
- * the processor time in µs of the whole process, with simulated peers and judge; 0 in virtual time.
- * {@code zero} is the start of the scenario in the network's time. {@code portabilityCounts} counts
- * lookups of ported numbers at all routers: answered from memory, queried, answered past their time
- * to live, sent to the donor exchange. {@code lastSent} holds, for each router and each machine
- * that drained or ended, the µs from the notification to the last INVITE that the router sent
- * there.
+ * The result of a run: the callers' statistics and the results of the rule checks. {@code cpuTime}
+ * is the processor time in µs of the whole process, with simulated peers and rule checks; 0 in
+ * virtual time. {@code startTime} is the start of the scenario in the network's time. {@code
+ * portabilityCounts} counts lookups of ported numbers at all routers: answered from memory,
+ * queried, answered past their time to live, sent to the donor exchange. {@code lastInviteDelays}
+ * holds, for each router and each machine that drained or ended, the µs from the notification to
+ * the last INVITE that the router sent there.
  */
 public record ScenarioResult(
         String scenario,
--- a/src/main/java/coralcove/rehearsal/ScenarioRun.java
+++ b/src/main/java/coralcove/rehearsal/ScenarioRun.java
@@ -279,7 +279,7 @@
                                 name, (now, out) -> core.replaceNumberTable(now, table, out)));
     }
 
-    /** Returns the far ends that the judge accepts for a number dialled at a given time. */
+    /** Returns the far ends that the rule checker accepts for a number dialled at a given time. */
     static RuleChecker.AllowedFarEnds farEnds(Scenario scenario, long startTime) {
         DialPlan dialPlan = new DialPlan(scenario.exchangeCount(), scenario.numberPlan());
         long interval = scenario.numberPlan().replaceInterval();
--- a/src/main/java/coralcove/rehearsal/ScenarioRunner.java
+++ b/src/main/java/coralcove/rehearsal/ScenarioRunner.java
@@ -36,7 +36,10 @@
     /** End of the range that is searched for free ports. */
     private static final int LAST_PORT = 32_000;
 
-    /** Passes captured messages to the judge, the meter and the file; each is parsed only once. */
+    /**
+     * Passes captured messages to the rule checker, the meter and the file; each is parsed only
+     * once.
+     */
     private record CaptureObserver(RuleChecker judge, AddedDelayMeter meter, CaptureWriter file)
             implements Network.MessageObserver {
         @Override
@@ -161,9 +164,9 @@
     }
 
     /**
-     * Runs a scenario live on loopback sockets. The judge reads the capture during the run in order
-     * of time, with a small delay; the sessions of a killed router are closed at its place in that
-     * order.
+     * Runs a scenario live on loopback sockets. The rule checker reads the capture during the run
+     * in order of time, with a small delay; the sessions of a killed router are closed at its place
+     * in that order.
      */
     public static ScenarioResult runLive(Scenario scenario, long seed, String policy, Path capture)
             throws IOException {
